--- a/packages/routing/src/lib/load/LoadAggregator.ts
+++ b/packages/routing/src/lib/load/LoadAggregator.ts
@@ -1,22 +1,22 @@
 /**
- * Adds up what entry hosts have under way at each endpoint.
+ * Aggregates the load of all entry hosts at each endpoint.
  *
- * Answers the pattern in which several hosts choose the same endpoint because
- * each sees only its own part of the work there: with eight hosts an engine's
- * queue is seven eighths invisible, and engines state it only in answers, which
- * come when the queue is over. Reports and answers grow with the number of
- * hosts, not with its square; the adding up does not grow with reports at all.
+ * Without it, several hosts choose the same endpoint, because each sees only its own requests
+ * there. With eight hosts, seven eighths of an engine's queue is invisible to each, and engines
+ * state their queue only in answers, which arrive after the queue is gone. The number of reports
+ * and answers grows linearly with the number of hosts, not with its square. The cost of the
+ * aggregation does not depend on the number of reports, because the totals are cached.
  */
 import { addLinkLoads, IDLE_LINK, type LinkLoad } from './linkLoad.js'
 import { MAX_REPORTED_AGE_MS, NO_ENDPOINT_LOAD, type EndpointRateLimit, type EndpointLoad, type LoadReport } from './loadReport.js'
 
-/** Silence after which a host's work is taken to have ended with it, in milliseconds: five to twenty reports. */
-const FORGET_MS = 1000
+/** Time without a report after which a host's load is dropped, in milliseconds: five to twenty reports. */
+const HOST_TIMEOUT_MS = 1000
 
-/** Age up to which totals are given out again, in milliseconds: half of the shortest interval between reports. */
+/** Age up to which totals are returned again, in milliseconds: half of the shortest interval between reports. */
 const TOTALS_LIFETIME_MS = 25
 
-/** Age up to which a rate that an endpoint has stated is told, in milliseconds: no host may be due to ask there for so long. */
+/** Age up to which a stated rate limit is passed on, in milliseconds. With a low limit, it may take so long until any host is due to send there and reads the limit anew. */
 const LIMIT_LIFETIME_MS = 10_000
 
 interface HostEntry {
@@ -24,21 +24,21 @@
   receivedAt: number
 }
 
-/** Work of all hosts at one time. */
+/** Load of all hosts at one time. */
 export interface AggregatedLoad {
   readonly work: readonly EndpointLoad[]
   readonly links: readonly LinkLoad[]
   readonly limits: readonly EndpointRateLimit[]
-  /** The newest report of each host that is in it. */
+  /** Sequence of the latest report that the totals include, by host. */
   readonly sequences: ReadonlyMap<string, number>
 }
 
-/** Latest report of each host. */
+/** Keeps the latest report of each host and sums them. */
 export class LoadAggregator {
   readonly #hosts = new Map<string, HostEntry>()
   readonly #limits = new Map<string, { readonly requestsPerSecond: number | undefined, readonly statedAt: number }>()
   #totals: AggregatedLoad = { work: [], links: [], limits: [], sequences: new Map() }
-  #addedAt = Number.NEGATIVE_INFINITY
+  #aggregatedAt = Number.NEGATIVE_INFINITY
   #unresponsive: readonly string[] = []
 
   /**
@@ -46,29 +46,29 @@
    * @param now - monotonic milliseconds
    */
   observe (report: LoadReport, now: number): void {
-    const present = this.#hosts.get(report.host)
-    // A datagram may be overtaken; a host that started again begins at zero.
-    const isOld = present !== undefined && report.sequence < present.report.sequence && now - present.receivedAt < FORGET_MS
+    const previous = this.#hosts.get(report.host)
+    // Datagrams may arrive out of order; a restarted host begins at sequence zero.
+    const isOld = previous !== undefined && report.sequence < previous.report.sequence && now - previous.receivedAt < HOST_TIMEOUT_MS
     if (!isOld) this.#hosts.set(report.host, { report, receivedAt: now })
     for (const limit of report.limits ?? []) this.#observeLimit(limit, now)
   }
 
-  /** Whether no host has reported lately. */
+  /** Whether no host has reported recently. */
   get isIdle (): boolean { return this.#hosts.size === 0 }
 
-  /** @param endpoints - incarnations that answer nobody, from the next totals on */
+  /** @param endpoints - incarnations to mark as unresponsive, from the next totals on */
   setUnresponsive (endpoints: readonly string[]): void {
     this.#unresponsive = endpoints
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns work of all hosts, for endpoints that have any; the same object until it is added up anew
+   * @returns load of all hosts, for endpoints that have any; the same object until it is computed anew
    */
   totals (now: number): AggregatedLoad {
-    if (now - this.#addedAt < TOTALS_LIFETIME_MS) return this.#totals
-    this.#addedAt = now
-    this.#totals = this.#addUp(now)
+    if (now - this.#aggregatedAt < TOTALS_LIFETIME_MS) return this.#totals
+    this.#aggregatedAt = now
+    this.#totals = this.#aggregate(now)
     return this.#totals
   }
 
@@ -84,17 +84,17 @@
     return [...this.#limits].map(([endpoint, { requestsPerSecond, statedAt }]) => ({ endpoint, requestsPerSecond, statedAgoMs: now - statedAt }))
   }
 
-  #addUp (now: number): AggregatedLoad {
+  #aggregate (now: number): AggregatedLoad {
     const work = new Map<string, EndpointLoad>()
     const links = new Map<string, LinkLoad>()
     const sequences = new Map<string, number>()
     for (const [host, { report, receivedAt }] of this.#hosts) {
-      if (now - receivedAt > FORGET_MS) {
+      if (now - receivedAt > HOST_TIMEOUT_MS) {
         this.#hosts.delete(host)
         continue
       }
       sequences.set(host, report.sequence)
-      for (const entry of report.work) work.set(entry.endpoint, add(work.get(entry.endpoint), aged(entry, now - receivedAt)))
+      for (const entry of report.work) work.set(entry.endpoint, addEndpointLoads(work.get(entry.endpoint), withAdvancedAges(entry, now - receivedAt)))
       for (const entry of report.links) links.set(entry.link, { link: entry.link, ...addLinkLoads(links.get(entry.link) ?? IDLE_LINK, entry) })
     }
     for (const endpoint of this.#unresponsive) work.set(endpoint, { ...work.get(endpoint) ?? { ...NO_ENDPOINT_LOAD, endpoint }, unresponsive: 1 })
@@ -102,12 +102,12 @@
   }
 }
 
-/** As it is some time after it was reported. */
-function aged (work: EndpointLoad, ageMs: number): EndpointLoad {
+/** Returns a report's entry with its ages advanced by the time since the report. */
+function withAdvancedAges (work: EndpointLoad, ageMs: number): EndpointLoad {
   return { ...work, lastByteAgoMs: Math.min(MAX_REPORTED_AGE_MS, work.lastByteAgoMs + ageMs), waitedMs: work.inFlight === 0 ? 0 : Math.min(MAX_REPORTED_AGE_MS, work.waitedMs + ageMs) }
 }
 
-function add (sum: EndpointLoad | undefined, work: EndpointLoad): EndpointLoad {
+function addEndpointLoads (sum: EndpointLoad | undefined, work: EndpointLoad): EndpointLoad {
   if (sum === undefined) return work
   return {
     endpoint: work.endpoint,
--- a/packages/routing/src/lib/load/LoadExchangeScheduler.ts
+++ b/packages/routing/src/lib/load/LoadExchangeScheduler.ts
@@ -1,110 +1,110 @@
 /**
- * When a host asks for the work of all others, and when it tells its own.
+ * Schedules when a host queries the load of its peers and when it reports its own load.
  *
- * Answers the load of many hosts before few engines. A host that exchanges by the clock, five
- * times a second, places a request on what was so 0.1 to 0.25 s before; with 195 hosts before 55
- * engines two or three further requests have by then arrived at the engine that looked least
- * busy. A question and its answer take a millisecond or two between data centres, so a host asks
- * when it has a request to place, and tells the others at once where it went. That is as many
- * questions as by the clock (1,030 requests a second against 975), a view that is some
- * milliseconds old, and none at all from a host at rest.
+ * The schedule is made for many hosts in front of few engines. A host that exchanges load at a
+ * fixed rate of five times a second places requests on figures that are 0.1 to 0.25 s old. With
+ * 195 hosts in front of 55 engines, two or three further requests have by then reached the engine
+ * that looked least busy. A query takes a millisecond or two between data centres, so a host
+ * queries when it has a request to place, and reports at once where it sent the request. This
+ * costs about as many queries as the fixed rate (1,030 requests a second against 975), gives
+ * figures that are a few milliseconds old, and costs an idle host nothing.
  *
- * A host with ten requests a second asks again before long, and each question tells its work as
- * well: statements of their own would double what the host that adds up has to read, for a view that
- * is a tenth of a second newer. So such a host tells its sends with its next question; one with
- * rare requests tells them at once.
+ * Every query also carries the load of the host that sends it. A host with ten requests a second
+ * will query again soon, and separate reports would double the datagrams that the aggregating
+ * host reads, for figures that are only a tenth of a second newer. Such a host therefore reports
+ * its sends with its next query, and a host with rare requests reports each send at once.
  */
 
-/** Age up to which a view is used without asking, in milliseconds: the host that adds up gives out the same totals for as long. */
-const FRESH_MS = 25
+/** Age up to which a view is used without a new query, in milliseconds. The aggregating host returns the same totals for as long. */
+const VIEW_FRESHNESS_MS = 25
 
 /**
- * Longest wait for an answer, in milliseconds: three round trips between data centres of the users'
- * sheets, and little against the shortest objective there (120 ms).
+ * Longest time that a request waits for an answer, in milliseconds: three round trips between data centres,
+ * and little compared with the shortest latency objective (120 ms).
  */
 export const MAX_ANSWER_WAIT_MS = 10
 
-/** Waits in vain after which requests wait no more until an answer comes: the host that adds up is gone, and another takes over. */
-const MOST_VAIN_WAITS = 2
+/** Consecutive queries without an answer after which requests stop waiting until one arrives: the aggregating host has failed, and another is taking over. */
+const MAX_CONSECUTIVE_TIMEOUTS = 2
 
-/** Questions that all hosts together ask in a second at most: some 0.2 cores of the host that adds up. */
-const QUESTIONS_PER_SECOND = 2000
+/** Queries that all hosts together may send in a second: about 0.2 cores of the aggregating host. */
+const MAX_QUERIES_PER_SECOND = 2000
 
-/** Questions that a host may ask at once, as its requests come in clusters. */
-const MOST_SAVED_QUESTIONS = 5
+/** Queries that a host may send in a burst, because its requests arrive in clusters. */
+const QUERY_BURST = 5
 
-/** Pause before the others are told of what the next question may tell as well, in milliseconds. */
-const TELL_CHANGE_MS = 250
+/** Delay before a change is reported by itself, in milliseconds, so that the next query may carry it instead. */
+const CHANGE_REPORT_DELAY_MS = 250
 
-/** Interval at which a host with work tells it again, in milliseconds: so that silent endpoints are noticed, and a lost datagram is made good. */
-const TELL_AGAIN_MS = 350
+/** Interval at which a host with load repeats its report, in milliseconds. Repeated reports reveal silent endpoints and replace lost datagrams. */
+const REPORT_INTERVAL_MS = 350
 
 /** Mean interval between a host's requests up to which they count as frequent, in milliseconds. */
-const FREQUENT_REQUESTS_MS = 150
+const FREQUENT_REQUEST_INTERVAL_MS = 150
 
-/** Requests after which that mean says something. */
-const LEAST_INTERVALS = 20
+/** Number of requests after which the mean interval is meaningful. */
+const MIN_INTERVALS = 20
 
-/** Weight of the newest interval in that mean. */
+/** Weight of the newest interval in the mean interval. */
 const INTERVAL_SMOOTHING = 0.1
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** What becomes of a request that is to be placed. */
+/** How to proceed with a request that is about to be placed. */
 export interface PlacementStep {
-  /** Whether to ask now. */
+  /** Whether to send a query now. */
   readonly asks: boolean
-  /** Whether the request waits for an answer, {@link MAX_ANSWER_WAIT_MS} at most. */
+  /** Whether the request waits for an answer, for {@link MAX_ANSWER_WAIT_MS} at most. */
   readonly waits: boolean
 }
 
-/** Times of one host. */
+/** Decides when one host sends queries and reports. */
 export class LoadExchangeScheduler {
-  /** When the present view was asked for. */
-  #viewAt = Number.NEGATIVE_INFINITY
-  /** When the question was asked that has no answer yet. */
-  #askedAt: number | undefined
-  /** Mean interval between requests that were placed, and how many there were. */
+  /** Time of the query whose answer is the current view. */
+  #viewQueriedAt = Number.NEGATIVE_INFINITY
+  /** Time of the query that has no answer yet. */
+  #queriedAt: number | undefined
+  /** Mean interval between placed requests, and the number of intervals. */
   #intervalMs = 0
-  #intervals = 0
+  #intervalCount = 0
   #placedAt: number | undefined
-  #vainWaits = 0
-  #savedQuestions = MOST_SAVED_QUESTIONS
-  #savedAt = 0
-  #tellAt: number | undefined
+  #consecutiveTimeouts = 0
+  #queryTokens = QUERY_BURST
+  #tokensUpdatedAt = 0
+  #nextReportAt: number | undefined
 
-  /** @param liveHosts - hosts that share the questions of all, as of now */
+  /** @param liveHosts - returns the current number of hosts, which share the query budget */
   constructor (private readonly liveHosts: () => number) {}
 
   /**
    * @param now - monotonic milliseconds
-   * @returns what to do for a request that is to be placed now
+   * @returns how to proceed with a request that is to be placed now
    */
   planPlacement (now: number): PlacementStep {
-    this.#noteInterval(now)
-    if (now - this.#viewAt <= FRESH_MS) return { asks: false, waits: false }
-    const isUnderWay = this.#askedAt !== undefined && now - this.#askedAt < MAX_ANSWER_WAIT_MS
-    if (!isUnderWay && this.#askedAt !== undefined) this.#noteVain()
-    const asks = !isUnderWay && this.#takeQuestion(now)
-    return { asks, waits: (isUnderWay || asks) && this.#vainWaits < MOST_VAIN_WAITS }
+    this.#recordInterval(now)
+    if (now - this.#viewQueriedAt <= VIEW_FRESHNESS_MS) return { asks: false, waits: false }
+    const isQueryPending = this.#queriedAt !== undefined && now - this.#queriedAt < MAX_ANSWER_WAIT_MS
+    if (!isQueryPending && this.#queriedAt !== undefined) this.#recordTimeout()
+    const asks = !isQueryPending && this.#takeQueryToken(now)
+    return { asks, waits: (isQueryPending || asks) && this.#consecutiveTimeouts < MAX_CONSECUTIVE_TIMEOUTS }
   }
 
-  /** @param now - monotonic milliseconds at which a question was sent, which tells this host's work as well */
+  /** @param now - monotonic milliseconds at which a query was sent, which also carries this host's load */
   recordQuery (now: number): void {
-    this.#askedAt = now
-    this.#tellAt = undefined
+    this.#queriedAt = now
+    this.#nextReportAt = undefined
   }
 
-  /** @param askedAt - when the question was asked that has been answered */
-  recordAnswer (askedAt: number): void {
-    this.#viewAt = Math.max(this.#viewAt, askedAt)
-    this.#askedAt = undefined
-    this.#vainWaits = 0
+  /** @param queriedAt - monotonic milliseconds at which the answered query was sent */
+  recordAnswer (queriedAt: number): void {
+    this.#viewQueriedAt = Math.max(this.#viewQueriedAt, queriedAt)
+    this.#queriedAt = undefined
+    this.#consecutiveTimeouts = 0
   }
 
   /**
    * @param now - monotonic milliseconds at which a request was sent to an endpoint
-   * @returns whether the others are to be told at once
+   * @returns whether to report the send at once
    */
   recordSend (now: number): boolean {
     if (!this.#isFrequent) return true
@@ -112,44 +112,44 @@
     return false
   }
 
-  /** @param now - monotonic milliseconds at which work at an endpoint changed */
+  /** @param now - monotonic milliseconds at which this host's load at an endpoint changed */
   recordChange (now: number): void {
-    const at = now + TELL_CHANGE_MS
-    this.#tellAt = Math.min(at, this.#tellAt ?? at)
+    const at = now + CHANGE_REPORT_DELAY_MS
+    this.#nextReportAt = Math.min(at, this.#nextReportAt ?? at)
   }
 
   /**
-   * @param hasWork - whether there was anything to tell
-   * @param now - monotonic milliseconds at which it was told
+   * @param hasLoad - whether the report contained any load
+   * @param now - monotonic milliseconds at which the report was sent
    */
-  recordReport (hasWork: boolean, now: number): void {
-    this.#tellAt = hasWork ? now + TELL_AGAIN_MS : undefined
+  recordReport (hasLoad: boolean, now: number): void {
+    this.#nextReportAt = hasLoad ? now + REPORT_INTERVAL_MS : undefined
   }
 
-  /** Monotonic milliseconds at which the others are to be told; undefined while there is nothing to tell. */
-  get nextReportAt (): number | undefined { return this.#tellAt }
+  /** Monotonic milliseconds at which the next report is due; undefined while there is nothing to report. */
+  get nextReportAt (): number | undefined { return this.#nextReportAt }
 
-  /** Whether requests come often enough that questions can do without statements. */
-  get #isFrequent (): boolean { return this.#intervals >= LEAST_INTERVALS && this.#intervalMs <= FREQUENT_REQUESTS_MS }
+  /** Whether requests arrive often enough for the queries to carry all reports. */
+  get #isFrequent (): boolean { return this.#intervalCount >= MIN_INTERVALS && this.#intervalMs <= FREQUENT_REQUEST_INTERVAL_MS }
 
-  #noteInterval (now: number): void {
+  #recordInterval (now: number): void {
     const intervalMs = now - (this.#placedAt ?? now)
     this.#placedAt = now
-    this.#intervals += 1
-    this.#intervalMs += (intervalMs - this.#intervalMs) * Math.max(INTERVAL_SMOOTHING, 1 / this.#intervals)
+    this.#intervalCount += 1
+    this.#intervalMs += (intervalMs - this.#intervalMs) * Math.max(INTERVAL_SMOOTHING, 1 / this.#intervalCount)
   }
 
-  #noteVain (): void {
-    this.#askedAt = undefined
-    this.#vainWaits += 1
+  #recordTimeout (): void {
+    this.#queriedAt = undefined
+    this.#consecutiveTimeouts += 1
   }
 
-  #takeQuestion (now: number): boolean {
-    const perMs = QUESTIONS_PER_SECOND / MILLISECONDS_PER_SECOND / Math.max(1, this.liveHosts())
-    this.#savedQuestions = Math.min(MOST_SAVED_QUESTIONS, this.#savedQuestions + (now - this.#savedAt) * perMs)
-    this.#savedAt = now
-    if (this.#savedQuestions < 1) return false
-    this.#savedQuestions -= 1
+  #takeQueryToken (now: number): boolean {
+    const tokensPerMs = MAX_QUERIES_PER_SECOND / MILLISECONDS_PER_SECOND / Math.max(1, this.liveHosts())
+    this.#queryTokens = Math.min(QUERY_BURST, this.#queryTokens + (now - this.#tokensUpdatedAt) * tokensPerMs)
+    this.#tokensUpdatedAt = now
+    if (this.#queryTokens < 1) return false
+    this.#queryTokens -= 1
     return true
   }
 }
--- a/packages/routing/src/lib/load/PeerLoad.ts
+++ b/packages/routing/src/lib/load/PeerLoad.ts
@@ -1,37 +1,37 @@
-/** Work of the other entry hosts at each endpoint and on each link, as last heard. */
+/** Load of the other entry hosts at each endpoint and on each link, as last received. */
 import { IDLE_LINK, type LinkLoadFigures, type LinkLoad } from './linkLoad.js'
 import { NO_ENDPOINT_LOAD, type EndpointRateLimit, type EndpointLoad, type LoadReport, type LoadTotals, type LoadFigures } from './loadReport.js'
 
-/** Age after which it says nothing any more, in milliseconds: a few lost datagrams. */
-const LIFETIME_MS = 400
+/** Age after which the figures are no longer used, in milliseconds: a few lost datagrams. */
+const PEER_LOAD_LIFETIME_MS = 400
 
-/** Work of one host or of all. */
+/** Load of one host or of all. */
 export type HostLoad = Pick<LoadReport, 'work' | 'links' | 'limits'>
 
-/** What this host reported under one sequence number, to be taken off the totals that answer it. */
+/** Load that this host reported under one sequence number, to be subtracted from the totals that include it. */
 interface OwnReport {
   readonly sequence: number
   readonly work: ReadonlyMap<string, EndpointLoad>
   readonly links: ReadonlyMap<string, LinkLoad>
 }
 
-/** Reports kept until they are answered. */
-const KEPT_REPORTS = 16
+/** Reports that are kept until they are answered. */
+const MAX_PENDING_REPORTS = 16
 
-/** Totals less what this host itself had reported. */
+/** Subtracts this host's own reports from the totals of all hosts. */
 export class PeerLoad {
   #reports: OwnReport[] = []
-  #others = new Map<string, LoadFigures>()
+  #endpoints = new Map<string, LoadFigures>()
   #links = new Map<string, LinkLoadFigures>()
   #limits: readonly EndpointRateLimit[] = []
   #receivedAt = Number.NEGATIVE_INFINITY
-  #answered = -1
+  #latestSequence = -1
 
   /**
-   * Notes a report that is about to be sent.
+   * Records a report that is about to be sent.
    *
-   * @param sequence - its number
-   * @param own - this host's own work
+   * @param sequence - sequence number of the report
+   * @param own - this host's own load
    */
   recordOwnReport (sequence: number, { work, links }: HostLoad): void {
     this.#reports.push({
@@ -39,56 +39,56 @@
       work: new Map(work.map(entry => [entry.endpoint, entry])),
       links: new Map(links.map(entry => [entry.link, entry]))
     })
-    if (this.#reports.length > KEPT_REPORTS) this.#reports.shift()
+    if (this.#reports.length > MAX_PENDING_REPORTS) this.#reports.shift()
   }
 
   /**
-   * Takes the totals that answer a report.
+   * Records the totals that answer a report.
    *
-   * @param totals - work of all hosts, this one included, with the number of the report
+   * @param totals - load of all hosts, this one included, with the sequence number of the report
    * @param now - monotonic milliseconds
    */
   recordTotals ({ sequence, work, links, limits = [] }: LoadTotals, now: number): void {
     const own = this.#reports.find(report => report.sequence === sequence)
-    if (own === undefined || sequence < this.#answered) return
-    this.#answered = sequence
+    if (own === undefined || sequence < this.#latestSequence) return
+    this.#latestSequence = sequence
     this.#receivedAt = now
     this.#limits = limits
-    this.#others = new Map()
-    for (const total of work) this.#others.set(total.endpoint, subtract(total, own.work.get(total.endpoint)))
+    this.#endpoints = new Map()
+    for (const total of work) this.#endpoints.set(total.endpoint, subtractEndpointLoad(total, own.work.get(total.endpoint)))
     this.#links = new Map()
-    for (const total of links) this.#links.set(total.link, subtractLink(total, own.links.get(total.link)))
+    for (const total of links) this.#links.set(total.link, subtractLinkLoad(total, own.links.get(total.link)))
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether the figures are recent
+   * @returns whether the figures are recent enough to be used
    */
   isRecent (now: number): boolean {
-    return now - this.#receivedAt < LIFETIME_MS
+    return now - this.#receivedAt < PEER_LOAD_LIFETIME_MS
   }
 
   /**
    * @param endpoint - incarnation of an endpoint
-   * @returns work of all other hosts there
+   * @returns load of all other hosts at the endpoint
    */
   forEndpoint (endpoint: string): LoadFigures {
-    return this.#others.get(endpoint) ?? NO_ENDPOINT_LOAD
+    return this.#endpoints.get(endpoint) ?? NO_ENDPOINT_LOAD
   }
 
-  /** What endpoints have said of the rates that they take, as of the last answer. */
+  /** Rate limits that endpoints have stated, as of the last answer. */
   get limits (): readonly EndpointRateLimit[] { return this.#limits }
 
-  /** What all other hosts have on links, by the links' names. */
+  /** Load of all other hosts on links, by link name. */
   get links (): ReadonlyMap<string, LinkLoadFigures> { return this.#links }
 }
 
-function subtract (total: EndpointLoad, own: LoadFigures = NO_ENDPOINT_LOAD): LoadFigures {
+function subtractEndpointLoad (total: EndpointLoad, own: LoadFigures = NO_ENDPOINT_LOAD): LoadFigures {
   return {
     inFlight: Math.max(0, total.inFlight - own.inFlight),
     pendingTokens: Math.max(0, total.pendingTokens - own.pendingTokens),
     heldTokens: Math.max(0, total.heldTokens - own.heldTokens),
-    // The least and the most can't be taken apart; this host's own part in them is true as well.
+    // A minimum and a maximum can't be split by host. They hold for this host's own requests as well.
     lastByteAgoMs: total.lastByteAgoMs,
     waitedMs: total.waitedMs,
     avoiders: Math.max(0, total.avoiders - own.avoiders),
@@ -98,7 +98,7 @@
   }
 }
 
-function subtractLink (total: LinkLoadFigures, own: LinkLoadFigures = IDLE_LINK): LinkLoadFigures {
+function subtractLinkLoad (total: LinkLoadFigures, own: LinkLoadFigures = IDLE_LINK): LinkLoadFigures {
   return {
     pendingBytes: Math.max(0, total.pendingBytes - own.pendingBytes),
     samples: Math.max(0, total.samples - own.samples),
--- a/packages/routing/src/lib/load/UnresponsiveEndpointDetector.ts
+++ b/packages/routing/src/lib/load/UnresponsiveEndpointDetector.ts
@@ -1,68 +1,71 @@
 /**
- * Endpoints that answer nobody, found for all hosts by the one that adds up.
+ * Detects endpoints that respond to no host. The host that aggregates load runs it for all hosts.
  *
- * Answers the load in which endpoints go dark before many hosts. Each of 195 hosts sends a given
- * engine a request every fourteen seconds, so none finds out by itself; and what all have seen fades
- * as the callers of the lost requests leave: seen alone, an engine without requests is not silent, gets
- * the next dozen, and loses them too, over and over (of a day's requests in the seconds after a
- * fifth of the engines went dark a third was lost, for as long as that lasted). So who is silent to
- * all, or avoided by several, is asked directly; without an answer it is unresponsive to all hosts, and
- * stays so until it answers such a question or some host hears a byte from it.
+ * It guards against endpoints that hang behind many hosts. With 195 hosts, each host sends a given
+ * engine one request in fourteen seconds, so no host detects the failure by itself. The combined
+ * observations fade as well, because the callers of the lost requests disconnect: an engine without
+ * requests no longer counts as silent, receives the next dozen requests and loses them, again and
+ * again. With a fifth of the engines hung, a third of all requests was lost for as long as the
+ * failure lasted. The detector therefore selects endpoints that are silent to all hosts, or avoided
+ * by several, for a direct probe. An endpoint that fails its probe is unresponsive for all hosts
+ * until it answers a later probe or some host receives a byte from it.
  */
 import type { EndpointLoad } from './loadReport.js'
 
-/** Silence towards all hosts after which an endpoint with work is asked, in milliseconds: hosts with work tell of it every 300. */
-const SUSPECT_MS = 400
+/** Silence towards all hosts after which an endpoint with load is probed, in milliseconds. Hosts with load report it every 300 ms. */
+const SUSPECT_SILENCE_MS = 400
 
-/** Requests under way that make silence count: one or two may all be waiting for their first event. */
-const SUSPECT_REQUESTS = 3
+/** Requests in flight from which silence is suspicious: one or two may all be waiting for their first event. */
+const MIN_SUSPECT_REQUESTS = 3
 
-/** Hosts that could not reach an endpoint, or got no answer, from which on it is asked. */
-const SUSPECT_AVOIDERS = 2
+/** Number of hosts avoiding an endpoint, because they could not reach it or got no answer, from which it is probed. */
+const MIN_SUSPECT_AVOIDERS = 2
 
-/** First pause before an unresponsive endpoint is asked again, in milliseconds; it doubles. Each question is priced. */
-const FIRST_PAUSE_MS = 400
+/** Delay before the second probe of an unresponsive endpoint, in milliseconds. It doubles with each probe, because every probe is billed. */
+const INITIAL_PROBE_BACKOFF_MS = 400
 
-/** Longest pause, in milliseconds: for so long at most an endpoint that is back does without work. */
-const LONGEST_PAUSE_MS = 1500
+/** Longest delay between probes, in milliseconds. It bounds how long a recovered endpoint stays without load. */
+const MAX_PROBE_BACKOFF_MS = 1500
 
-/** Time for which an endpoint that has answered is not asked again, in milliseconds: its requests are slow, and not lost. */
-const TRUSTED_MS = 2000
+/** Time for which an endpoint that has answered is not probed again, in milliseconds: its requests are slow, not lost. */
+const PROBE_EXEMPTION_MS = 2000
 
 interface Suspect {
-  /** Undefined until a question has had no answer. */
+  /** Monotonic milliseconds of the first failed probe; undefined until a probe has failed. */
   unresponsiveSince: number | undefined
-  askAt: number
-  pauseMs: number
-  isAsked: boolean
+  probeAt: number
+  backoffMs: number
+  isProbing: boolean
 }
 
-/** What was found out. */
+/** A change in whether an endpoint responds. */
 export interface ResponsivenessChange {
   readonly endpoint: string
   readonly isUnresponsive: boolean
 }
 
-/** Who is suspected, and who does not respond. */
+/** Tracks suspected and unresponsive endpoints, and when to probe them. */
 export class UnresponsiveEndpointDetector {
   readonly #suspects = new Map<string, Suspect>()
-  readonly #trustedUntil = new Map<string, number>()
+  readonly #exemptUntil = new Map<string, number>()
 
-  /** Incarnations that respond to nobody. */
+  /** Incarnations that respond to no host. */
   get unresponsive (): readonly string[] {
     return [...this.#suspects].filter(([, { unresponsiveSince }]) => unresponsiveSince !== undefined).map(([endpoint]) => endpoint)
   }
 
   /**
-   * @param work - of all hosts, as of now
+   * Updates the suspects from the aggregated load.
+   *
+   * @param work - current load of all hosts
    * @param now - monotonic milliseconds
-   * @returns incarnations that are heard again
+   * @returns incarnations that respond again
    */
   observe (work: readonly EndpointLoad[], now: number): ResponsivenessChange[] {
     const changes: ResponsivenessChange[] = []
     for (const entry of work) {
       const suspect = this.#suspects.get(entry.endpoint)
-      if (suspect === undefined) this.#suspect(entry, now)
+      if (suspect === undefined) this.#checkEntry(entry, now)
       else if (suspect.unresponsiveSince !== undefined && now - entry.lastByteAgoMs > suspect.unresponsiveSince) changes.push(this.#clear(entry.endpoint, now))
     }
     return changes
@@ -70,21 +73,21 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns incarnations to be asked now; each has to be settled
+   * @returns incarnations to probe now; the caller reports each result with {@link recordProbeResult}
    */
   takeDueProbes (now: number): string[] {
-    const due = [...this.#suspects].filter(([, { askAt, isAsked }]) => !isAsked && askAt <= now)
-    for (const [, suspect] of due) suspect.isAsked = true
+    const due = [...this.#suspects].filter(([, { probeAt, isProbing }]) => !isProbing && probeAt <= now)
+    for (const [, suspect] of due) suspect.isProbing = true
     return due.map(([endpoint]) => endpoint)
   }
 
   /**
-   * Takes the outcome of a question.
+   * Records the result of a probe.
    *
-   * @param endpoint - incarnation that was asked
+   * @param endpoint - incarnation that was probed
    * @param hasAnswered - whether it gave any answer
    * @param now - monotonic milliseconds
-   * @returns what that changes
+   * @returns the resulting change, if any
    */
   recordProbeResult (endpoint: string, hasAnswered: boolean, now: number): ResponsivenessChange | undefined {
     const suspect = this.#suspects.get(endpoint)
@@ -94,33 +97,33 @@
       const change = this.#clear(endpoint, now)
       return wasUnresponsive ? change : undefined
     }
-    suspect.isAsked = false
-    suspect.askAt = now + suspect.pauseMs
-    suspect.pauseMs = Math.min(LONGEST_PAUSE_MS, suspect.pauseMs * 2)
+    suspect.isProbing = false
+    suspect.probeAt = now + suspect.backoffMs
+    suspect.backoffMs = Math.min(MAX_PROBE_BACKOFF_MS, suspect.backoffMs * 2)
     suspect.unresponsiveSince ??= now
     return wasUnresponsive ? undefined : { endpoint, isUnresponsive: true }
   }
 
-  /** @param isListed - whether an incarnation is still listed; others are forgotten */
+  /** @param isListed - whether an incarnation is still listed; the state of all others is dropped */
   retain (isListed: (endpoint: string) => boolean): void {
     for (const endpoint of this.#suspects.keys()) {
       if (!isListed(endpoint)) this.#suspects.delete(endpoint)
     }
-    for (const endpoint of this.#trustedUntil.keys()) {
-      if (!isListed(endpoint)) this.#trustedUntil.delete(endpoint)
+    for (const endpoint of this.#exemptUntil.keys()) {
+      if (!isListed(endpoint)) this.#exemptUntil.delete(endpoint)
     }
   }
 
-  #suspect ({ endpoint, inFlight, lastByteAgoMs, waitedMs, avoiders }: EndpointLoad, now: number): void {
-    const isSilent = inFlight >= SUSPECT_REQUESTS && lastByteAgoMs > SUSPECT_MS && waitedMs > SUSPECT_MS
-    const isAvoided = avoiders >= SUSPECT_AVOIDERS
-    if ((!isSilent && !isAvoided) || now < (this.#trustedUntil.get(endpoint) ?? Number.NEGATIVE_INFINITY)) return
-    this.#suspects.set(endpoint, { unresponsiveSince: undefined, askAt: now, pauseMs: FIRST_PAUSE_MS, isAsked: false })
+  #checkEntry ({ endpoint, inFlight, lastByteAgoMs, waitedMs, avoiders }: EndpointLoad, now: number): void {
+    const isSilent = inFlight >= MIN_SUSPECT_REQUESTS && lastByteAgoMs > SUSPECT_SILENCE_MS && waitedMs > SUSPECT_SILENCE_MS
+    const isAvoided = avoiders >= MIN_SUSPECT_AVOIDERS
+    if ((!isSilent && !isAvoided) || now < (this.#exemptUntil.get(endpoint) ?? Number.NEGATIVE_INFINITY)) return
+    this.#suspects.set(endpoint, { unresponsiveSince: undefined, probeAt: now, backoffMs: INITIAL_PROBE_BACKOFF_MS, isProbing: false })
   }
 
   #clear (endpoint: string, now: number): ResponsivenessChange {
     this.#suspects.delete(endpoint)
-    this.#trustedUntil.set(endpoint, now + TRUSTED_MS)
+    this.#exemptUntil.set(endpoint, now + PROBE_EXEMPTION_MS)
     return { endpoint, isUnresponsive: false }
   }
 }
--- a/packages/routing/src/lib/load/linkLoad.ts
+++ b/packages/routing/src/lib/load/linkLoad.ts
@@ -1,32 +1,32 @@
-/** What entry hosts tell of the links over which stores send kept prompts. */
+/** The load that entry hosts report of the links over which stores send prompt parts. */
 
-/** Transfers of one or all hosts over one link, and what they have shown of its speed. */
+/** Transfers of one or all hosts over one link, with the speed that they observed. */
 export interface LinkLoad extends LinkLoadFigures {
-  /** Store and data centre that the link joins, see {@link linkName}. */
+  /** Store and data centre that the link connects, see {@link linkName}. */
   readonly link: string
 }
 
 /** Figures of a link. */
 export interface LinkLoadFigures {
-  /** Bytes that engines were told to fetch and that have not shown by a first event. */
+  /** Bytes that engines were told to fetch, for requests that have had no first event yet. */
   readonly pendingBytes: number
-  /** Transfers that ended lately; older ones count less. */
+  /** Decaying count of transfers that have ended. */
   readonly samples: number
-  /** Over those, by how many doublings they took longer than at the link's stated speed. */
+  /** Sum over the samples of log2 of the slowdown against the link's configured speed, where positive. */
   readonly slower: number
-  /** Likewise, by how many doublings they took less. */
+  /** Sum over the samples of log2 of the speedup against the link's configured speed, where positive. */
   readonly faster: number
 }
 
-/** A link of which nothing is known. */
+/** Figures of a link without transfers or observations. */
 export const IDLE_LINK: LinkLoadFigures = { pendingBytes: 0, samples: 0, slower: 0, faster: 0 }
 
-/** Between store and data centre; a store's name may hold it as well. */
+/** Separates store and data centre; the store's name may contain it as well. */
 const SEPARATOR = '>'
 
 /**
  * @param store - store name
- * @param dataCentre - where the engines stand
+ * @param dataCentre - data centre of the engines
  * @returns name of the link
  */
 export function linkName (store: string, dataCentre: string): string {
@@ -44,7 +44,7 @@
 /**
  * @param one - figures
  * @param other - figures of the same link
- * @returns both together
+ * @returns the sum of both
  */
 export function addLinkLoads (one: LinkLoadFigures, other: LinkLoadFigures): LinkLoadFigures {
   return {
--- a/packages/routing/src/lib/load/loadCodec.ts
+++ b/packages/routing/src/lib/load/loadCodec.ts
@@ -1,58 +1,58 @@
 /**
- * Bytes of load reports and of the totals that answer them.
+ * Encodes load reports and the totals that answer them.
  *
- * Names, then whole numbers of two bytes: these datagrams go to every host many times a
- * second, and reading 98 endpoints as ordinary messages took 0.5 ms where this takes
- * hundredths. The totals are the same for all hosts and are encoded once; only the
- * sequence in front differs.
+ * A table consists of names followed by integers of two bytes. These datagrams go to every host
+ * many times a second. Decoding 98 endpoints as ordinary messages took 0.5 ms, and decoding this
+ * format takes hundredths of a millisecond. The totals are the same for all hosts and are encoded
+ * once; only the sequence in front of them differs.
  */
 import { decode, encode } from '@msgpack/msgpack'
 import { z } from 'zod'
 import type { LinkLoadFigures, LinkLoad } from './linkLoad.js'
 import type { EndpointRateLimit, EndpointLoad, LoadReport, LoadTotals, LoadFigures } from './loadReport.js'
 
-/** Bytes of the sequence in front of totals. */
+/** Size of the sequence in front of totals. */
 const SEQUENCE_BYTES = 4
 
-/** Bytes of one figure. */
+/** Size of one figure. */
 const FIGURE_BYTES = 2
 
-/** Largest figure; larger ones are written as this. */
-const LARGEST_FIGURE = 2 ** 16 - 1
+/** Largest figure; larger values are clamped to it. */
+const MAX_FIGURE = 2 ** 16 - 1
 
-/** Tokens are counted in blocks of an engine's memory. */
+/** Unit of token counts: one block of an engine's memory. */
 const BLOCK_TOKENS = 16
 
-/** Bytes under way on a link are counted in these: the most that can be written are 275 GB, a minute of a fast link. */
+/** Unit of pending bytes on a link. The largest value is 275 GB, which takes a fast link a minute. */
 const LINK_BLOCK_BYTES = 2 ** 22
 
-/** Steps in which samples of a link and their doublings are counted. */
+/** Resolution of a link's sample count and of its sums of doublings. */
 const SAMPLE_STEP = 1 / 64
 
-/** Step in which rates of requests a second are written, and what stands for none. */
+/** Resolution of rate limits in requests per second, and the value that stands for no limit. */
 const RATE_STEP = 1 / 32
-const NO_RATE = LARGEST_FIGURE * RATE_STEP
+const UNLIMITED_RATE = MAX_FIGURE * RATE_STEP
 
-/** Between names, and what stands for it inside a name: operators name stores as they like. */
+/** Separator of names, and its escape inside a name. Operators may use any character in store names. */
 const SEPARATOR = ','
 const ESCAPE = '%'
 const ESCAPED_SEPARATOR = '%2C'
 const ESCAPED_ESCAPE = '%25'
 
-/** Names whose letters are written otherwise. */
+/** Matches names that contain characters to escape. */
 const NEEDS_ESCAPES = /[,%]/
 
-/** Figures of a row in their order on the wire, with the unit of each. */
-type Figures<Row> = ReadonlyArray<readonly [name: keyof Row, unit: number]>
+/** Columns of a table in wire order, each with its unit. */
+type FigureColumns<Row> = ReadonlyArray<readonly [name: keyof Row, unit: number]>
 
-/** Figures of an endpoint; their order on the wire is that of `writeWork` and `readWork`. */
-const ENDPOINT_FIGURES = 9
+/** Number of figures of an endpoint. `writeEndpointLoad` and `readEndpointLoad` define their wire order. */
+const ENDPOINT_FIGURE_COUNT = 9
 
-const LINK_FIGURES: Figures<LinkLoadFigures> = [
+const LINK_FIGURES: FigureColumns<LinkLoadFigures> = [
   ['pendingBytes', LINK_BLOCK_BYTES], ['samples', SAMPLE_STEP], ['slower', SAMPLE_STEP], ['faster', SAMPLE_STEP]
 ]
 
-const LIMIT_FIGURES: Figures<Omit<EndpointRateLimit, 'endpoint'>> = [['requestsPerSecond', RATE_STEP], ['statedAgoMs', 1]]
+const LIMIT_FIGURES: FigureColumns<Omit<EndpointRateLimit, 'endpoint'>> = [['requestsPerSecond', RATE_STEP], ['statedAgoMs', 1]]
 
 const tableSchema = z.tuple([z.string(), z.instanceof(Uint8Array)])
 const limitsSchema = tableSchema.optional()
@@ -62,35 +62,35 @@
 type Table = z.infer<typeof tableSchema>
 
 /**
- * @param report - of one host
- * @returns its bytes
+ * @param report - report of one host
+ * @returns the encoded report
  */
 export function encodeLoadReport ({ host, sequence, work, links, limits }: LoadReport): Uint8Array {
   return encode([host, sequence, toEndpointTable(work), toLinkTable(links), ...toLimitTables(limits)])
 }
 
 /**
- * @param bytes - of a report
- * @returns the report
- * @throws if the bytes are no report
+ * @param bytes - encoded report
+ * @returns the decoded report
+ * @throws if the bytes are not a valid report
  */
 export function decodeLoadReport (bytes: Uint8Array): LoadReport {
   const [host, sequence, work, links, limits] = reportSchema.parse(decode(bytes))
-  return { host, sequence, work: toEndpointWork(work), links: toLinkWork(links), ...toLimits(limits) }
+  return { host, sequence, work: toEndpointLoads(work), links: toLinkLoads(links), ...toLimits(limits) }
 }
 
 /**
- * @param totals - of all hosts
- * @returns bytes to follow a sequence, see {@link frameLoadTotals}
+ * @param totals - load of all hosts
+ * @returns the encoded totals, to be framed with a sequence by {@link frameLoadTotals}
  */
 export function encodeLoadTotals ({ work, links, limits }: Omit<LoadTotals, 'sequence'>): Uint8Array {
   return encode([toEndpointTable(work), toLinkTable(links), ...toLimitTables(limits)])
 }
 
 /**
- * @param sequence - the asking host's report that the totals include
- * @param totals - as encoded for all hosts
- * @returns bytes of the answer
+ * @param sequence - sequence of the querying host's latest report in the totals
+ * @param totals - encoded totals
+ * @returns the answer to the querying host
  */
 export function frameLoadTotals (sequence: number, totals: Uint8Array): Buffer {
   const bytes = Buffer.allocUnsafe(SEQUENCE_BYTES + totals.length)
@@ -100,24 +100,24 @@
 }
 
 /**
- * @param bytes - of an answer
- * @param names - of the endpoints in earlier answers to the same host
- * @returns the totals
- * @throws if the bytes are no answer
+ * @param bytes - encoded answer
+ * @param names - cache of endpoint names, kept between answers to the same host
+ * @returns the decoded totals
+ * @throws if the bytes are not a valid answer
  */
 export function decodeLoadTotals (bytes: Buffer, names = new EndpointNameCache()): LoadTotals {
   const [work, links, limits] = totalsSchema.parse(decode(bytes.subarray(SEQUENCE_BYTES)))
-  return { sequence: bytes.readUInt32BE(0), work: toEndpointWork(work, names), links: toLinkWork(links), ...toLimits(limits) }
+  return { sequence: bytes.readUInt32BE(0), work: toEndpointLoads(work, names), links: toLinkLoads(links), ...toLimits(limits) }
 }
 
-/** Names in a table, read anew only when they change: the endpoints with work are mostly the same from one answer to the next. */
+/** Caches the parsed names of a table, because consecutive answers mostly list the same endpoints. */
 export class EndpointNameCache {
   #text = ''
   #names: readonly string[] = []
 
   /**
-   * @param text - as on the wire
-   * @returns the names
+   * @param text - encoded names
+   * @returns the decoded names
    */
   read (text: string): readonly string[] {
     if (text !== this.#text) {
@@ -129,65 +129,65 @@
 }
 
 function toEndpointTable (work: readonly EndpointLoad[]): Table {
-  const bytes = new Uint8Array(work.length * ENDPOINT_FIGURES * FIGURE_BYTES)
+  const bytes = new Uint8Array(work.length * ENDPOINT_FIGURE_COUNT * FIGURE_BYTES)
   const view = new DataView(bytes.buffer)
-  let at = 0
+  let offset = 0
   for (const entry of work) {
-    writeWork(view, at, entry)
-    at += ENDPOINT_FIGURES * FIGURE_BYTES
+    writeEndpointLoad(view, offset, entry)
+    offset += ENDPOINT_FIGURE_COUNT * FIGURE_BYTES
   }
   return [joinNames(work.map(entry => entry.endpoint)), bytes]
 }
 
-function writeWork (view: DataView, at: number, work: LoadFigures): void {
-  view.setUint16(at, toFigure(work.inFlight))
-  view.setUint16(at + 2, toFigure(work.pendingTokens / BLOCK_TOKENS))
-  view.setUint16(at + 4, toFigure(work.heldTokens / BLOCK_TOKENS))
-  view.setUint16(at + 6, toFigure(work.lastByteAgoMs))
-  view.setUint16(at + 8, toFigure(work.waitedMs))
-  view.setUint16(at + 10, toFigure(work.avoiders))
-  view.setUint16(at + 12, toFigure(work.unresponsive))
-  view.setUint16(at + 14, toFigure(work.outcomes))
-  view.setUint16(at + 16, toFigure(work.failures))
+function writeEndpointLoad (view: DataView, offset: number, work: LoadFigures): void {
+  view.setUint16(offset, toFigure(work.inFlight))
+  view.setUint16(offset + 2, toFigure(work.pendingTokens / BLOCK_TOKENS))
+  view.setUint16(offset + 4, toFigure(work.heldTokens / BLOCK_TOKENS))
+  view.setUint16(offset + 6, toFigure(work.lastByteAgoMs))
+  view.setUint16(offset + 8, toFigure(work.waitedMs))
+  view.setUint16(offset + 10, toFigure(work.avoiders))
+  view.setUint16(offset + 12, toFigure(work.unresponsive))
+  view.setUint16(offset + 14, toFigure(work.outcomes))
+  view.setUint16(offset + 16, toFigure(work.failures))
 }
 
-function readWork (view: DataView, at: number, endpoint: string): EndpointLoad {
+function readEndpointLoad (view: DataView, offset: number, endpoint: string): EndpointLoad {
   return {
     endpoint,
-    inFlight: view.getUint16(at),
-    pendingTokens: view.getUint16(at + 2) * BLOCK_TOKENS,
-    heldTokens: view.getUint16(at + 4) * BLOCK_TOKENS,
-    lastByteAgoMs: view.getUint16(at + 6),
-    waitedMs: view.getUint16(at + 8),
-    avoiders: view.getUint16(at + 10),
-    unresponsive: view.getUint16(at + 12),
-    outcomes: view.getUint16(at + 14),
-    failures: view.getUint16(at + 16)
+    inFlight: view.getUint16(offset),
+    pendingTokens: view.getUint16(offset + 2) * BLOCK_TOKENS,
+    heldTokens: view.getUint16(offset + 4) * BLOCK_TOKENS,
+    lastByteAgoMs: view.getUint16(offset + 6),
+    waitedMs: view.getUint16(offset + 8),
+    avoiders: view.getUint16(offset + 10),
+    unresponsive: view.getUint16(offset + 12),
+    outcomes: view.getUint16(offset + 14),
+    failures: view.getUint16(offset + 16)
   }
 }
 
 function toFigure (value: number): number {
-  return Math.min(LARGEST_FIGURE, Math.round(value))
+  return Math.min(MAX_FIGURE, Math.round(value))
 }
 
 function toLinkTable (links: readonly LinkLoad[]): Table {
   return toTable(links.map(entry => entry.link), links, LINK_FIGURES)
 }
 
-/** Nothing where nobody names a limit: hosts of earlier releases can read that. */
+/** Omits the table if there are no limits, so that hosts of earlier releases can decode the message. */
 function toLimitTables (limits: readonly EndpointRateLimit[] = []): Table[] {
   if (limits.length === 0) return []
-  const rows = limits.map(limit => ({ ...limit, requestsPerSecond: limit.requestsPerSecond ?? NO_RATE }))
+  const rows = limits.map(limit => ({ ...limit, requestsPerSecond: limit.requestsPerSecond ?? UNLIMITED_RATE }))
   return [toTable(limits.map(limit => limit.endpoint), rows, LIMIT_FIGURES)]
 }
 
-function toTable<Row extends { readonly [Name in keyof Row]: unknown }> (names: readonly string[], rows: readonly Row[], figures: Figures<Row>): Table {
+function toTable<Row extends { readonly [Name in keyof Row]: unknown }> (names: readonly string[], rows: readonly Row[], figures: FigureColumns<Row>): Table {
   const bytes = Buffer.allocUnsafe(rows.length * figures.length * FIGURE_BYTES)
-  let at = 0
+  let offset = 0
   for (const row of rows) {
     for (const [figure, unit] of figures) {
-      bytes.writeUInt16BE(toFigure(Number(row[figure]) / unit), at)
-      at += FIGURE_BYTES
+      bytes.writeUInt16BE(toFigure(Number(row[figure]) / unit), offset)
+      offset += FIGURE_BYTES
     }
   }
   return [joinNames(names), bytes]
@@ -207,15 +207,15 @@
   return name.replaceAll(ESCAPED_SEPARATOR, SEPARATOR).replaceAll(ESCAPED_ESCAPE, ESCAPE)
 }
 
-function toEndpointWork ([text, figures]: Table, names = new EndpointNameCache()): EndpointLoad[] {
+function toEndpointLoads ([text, figures]: Table, names = new EndpointNameCache()): EndpointLoad[] {
   if (text === '' && figures.length === 0) return []
-  const read = names.read(text)
-  const rowBytes = ENDPOINT_FIGURES * FIGURE_BYTES
-  const view = viewOf(figures, read.length, rowBytes)
-  return read.map((name, row) => readWork(view, row * rowBytes, name))
+  const endpoints = names.read(text)
+  const rowBytes = ENDPOINT_FIGURE_COUNT * FIGURE_BYTES
+  const view = createFigureView(figures, endpoints.length, rowBytes)
+  return endpoints.map((name, row) => readEndpointLoad(view, row * rowBytes, name))
 }
 
-function toLinkWork (table: Table): LinkLoad[] {
+function toLinkLoads (table: Table): LinkLoad[] {
   return readRows(table, LINK_FIGURES.length).map(({ name, figure }) => ({
     link: name,
     pendingBytes: figure(0) * LINK_BLOCK_BYTES,
@@ -230,7 +230,7 @@
   return {
     limits: readRows(table, LIMIT_FIGURES.length).map(({ name, figure }) => ({
       endpoint: name,
-      requestsPerSecond: figure(0) === LARGEST_FIGURE ? undefined : figure(0) * RATE_STEP,
+      requestsPerSecond: figure(0) === MAX_FIGURE ? undefined : figure(0) * RATE_STEP,
       statedAgoMs: figure(1)
     }))
   }
@@ -238,18 +238,18 @@
 
 interface TableRow {
   readonly name: string
-  /** @returns the whole number in a column */
+  /** @returns the integer in a column */
   figure (column: number): number
 }
 
 function readRows ([names, figures]: Table, columns: number): TableRow[] {
   const rowNames = names === '' ? [] : names.split(SEPARATOR).map(unescapeName)
   const rowBytes = columns * FIGURE_BYTES
-  const view = viewOf(figures, rowNames.length, rowBytes)
+  const view = createFigureView(figures, rowNames.length, rowBytes)
   return rowNames.map((name, row) => ({ name, figure: column => view.getUint16(row * rowBytes + column * FIGURE_BYTES) }))
 }
 
-function viewOf (figures: Uint8Array, rows: number, rowBytes: number): DataView {
-  if (figures.length !== rows * rowBytes) throw new RangeError(`${rows} endpoints or links have ${figures.length} bytes of figures`)
+function createFigureView (figures: Uint8Array, rows: number, rowBytes: number): DataView {
+  if (figures.length !== rows * rowBytes) throw new RangeError(`${rows} endpoints or links do not match a table of ${figures.length} bytes`)
   return new DataView(figures.buffer, figures.byteOffset, figures.length)
 }
--- a/packages/routing/src/lib/load/loadReport.ts
+++ b/packages/routing/src/lib/load/loadReport.ts
@@ -1,69 +1,69 @@
-/** What entry hosts tell of the work that they have under way at endpoints. */
+/** The load that entry hosts have at endpoints, as they report it. */
 import type { RateLimitStatement } from '../endpoints/StatedRateLimit.js'
 import type { LinkLoad } from './linkLoad.js'
 
-/** Work of one or all hosts at one endpoint, and what they have seen of it. */
+/** Load of one or all hosts at one endpoint, with their observations of it. */
 export interface EndpointLoad extends EndpointObservations {
-  /** Incarnation, so that work at a former one is not added to that at the present one. */
+  /** Incarnation, so that load at a previous incarnation is not added to that at the current one. */
   readonly endpoint: string
-  /** Requests sent and not answered whole. */
+  /** Requests that were sent and not answered completely. */
   readonly inFlight: number
-  /** Prompt tokens to be read before the first events of those requests. */
+  /** Prompt tokens to be prefilled before the first events of the requests in flight. */
   readonly pendingTokens: number
-  /** Tokens that those requests hold, or will hold, in the endpoint's memory. */
+  /** Tokens that the requests in flight hold, or will hold, in the endpoint's memory. */
   readonly heldTokens: number
 }
 
-/** What requests have shown of an endpoint. */
+/** Observations of an endpoint, made by the requests sent to it. */
 export interface EndpointObservations {
-  /** Milliseconds since any byte came from it; over all hosts the least. */
+  /** Milliseconds since any byte arrived from the endpoint; the minimum over all hosts. */
   readonly lastByteAgoMs: number
-  /** Milliseconds for which it has had work without a break; over all hosts the most. */
+  /** Milliseconds for which the endpoint has had requests without interruption; the maximum over all hosts. */
   readonly waitedMs: number
-  /** Hosts that could not reach it, or got no answer, and give it no work for now. */
+  /** Number of hosts that currently send the endpoint no requests, because they could not reach it or got no answer. */
   readonly avoiders: number
-  /** 1 if it answers nobody, not even the host that adds up; of totals only. */
+  /** 1 if the endpoint responds to no host and fails the probes of the aggregating host. Set in totals only. */
   readonly unresponsive: number
-  /** Requests that ended there lately; older ones count less. */
+  /** Decaying count of requests that ended at the endpoint. */
   readonly outcomes: number
-  /** Of those, the ones that failed. */
+  /** Decaying count of requests that failed at the endpoint. */
   readonly failures: number
 }
 
-/** Work without its endpoint's name. */
+/** Load without the name of its endpoint. */
 export type LoadFigures = Omit<EndpointLoad, 'endpoint'>
 
-/** Milliseconds beyond which it does not matter how long ago something was. */
+/** Largest age that is reported, in milliseconds; older events are all the same. */
 export const MAX_REPORTED_AGE_MS = 60_000
 
-/** An endpoint without work of which nothing was seen. */
+/** Figures of an endpoint without load or observations. */
 export const NO_ENDPOINT_LOAD: LoadFigures = {
   inFlight: 0, pendingTokens: 0, heldTokens: 0, lastByteAgoMs: MAX_REPORTED_AGE_MS, waitedMs: 0, avoiders: 0, unresponsive: 0, outcomes: 0, failures: 0
 }
 
-/** What an endpoint said last of the rate that it takes. */
+/** Latest rate limit that an endpoint has stated. */
 export interface EndpointRateLimit extends RateLimitStatement {
   /** Incarnation. */
   readonly endpoint: string
 }
 
-/** One host's own work. */
+/** Load of one host. */
 export interface LoadReport {
   readonly host: string
-  /** Rises with each report. */
+  /** Increases with each report. */
   readonly sequence: number
   readonly work: readonly EndpointLoad[]
   readonly links: readonly LinkLoad[]
-  /** What the host has read of late; absent if it has read of no limit. */
+  /** Rate limits that the host has read recently; absent if there are none. */
   readonly limits?: readonly EndpointRateLimit[]
 }
 
-/** Work of all hosts, as it is answered to one of them. */
+/** Load of all hosts, as returned to one of them. */
 export interface LoadTotals {
-  /** The report of the asking host that the work includes. */
+  /** Sequence of the latest report of the querying host that the totals include. */
   readonly sequence: number
   readonly work: readonly EndpointLoad[]
   readonly links: readonly LinkLoad[]
-  /** Newest statements that any host has read; absent if there are none. */
+  /** Latest rate limits that any host has read; absent if there are none. */
   readonly limits?: readonly EndpointRateLimit[]
 }
--- a/packages/routing/src/lib/mechanisms/mechanisms.ts
+++ b/packages/routing/src/lib/mechanisms/mechanisms.ts
@@ -1,10 +1,9 @@
 /**
- * The mechanisms that decide where requests go, as one object that is put together at the
- * start of a program.
+ * Composes the routing mechanisms into one object at program start.
  *
- * A mechanism is worth its code only while leaving it out costs something. Experiments name
- * the ones to leave out, and each is then replaced by one that does nothing; no decision
- * asks whether it is there.
+ * A mechanism justifies its code only as long as disabling it costs something. Ablation
+ * experiments name the mechanisms to disable. Each of these is replaced by an implementation that
+ * does nothing, so that no routing decision checks whether a mechanism is enabled.
  */
 import { z } from 'zod'
 import { ADMISSION_LIMITS, type AdmissionLimits } from '../admission/admitStream.js'
@@ -17,38 +16,38 @@
 import type { LinkSpeedChange } from '../stores/LinkSpeeds.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 
-/** Mechanisms that can be left out. */
+/** Mechanisms that can be disabled. */
 export const mechanismSchema = z.enum([
-  /** Agreed homes of shared parts. */
+  /** Home endpoints of shared prompt parts. */
   'homes',
-  /** Fetches from stores. */
+  /** Fetches of prompt parts from stores. */
   'store-fetches',
-  /** Learning how fast stores' links are, and counting the transfers of all hosts. */
+  /** Estimates of the speed of store links, and the transfers of all hosts over them. */
   'link-speeds',
-  /** Learning what engines take. */
+  /** Estimates of the time that engines take. */
   'engine-times',
-  /** Learning which engines and routes are slower than estimated. */
+  /** Correction for engines and routes that are slower than estimated. */
   'slowness',
-  /** Counting the work of other hosts. */
+  /** Load of the other hosts. */
   'others-work',
-  /** Keeping away from endpoints that other hosts find silent, out of reach or failing. */
+  /** Avoiding endpoints that other hosts observe to be silent, unreachable or failing. */
   'shared-observations',
-  /** Holding large requests back while no engine has memory. */
+  /** Delaying large requests while no engine has free memory. */
   'memory-limit',
-  /** Holding long reads back while their engine reads others. */
+  /** Delaying long prefills while their engine prefills others. */
   'read-ahead',
-  /** Late long requests giving way to others. */
+  /** Deferring long requests that are already late in favour of others. */
   'late-deferral',
-  /** Ranks at engines. */
+  /** Scheduling ranks of requests at engines. */
   'ranks',
-  /** Requests waiting for the site at a host that has just started. */
+  /** Queueing requests at a host that has just started until it has a site. */
   'startup-queue'
 ])
 
-/** A mechanism that can be left out. */
+/** Name of a mechanism that can be disabled. */
 export type Mechanism = z.infer<typeof mechanismSchema>
 
-/** What differs when mechanisms are left out. */
+/** Implementations that depend on the enabled mechanisms. */
 export interface RoutingMechanisms {
   readonly homeEndpoint: typeof homeEndpoint | (() => undefined)
   readonly engineRank: typeof engineRank
@@ -62,52 +61,52 @@
 }
 
 /**
- * @param leftOut - mechanisms that do nothing; none in service
+ * @param disabled - mechanisms to disable; none in production
  */
-export function composeMechanisms (leftOut: ReadonlySet<Mechanism> = new Set()): RoutingMechanisms {
-  const has = (mechanism: Mechanism): boolean => !leftOut.has(mechanism)
+export function composeMechanisms (disabled: ReadonlySet<Mechanism> = new Set()): RoutingMechanisms {
+  const isEnabled = (mechanism: Mechanism): boolean => !disabled.has(mechanism)
   return {
-    homeEndpoint: has('homes') ? homeEndpoint : () => undefined,
-    engineRank: has('ranks') ? engineRank : () => 0,
+    homeEndpoint: isEnabled('homes') ? homeEndpoint : () => undefined,
+    engineRank: isEnabled('ranks') ? engineRank : () => 0,
     admission: {
       ...ADMISSION_LIMITS,
-      ...(has('memory-limit') ? {} : { memoryShare: Number.POSITIVE_INFINITY }),
-      ...(has('read-ahead') ? {} : { tokensAhead: Number.POSITIVE_INFINITY }),
-      ...(has('late-deferral') ? {} : { lateTokensAhead: Number.POSITIVE_INFINITY, lateMemoryShare: Number.POSITIVE_INFINITY })
+      ...(isEnabled('memory-limit') ? {} : { memoryShare: Number.POSITIVE_INFINITY }),
+      ...(isEnabled('read-ahead') ? {} : { tokensAhead: Number.POSITIVE_INFINITY }),
+      ...(isEnabled('late-deferral') ? {} : { lateTokensAhead: Number.POSITIVE_INFINITY, lateMemoryShare: Number.POSITIVE_INFINITY })
     },
-    usesStores: has('store-fetches'),
-    waitsForSite: has('startup-queue'),
-    peerLoad: has('others-work') && has('shared-observations') ? new PeerLoad() : new PartOfOthersWork(has('others-work'), has('shared-observations')),
-    createEngineModel: () => has('engine-times') ? new EngineModel() : new AssumedEngineModel(),
-    createSlownessEstimator: () => has('slowness') ? new Slowness() : new EvenSlowness(),
-    createStoreLinks: liveHosts => has('link-speeds') ? new StoreLinks(liveHosts) : new StatedStoreLinks(liveHosts)
+    usesStores: isEnabled('store-fetches'),
+    waitsForSite: isEnabled('startup-queue'),
+    peerLoad: isEnabled('others-work') && isEnabled('shared-observations') ? new PeerLoad() : new PartialPeerLoad(isEnabled('others-work'), isEnabled('shared-observations')),
+    createEngineModel: () => isEnabled('engine-times') ? new EngineModel() : new FixedEngineModel(),
+    createSlownessEstimator: () => isEnabled('slowness') ? new Slowness() : new FixedSlowness(),
+    createStoreLinks: liveHosts => isEnabled('link-speeds') ? new StoreLinks(liveHosts) : new ConfiguredStoreLinks(liveHosts)
   }
 }
 
-/** Engines that take what is assumed of them. */
-class AssumedEngineModel extends EngineModel {
+/** Keeps the initial assumptions about an engine. */
+class FixedEngineModel extends EngineModel {
   override observe (): void {}
 }
 
-/** Endpoints that are all as fast as estimated. */
-class EvenSlowness extends Slowness {
+/** Treats all endpoints as being as fast as estimated. */
+class FixedSlowness extends Slowness {
   override observe (): void {}
 }
 
-/** Links that are as fast as the site states, with this host's transfers only. */
-class StatedStoreLinks extends StoreLinks {
+/** Uses the link speeds that the site states, and only this host's transfers. */
+class ConfiguredStoreLinks extends StoreLinks {
   override observe (): void {}
   override observePeers (): LinkSpeedChange[] { return [] }
 }
 
-/** What other hosts tell, without their work or without what they see. */
-class PartOfOthersWork extends PeerLoad {
-  constructor (private readonly hasWork: boolean, private readonly hasObservations: boolean) {
+/** Load of other hosts, without their requests or without their observations. */
+class PartialPeerLoad extends PeerLoad {
+  constructor (private readonly includesLoad: boolean, private readonly includesObservations: boolean) {
     super()
   }
 
   override forEndpoint (endpoint: string): LoadFigures {
     const { inFlight, pendingTokens, heldTokens, ...observations } = super.forEndpoint(endpoint)
-    return { ...NO_ENDPOINT_LOAD, ...(this.hasWork ? { inFlight, pendingTokens, heldTokens } : {}), ...(this.hasObservations ? observations : {}) }
+    return { ...NO_ENDPOINT_LOAD, ...(this.includesLoad ? { inFlight, pendingTokens, heldTokens } : {}), ...(this.includesObservations ? observations : {}) }
   }
 }
--- a/packages/routing/src/lib/prompts/OutdatedWeightsDeadlines.ts
+++ b/packages/routing/src/lib/prompts/OutdatedWeightsDeadlines.ts
@@ -1,67 +1,67 @@
 /**
- * How long requests may still begin on older weights than the named ones.
+ * Deadlines after which no request may begin on weights that are older than the desired version.
  *
- * Answers a rollout that can't be finished in time, because engines crash or their runs
- * last: requests fall back to engines with older weights while none with the named ones can
- * take them. Beyond the agreed time that would be worth nothing to anybody, so they are told to
- * come back instead.
+ * They limit rollouts that can't finish in time because engines crash or have long runs. While no
+ * engine with the desired version can take a request, it falls back to an engine with older
+ * weights. After the agreed time the output of older weights has no value, so such requests are
+ * rejected and asked to retry later.
  */
 
-/** Weights that a model should run. */
-interface NamedVersion {
+/** Version of the weights that a model is to run. */
+interface DesiredVersion {
   readonly model: string
   readonly version: number
 }
 
-interface Naming {
+interface VersionDeadline {
   readonly version: number
-  /** Monotonic milliseconds from which no request may begin on older ones. */
+  /** Monotonic milliseconds from which no request may begin on older weights. */
   readonly endsAt: number
 }
 
-/** Time by which a host stops before the agreed time, in milliseconds: it hears of weights some tenths of a second after they were acknowledged, and requests wait at engines. */
-const MARGIN_MS = 700
+/** Time by which a host stops before the agreed time, in milliseconds. It learns of new weights some tenths of a second after they were acknowledged, and requests also wait at engines. */
+const SAFETY_MARGIN_MS = 700
 
-/** Share of the agreed time that a host grants which finds weights named when it starts: they may have been named long ago. */
-const FOUND_SHARE = 0.5
+/** Share of the agreed time that a host grants for versions that it finds at startup, because they may have been desired for long already. */
+const STARTUP_SHARE = 0.5
 
-/** Namings kept of a model: an engine that is further behind is bounded by the oldest of these. */
-const MOST_NAMINGS = 20
+/** Number of deadlines kept for a model. An engine that is further behind is subject to the oldest of them. */
+const MAX_DEADLINES_PER_MODEL = 20
 
-/** First weights of a model: there are no older ones. */
+/** First version of a model's weights; there are no older ones. */
 const FIRST_VERSION = 1
 
-/** What one host has heard named. */
+/** Tracks the desired versions that one host has observed. */
 export class OutdatedWeightsDeadlines {
-  /** In order of their versions. */
-  readonly #namings = new Map<string, Naming[]>()
+  /** By model, in ascending order of version. */
+  readonly #deadlines = new Map<string, VersionDeadline[]>()
   #hasObserved = false
 
-  /** @param boundMs - time after which no request may begin on older weights; infinite if nobody bounds it */
+  /** @param boundMs - time after which no request may begin on older weights; infinite if there is no bound */
   constructor (private readonly boundMs: number) {}
 
   /**
-   * @param named - all that is named now
+   * @param desired - all versions that are desired now
    * @param now - monotonic milliseconds
    */
-  observe (named: readonly NamedVersion[], now: number): void {
-    const grantedMs = this.boundMs * (this.#hasObserved ? 1 : FOUND_SHARE) - MARGIN_MS
+  observe (desired: readonly DesiredVersion[], now: number): void {
+    const grantedMs = this.boundMs * (this.#hasObserved ? 1 : STARTUP_SHARE) - SAFETY_MARGIN_MS
     this.#hasObserved = true
-    for (const { model, version } of named) {
-      const namings = this.#namings.get(model) ?? []
-      if (version === FIRST_VERSION || (namings.at(-1)?.version ?? 0) >= version) continue
-      this.#namings.set(model, [...namings, { version, endsAt: now + Math.max(0, grantedMs) }].slice(-MOST_NAMINGS))
+    for (const { model, version } of desired) {
+      const deadlines = this.#deadlines.get(model) ?? []
+      if (version === FIRST_VERSION || (deadlines.at(-1)?.version ?? 0) >= version) continue
+      this.#deadlines.set(model, [...deadlines, { version, endsAt: now + Math.max(0, grantedMs) }].slice(-MAX_DEADLINES_PER_MODEL))
     }
   }
 
   /**
    * @param model - model of a request
-   * @param held - version that an engine holds
+   * @param loadedVersion - version that an engine has loaded
    * @param now - monotonic milliseconds
-   * @returns milliseconds within which it may begin there; later weights don't prolong what earlier ones have ended
+   * @returns milliseconds for which requests may still begin on that engine; a later version doesn't extend the deadline set by an earlier one
    */
-  remainingMs (model: string, held: number, now: number): number {
-    const next = this.#namings.get(model)?.find(({ version }) => version > held)
+  remainingMs (model: string, loadedVersion: number, now: number): number {
+    const next = this.#deadlines.get(model)?.find(({ version }) => version > loadedVersion)
     return next === undefined ? Number.POSITIVE_INFINITY : Math.max(0, next.endsAt - now)
   }
 }
--- a/packages/routing/src/lib/prompts/homeEndpoint.ts
+++ b/packages/routing/src/lib/prompts/homeEndpoint.ts
@@ -1,17 +1,17 @@
-/** A stable home among endpoints for each shared prompt part, found by every host alike without asking. */
+/** Chooses a stable home endpoint for each shared prompt part. All hosts compute the same home without communication. */
 import { crc32 } from 'node:zlib'
 
-/** Names whose checksums are kept; endpoints that are gone are forgotten with all others once there are more. */
-const KEPT_CHECKSUMS = 10_000
+/** Maximum number of cached checksums. The cache is cleared when it is full, which also drops endpoints that no longer exist. */
+const MAX_CACHED_CHECKSUMS = 10_000
 
 const checksums = new Map<string, number>()
 
 /**
- * Rendezvous hashing: few parts move when endpoints come and go.
+ * Selects an endpoint by rendezvous hashing, so that few parts move when endpoints are added or removed.
  *
  * @param part - id of a shared part
  * @param endpoints - ids of candidates
- * @returns the candidate with the highest weight, or undefined if there is none
+ * @returns the candidate with the highest weight, or undefined if there are no candidates
  */
 export function homeEndpoint (part: string, endpoints: readonly string[]): string | undefined {
   const seed = crc32(part)
@@ -27,21 +27,21 @@
   return best
 }
 
-/** Kept because every choice asks for those of all endpoints. */
+/** Returns a cached checksum, because every choice needs the checksums of all endpoints. */
 function checksumOf (endpoint: string): number {
-  const present = checksums.get(endpoint)
-  if (present !== undefined) return present
-  if (checksums.size >= KEPT_CHECKSUMS) checksums.clear()
+  const cached = checksums.get(endpoint)
+  if (cached !== undefined) return cached
+  if (checksums.size >= MAX_CACHED_CHECKSUMS) checksums.clear()
   const checksum = crc32(endpoint)
   checksums.set(endpoint, checksum)
   return checksum
 }
 
 /**
- * Finalizer of MurmurHash3: a checksum alone is linear, and its order would hardly change from part to part.
+ * Finalizer of MurmurHash3. A CRC alone is linear, so the order of the endpoints would hardly differ between parts.
  *
  * @param value - 32-bit number
- * @returns a 32-bit number without sign
+ * @returns an unsigned 32-bit number
  */
 export function mix32 (value: number): number {
   let mixed = value ^ (value >>> 16)
--- a/packages/routing/src/lib/prompts/promptDescription.ts
+++ b/packages/routing/src/lib/prompts/promptDescription.ts
@@ -1,25 +1,25 @@
-/** What a request states of its prompt. */
+/** Description of a prompt, as stated by its request. */
 
-/** A run of tokens that several prompts may begin with; parts follow each other in a chain. */
+/** A sequence of tokens that several prompts may share as part of their prefix. Parts form a chain. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: number
 }
 
-/** A prompt as a chain of parts. The last one belongs to the request or its session alone. */
+/** A prompt as a chain of parts. The last part belongs to the request or its session alone. */
 export interface PromptDescription {
   readonly model: string
   readonly promptTokens: number
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens in the answer. */
   readonly outputTokens: number
   readonly parts: readonly PromptPart[]
 }
 
 /**
- * The part that says which prompts belong together: the last one that is shared.
+ * Returns the last shared part of a prompt. Prompts with the same last shared part belong together.
  *
- * @param prompt - a prompt
- * @returns its id, or undefined if nothing is shared
+ * @param prompt - description of the prompt
+ * @returns the part, or undefined if nothing is shared
  */
 export function sharedPartOf (prompt: PromptDescription): PromptPart | undefined {
   return prompt.parts.at(-2)
--- a/packages/routing/src/lib/quarantine/CrashCorrelator.test.ts
+++ b/packages/routing/src/lib/quarantine/CrashCorrelator.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { QuarantineState } from '@eelgrassmux/schema/quarantineEntry'
-import { CrashCorrelator, type AgreedQuarantine, type KnownEntry } from './CrashCorrelator.js'
+import { CrashCorrelator, type CommittedQuarantine, type KnownEntry } from './CrashCorrelator.js'
 import { EVIDENCE_LIFETIME_MS, FIRST_QUARANTINE_MS } from './quarantineDurations.js'
 
 const POISON = 'd'.repeat(32)
@@ -12,15 +12,15 @@
 /** Time for which a request is suspected before it may be quarantined. */
 const HEARD_MS = 700
 
-/** Ends of endpoints as hosts report them, and what is agreed. */
+/** Ends of endpoints as hosts report them, and what is committed. */
 class Reports {
   readonly correlator = new CrashCorrelator()
   readonly #entries = new Map<string, KnownEntry>()
-  readonly agreed: AgreedQuarantine
+  readonly committed: CommittedQuarantine
 
   constructor () {
     const entries = this.#entries
-    this.agreed = { get all () { return [...entries.values()] }, find: fingerprint => entries.get(fingerprint) }
+    this.committed = { get all () { return [...entries.values()] }, find: fingerprint => entries.get(fingerprint) }
   }
 
   agree (fingerprint: string, state: QuarantineState, quarantines = 0): void {
@@ -37,13 +37,13 @@
   }
 
   settleAll (now: number): void {
-    for (const endpoint of this.correlator.unconfirmedCrashes(this.agreed)) this.correlator.recordCrashCheck(endpoint, true, now)
+    for (const endpoint of this.correlator.unconfirmedCrashes(this.committed)) this.correlator.recordCrashCheck(endpoint, true, now)
   }
 
-  /** All uncertain endpoints turn out to have ended, and what follows is agreed at once. */
+  /** All uncertain endpoints turn out to have ended, and what follows is committed at once. */
   decide (now: number): Array<[string, string]> {
     this.settleAll(now)
-    return this.correlator.decide(this.agreed, now).map(({ fingerprint, decision }) => {
+    return this.correlator.decide(this.committed, now).map(({ fingerprint, decision }) => {
       this.agree(fingerprint, decision === 'quarantine' ? 'quarantined' : 'suspected')
       return [fingerprint, decision]
     })
@@ -148,7 +148,7 @@
     it('do not count at all if only connections to them broke', () => {
       const reports = new Reports()
       for (const end of [1, 2, 3]) reports.end(`e${end}`, end * 1000, [POISON])
-      for (const endpoint of reports.correlator.unconfirmedCrashes(reports.agreed)) reports.correlator.recordCrashCheck(endpoint, false, 3100)
+      for (const endpoint of reports.correlator.unconfirmedCrashes(reports.committed)) reports.correlator.recordCrashCheck(endpoint, false, 3100)
       expect(reports.decide(4000)).toEqual([])
       // Told again by a host that still holds it.
       reports.correlator.observe({ fingerprint: POISON, service: 's', endpoint: 'e1', agoMs: 3500, ranMs: 100 }, 4500)
@@ -158,9 +158,9 @@
     it('are asked only where it matters', () => {
       const reports = new Reports()
       for (const end of [1, 2, 3]) reports.end(`e${end}`, end * 1000, [bystander(end), bystander(end + 10)])
-      expect(reports.correlator.unconfirmedCrashes(reports.agreed)).toEqual([])
+      expect(reports.correlator.unconfirmedCrashes(reports.committed)).toEqual([])
       reports.end('e4', 4000, [bystander(1)])
-      expect(reports.correlator.unconfirmedCrashes(reports.agreed)).toEqual(['e1', 'e4'])
+      expect(reports.correlator.unconfirmedCrashes(reports.committed)).toEqual(['e1', 'e4'])
     })
   })
 
@@ -170,7 +170,7 @@
       reports.agree(POISON, 'released', 1)
       reports.end('e1', 1000, [POISON, bystander(1)])
       reports.settleAll(1000)
-      expect(reports.correlator.decide(reports.agreed, 1000 + SETTLED_MS)).toMatchObject([{ fingerprint: POISON, decision: 'quarantine', forMs: 2 * FIRST_QUARANTINE_MS }])
+      expect(reports.correlator.decide(reports.committed, 1000 + SETTLED_MS)).toMatchObject([{ fingerprint: POISON, decision: 'quarantine', forMs: 2 * FIRST_QUARANTINE_MS }])
     })
   })
 
--- a/packages/routing/src/lib/quarantine/CrashEvidence.ts
+++ b/packages/routing/src/lib/quarantine/CrashEvidence.ts
@@ -1,40 +1,40 @@
-/** What one entry host holds of requests that were lost with an endpoint, until it counts no more. */
+/** Requests of one entry host that were lost with an endpoint, kept until they expire as evidence. */
 import { MAX_REPORTS_PER_HOST, type CrashReport } from './crashReport.js'
 import { EVIDENCE_LIFETIME_MS } from './quarantineDurations.js'
 
 /** A request that was lost with its endpoint. */
 export type LostRequest = Omit<CrashReport, 'agoMs'>
 
-interface HeldRun extends LostRequest {
+interface HeldLoss extends LostRequest {
   readonly at: number
 }
 
-/** Bounded; the oldest go first. */
+/** Bounded list of lost requests; the oldest are evicted first. */
 export class CrashEvidence {
-  #held: HeldRun[] = []
+  #losses: HeldLoss[] = []
 
-  get size (): number { return this.#held.length }
+  get size (): number { return this.#losses.length }
 
   /**
-   * @param run - what was lost
+   * @param loss - request that was lost
    * @param now - monotonic milliseconds
    */
-  record (run: LostRequest, now: number): void {
-    this.#held = this.#held.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS)
-    this.#held.push({ ...run, at: now })
-    if (this.#held.length > MAX_REPORTS_PER_HOST) this.#held.shift()
+  record (loss: LostRequest, now: number): void {
+    this.#losses = this.#losses.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS)
+    this.#losses.push({ ...loss, at: now })
+    if (this.#losses.length > MAX_REPORTS_PER_HOST) this.#losses.shift()
   }
 
-  /** @param fingerprint - of a request that completed: it was only there */
+  /** @param fingerprint - fingerprint of a request that completed, and so did not cause the crash */
   forget (fingerprint: string): void {
-    this.#held = this.#held.filter(held => held.fingerprint !== fingerprint)
+    this.#losses = this.#losses.filter(loss => loss.fingerprint !== fingerprint)
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns all that still counts
+   * @returns reports of all losses that still count as evidence
    */
   reports (now: number): CrashReport[] {
-    return this.#held.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS).map(({ at, ...run }) => ({ ...run, agoMs: now - at }))
+    return this.#losses.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS).map(({ at, ...loss }) => ({ ...loss, agoMs: now - at }))
   }
 }
--- a/packages/routing/src/lib/quarantine/QuarantineTable.ts
+++ b/packages/routing/src/lib/quarantine/QuarantineTable.ts
@@ -1,48 +1,48 @@
-/** The quarantine as an entry host knows it. */
+/** The quarantine as known to an entry host. */
 import type { QuarantineEntryMessage } from '@eelgrassmux/schema/quarantineEntry'
 
-/** An entry with its end on this host's clock. */
+/** An entry that ends by this host's clock. */
 export interface LocalQuarantineEntry extends Omit<QuarantineEntryMessage, 'leftMs'> {
   /** Monotonic milliseconds. */
   readonly endsAt: number
 }
 
-/** What a view says about the quarantine. */
+/** Changes of the quarantine in a view. */
 export interface QuarantineTableChanges {
-  /** New or changed ones, or all of them. */
+  /** New and changed entries, or all entries. */
   readonly quarantine: readonly QuarantineEntryMessage[]
-  /** Fingerprints of requests that are not in it any more. */
+  /** Fingerprints of requests that are no longer in the quarantine. */
   readonly quarantineRemoved: readonly string[]
 }
 
-/** Follows the views. */
+/** Quarantine entries, kept up to date from the views. */
 export class QuarantineTable {
-  #held = new Map<string, LocalQuarantineEntry>()
+  #entries = new Map<string, LocalQuarantineEntry>()
 
-  /** Whether no request has to be identified. */
-  get isEmpty (): boolean { return this.#held.size === 0 }
-  get all (): readonly LocalQuarantineEntry[] { return [...this.#held.values()] }
+  /** Whether there are no entries, so that requests need no fingerprint. */
+  get isEmpty (): boolean { return this.#entries.size === 0 }
+  get all (): readonly LocalQuarantineEntry[] { return [...this.#entries.values()] }
 
-  /** @param fingerprint - of a request */
+  /** @param fingerprint - fingerprint of a request */
   find (fingerprint: string): LocalQuarantineEntry | undefined {
-    return this.#held.get(fingerprint)
+    return this.#entries.get(fingerprint)
   }
 
   /**
-   * @param told - all entries
+   * @param entries - all entries
    * @param now - monotonic milliseconds
    */
-  replace (told: readonly QuarantineEntryMessage[], now: number): void {
-    this.#held = new Map()
-    this.applyChanges({ quarantine: told, quarantineRemoved: [] }, now)
+  replace (entries: readonly QuarantineEntryMessage[], now: number): void {
+    this.#entries = new Map()
+    this.applyChanges({ quarantine: entries, quarantineRemoved: [] }, now)
   }
 
   /**
-   * @param changes - since the last view
+   * @param changes - changes since the last view
    * @param now - monotonic milliseconds
    */
   applyChanges ({ quarantine, quarantineRemoved }: QuarantineTableChanges, now: number): void {
-    for (const fingerprint of quarantineRemoved) this.#held.delete(fingerprint)
-    for (const { leftMs, ...entry } of quarantine) this.#held.set(entry.fingerprint, { ...entry, endsAt: now + leftMs })
+    for (const fingerprint of quarantineRemoved) this.#entries.delete(fingerprint)
+    for (const { leftMs, ...entry } of quarantine) this.#entries.set(entry.fingerprint, { ...entry, endsAt: now + leftMs })
   }
 }
--- a/packages/routing/src/lib/quarantine/configuredIncarnationName.ts
+++ b/packages/routing/src/lib/quarantine/configuredIncarnationName.ts
@@ -1,24 +1,24 @@
-/** Names of incarnations of endpoints that the configuration names and that count their starts themselves. */
+/** Names for incarnations of configured endpoints, which count their own starts. */
 
 const SEPARATOR = '#'
-const NAME = new RegExp(`^(.+)${SEPARATOR}(\\d+)$`)
+const NAME_PATTERN = new RegExp(`^(.+)${SEPARATOR}(\\d+)$`)
 
-/** One incarnation. */
+/** One incarnation of a configured endpoint. */
 export interface ConfiguredIncarnation {
   readonly endpoint: string
   readonly incarnation: number
 }
 
-/** @returns a name that {@link parseConfiguredIncarnation} reads */
+/** @returns a name that {@link parseConfiguredIncarnation} can parse */
 export function configuredIncarnationName ({ endpoint, incarnation }: ConfiguredIncarnation): string {
   return `${endpoint}${SEPARATOR}${incarnation}`
 }
 
 /**
- * @param name - of an incarnation
- * @returns what it names; undefined if it is no such name
+ * @param name - name of an incarnation
+ * @returns the incarnation; undefined if the name has another format
  */
 export function parseConfiguredIncarnation (name: string): ConfiguredIncarnation | undefined {
-  const [, endpoint, incarnation] = NAME.exec(name) ?? []
+  const [, endpoint, incarnation] = NAME_PATTERN.exec(name) ?? []
   return endpoint === undefined || incarnation === undefined ? undefined : { endpoint, incarnation: Number(incarnation) }
 }
--- a/packages/routing/src/lib/quarantine/crashReport.ts
+++ b/packages/routing/src/lib/quarantine/crashReport.ts
@@ -1,13 +1,13 @@
-/** What entry hosts tell of requests that were under way at an endpoint when their connection to it broke. */
+/** Reports of entry hosts about requests that were in flight at an endpoint when the connection to it broke. */
 import { z } from 'zod'
 import { fingerprintSchema } from '@eelgrassmux/schema/quarantineEntry'
 
-const LONGEST_NAME = 256
+const MAX_NAME_LENGTH = 256
 
-const nameSchema = z.string().min(1).max(LONGEST_NAME)
+const nameSchema = z.string().min(1).max(MAX_NAME_LENGTH)
 const timeSchema = z.number().min(0)
 
-/** Reports that one host holds at most, the newest ones: two endpoints full of its requests. */
+/** Maximum number of reports that one host keeps, the newest ones: as many as its requests at two full endpoints. */
 export const MAX_REPORTS_PER_HOST = 256
 
 export const crashReportSchema = z.strictObject({
@@ -17,9 +17,9 @@
   endpoint: nameSchema,
   /** Milliseconds since the connection broke. */
   agoMs: timeSchema,
-  /** Milliseconds for which the endpoint had had the request by then. */
+  /** Milliseconds between the start of the request at the endpoint and the broken connection. */
   ranMs: timeSchema
 })
 
-/** One request that was lost with one endpoint. */
+/** Report of one request that was lost with one endpoint. */
 export type CrashReport = z.infer<typeof crashReportSchema>
--- a/packages/routing/src/lib/site/RouteTable.ts
+++ b/packages/routing/src/lib/site/RouteTable.ts
@@ -1,11 +1,11 @@
-/** Finds the route of a request by host and longest path prefix. */
+/** Finds the route of a request by its host and longest path prefix. */
 import type { Route, Site } from '@eelgrassmux/schema/site/siteSchema'
 
-/** Routes of one site. Every prefix ends with a slash, so only the slashes of a path need to be looked at. */
+/** Routes of one site. Every prefix ends with a slash, so a lookup only tries the prefixes that end at a slash of the path. */
 export class RouteTable {
   readonly #byHost = new Map<string, Map<string, Route>>()
 
-  /** @param site - site in force */
+  /** @param site - active site */
   constructor (site: Pick<Site, 'routes'>) {
     for (const route of site.routes) {
       const host = route.host.toLowerCase()
@@ -16,8 +16,8 @@
   }
 
   /**
-   * @param host - from the request; a port is ignored
-   * @param target - path with its query
+   * @param host - host of the request; a port is ignored
+   * @param target - path with query
    * @returns the route with the longest prefix of the path, or undefined
    */
   find (host: string, target: string): Route | undefined {
--- a/packages/routing/src/lib/site/SiteIndex.ts
+++ b/packages/routing/src/lib/site/SiteIndex.ts
@@ -1,8 +1,8 @@
-/** Look-ups over one site, built once for each version. */
+/** Index of a site, built once for each version. */
 import type { ReplicatedService, Route, Site, SiteCustomer, StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import { RouteTable } from './RouteTable.js'
 
-/** Immutable index of a site. */
+/** Immutable lookup tables of a site. */
 export class SiteIndex {
   readonly routes: RouteTable
   readonly services = new Map<string, ReplicatedService>()
@@ -11,7 +11,7 @@
   readonly needsKeys: boolean
   readonly #customersByKey = new Map<string, SiteCustomer>()
 
-  /** @param site - checked site */
+  /** @param site - validated site */
   constructor (readonly site: Site) {
     this.routes = new RouteTable(site)
     for (const service of site.services) {
@@ -25,15 +25,15 @@
   }
 
   /**
-   * @param key - as the caller sent it
-   * @returns who holds it, or undefined
+   * @param key - key sent by the caller
+   * @returns the customer that owns the key, or undefined
    */
   customerByKey (key: string): SiteCustomer | undefined {
     return this.#customersByKey.get(key)
   }
 
   /**
-   * Draws the service of one request by the weights of its route.
+   * Selects the service of a request at random by the weights of its route.
    *
    * @param route - route of the request
    * @param random - number in [0, 1)
--- a/packages/routing/src/lib/stores/LinkSpeed.ts
+++ b/packages/routing/src/lib/stores/LinkSpeed.ts
@@ -1,40 +1,41 @@
 /**
- * How fast a store's link is now, against what the site states.
+ * Estimates the current speed of a store's link relative to the speed that the site states.
  *
- * Answers links that turn four or eight times slower for some seconds, at a load that
- * they carry only while they are sound: what was planned for them then waits for
- * seconds, and with it the memory and the places of the engines. A first event that
- * is late by more than the reading explains tells of it, without any call.
+ * Links can become four or eight times slower for some seconds, at a load that they can carry only
+ * at full speed. Transfers that were planned for such a link then wait for seconds, and hold
+ * memory and slots of their engines. A slow link shows in first events that are later than
+ * the prefill explains, so the estimate needs no probes.
  *
- * Speeds are kept as doublings of a transfer's time: 0 as stated, 2 four times slower.
+ * Speeds are expressed in doublings, the log2 of the slowdown: 0 means as fast as stated, and 2
+ * means four times slower.
  */
 
-/** Time in which a sample loses two thirds of its weight, in milliseconds: ten transfers of a busy link. */
-const SAMPLE_LIFETIME_MS = 1000
+/** Time in which a sample loses two thirds of its weight, in milliseconds: as long as ten transfers on a busy link. */
+const SAMPLE_DECAY_MS = 1000
 
-/** What a host's earlier samples keep of their weight at its next one: two transfers of each host outweigh all before. */
-const KEPT_SHARE = 0.5
+/** Share of weight that earlier samples of a host retain at its next one, so that two transfers of each host outweigh all earlier ones. */
+const RETAINED_WEIGHT = 0.5
 
-/** Samples for which what was believed before counts as much as what they say. */
-const DOUBTED_SAMPLES = 1
+/** Weight of the previous estimate, in samples. */
+const PRIOR_SAMPLES = 1
 
-/** Time in which a belief follows what many samples say, in milliseconds. */
-const FOLLOW_MS = 150
+/** Time constant with which the estimate follows many samples, in milliseconds. */
+const LEARNING_TIME_MS = 150
 
-/** Time in which a belief is forgotten that nothing confirms, in milliseconds, so that a link that was slow is tried again. */
-const FORGET_MS = 4000
+/** Time constant with which an estimate without samples decays, in milliseconds, so that a link that was slow is tried again. */
+const ESTIMATE_DECAY_MS = 4000
 
-/** Bounds of a belief and of one sample, in doublings: a single odd request settles nothing. */
-const BOUNDS = { least: -1, most: 5 }
+/** Bounds of a sample, and so of an estimate, in doublings, so that a single outlier can't dominate the estimate. */
+const DOUBLING_BOUNDS = { min: -1, max: 5 }
 
-/** What transfers have shown lately. */
+/** Recent observations of transfers. */
 export interface SpeedEvidence {
   readonly samples: number
-  /** Sum of the doublings that they showed. */
+  /** Sum of the doublings of the samples. */
   readonly doublings: number
 }
 
-/** Samples of one host, older ones counting less. */
+/** Decaying sums of one host's samples. */
 export class SpeedSamples {
   #samples = 0
   #slower = 0
@@ -42,13 +43,13 @@
   #at = 0
 
   /**
-   * @param doublings - that one transfer took, against the stated speed
+   * @param doublings - slowdown of one transfer against the stated speed
    * @param now - monotonic milliseconds
    */
   add (doublings: number, now: number): void {
-    const bounded = Math.min(BOUNDS.most, Math.max(BOUNDS.least, doublings))
+    const bounded = Math.min(DOUBLING_BOUNDS.max, Math.max(DOUBLING_BOUNDS.min, doublings))
     this.#decay(now)
-    this.#keep(KEPT_SHARE)
+    this.#scale(RETAINED_WEIGHT)
     this.#samples += 1
     this.#slower += Math.max(0, bounded)
     this.#faster += Math.max(0, -bounded)
@@ -56,7 +57,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns number of samples, and sums of doublings to either side
+   * @returns weighted number of samples, and sums of their positive and negative doublings
    */
   recent (now: number): { readonly samples: number, readonly slower: number, readonly faster: number } {
     this.#decay(now)
@@ -64,51 +65,51 @@
   }
 
   #decay (now: number): void {
-    this.#keep(Math.exp(-(now - this.#at) / SAMPLE_LIFETIME_MS))
+    this.#scale(Math.exp(-(now - this.#at) / SAMPLE_DECAY_MS))
     this.#at = now
   }
 
-  #keep (share: number): void {
+  #scale (share: number): void {
     this.#samples *= share
     this.#slower *= share
     this.#faster *= share
   }
 }
 
-/** What a host believes of one link. */
+/** A host's estimate of the speed of one link. */
 export class LinkSpeed {
   #doublings: number
-  #learntAt: number
+  #updatedAt: number
 
   /**
-   * @param doublings - believed at first
+   * @param doublings - initial estimate
    * @param now - monotonic milliseconds
    */
   constructor (doublings: number, now: number) {
     this.#doublings = doublings
-    this.#learntAt = now
+    this.#updatedAt = now
   }
 
   /**
-   * Follows what transfers show: at once where there are many, slowly where there are few.
+   * Moves the estimate towards the observations: quickly if there are many samples, slowly if there are few.
    *
-   * @param evidence - what they showed lately
+   * @param evidence - recent observations
    * @param now - monotonic milliseconds
    */
-  learn ({ samples, doublings }: SpeedEvidence, now: number): void {
-    const present = this.doublings(now)
-    const trust = samples / (samples + DOUBTED_SAMPLES)
-    const followed = trust * (1 - Math.exp(-(now - this.#learntAt) / FOLLOW_MS))
-    const shown = samples === 0 ? present : doublings / samples
-    this.#doublings = present + (shown - present) * followed
-    this.#learntAt = now
+  update ({ samples, doublings }: SpeedEvidence, now: number): void {
+    const current = this.doublings(now)
+    const confidence = samples / (samples + PRIOR_SAMPLES)
+    const learningRate = confidence * (1 - Math.exp(-(now - this.#updatedAt) / LEARNING_TIME_MS))
+    const observed = samples === 0 ? current : doublings / samples
+    this.#doublings = current + (observed - current) * learningRate
+    this.#updatedAt = now
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns doublings of a transfer's time
+   * @returns estimated slowdown in doublings
    */
   doublings (now: number): number {
-    return this.#doublings * Math.exp(-(now - this.#learntAt) / FORGET_MS)
+    return this.#doublings * Math.exp(-(now - this.#updatedAt) / ESTIMATE_DECAY_MS)
   }
 }
--- a/packages/routing/src/lib/stores/LinkSpeeds.ts
+++ b/packages/routing/src/lib/stores/LinkSpeeds.ts
@@ -1,65 +1,66 @@
 /**
- * How fast all stores' links are now, by what first events show on all hosts.
+ * Estimates the current speed of all store links from the first events that all hosts observe.
  *
- * A store that has turned slow is slow on each of its links, a pair of places on its own
- * link only. So each link is judged by its own transfers, drawn towards what all links of
- * its store show while it has few.
+ * A slow store is slow on each of its links, and a slow connection between two data centres
+ * affects only its own link. Each link is therefore judged by its own transfers and, as long as it
+ * has few samples, shrunk towards the observations of all links of its store.
  */
 import { addLinkLoads, IDLE_LINK, storeOfLink, type LinkLoadFigures } from '../load/linkLoad.js'
 import { LinkSpeed, SpeedSamples, type SpeedEvidence } from './LinkSpeed.js'
 
 /**
- * Milliseconds by which a first event may be late for other reasons than its transfer, and
- * the share of its other time by which it may be so besides. Added to both sides of the
- * comparison: short transfers say little, and so do all while engines are overloaded.
+ * Delay of a first event that may have other reasons than its transfer: a fixed time in
+ * milliseconds, plus a share of the expected time without the transfer. It is added to both sides
+ * of the comparison, so that short transfers, and all transfers while engines are overloaded,
+ * influence the estimate little.
  */
-const OTHER_REASONS_MS = 30
-const OTHER_REASONS_SHARE = 0.15
+const UNRELATED_DELAY_MS = 30
+const UNRELATED_DELAY_SHARE = 0.15
 
-/** Samples by which all links of a store speak for one of them. */
-const STORE_SAMPLES = 2
+/** Maximum weight of a store's links in the estimate of one of them, in samples. */
+const MAX_STORE_SAMPLES = 2
 
-/** Doublings from which a link counts as slow, and below which it counts as sound again. */
+/** Doublings above which a link counts as slow, and up to which it counts as recovered. */
 const SLOW_DOUBLINGS = 1
-const SOUND_DOUBLINGS = 0.5
+const RECOVERED_DOUBLINGS = 0.5
 
-/** What was expected of a fetch when its engine was chosen. */
+/** Expectation of a fetch at the time when its engine was chosen. */
 export interface ExpectedFetch {
-  /** Until its last byte, waiting included. */
+  /** Milliseconds until the last byte of the fetch, including the time that it waits. */
   readonly fetchMs: number
-  /** Until the first event, without the fetch. */
+  /** Milliseconds until the first event, without the fetch. */
   readonly otherMs: number
-  /** Doublings of the link's stated time that were believed. */
+  /** Estimated slowdown of the link in doublings. */
   readonly doublings: number
 }
 
-/** A change of belief about one link. */
+/** A change in whether a link counts as slow. */
 export interface LinkSpeedChange {
   readonly link: string
   readonly isSlow: boolean
-  /** Times that a transfer takes of what the site states. */
+  /** Duration of a transfer as a multiple of what the site states. */
   readonly slowerBy: number
-  /** Transfers of all hosts that tell so, older ones counting less. */
+  /** Decaying count of the transfers of all hosts that the estimate is based on. */
   readonly samples: number
 }
 
-/** What transfers of one host over a link have shown. */
+/** Observations of one host's transfers over a link. */
 type LinkSamples = Omit<LinkLoadFigures, 'pendingBytes'>
 
-/** Speeds of links by their names. */
+/** Estimated speeds of links by name. */
 export class LinkSpeeds {
   readonly #samples = new Map<string, SpeedSamples>()
-  /** Of links, and of stores over all their links. */
+  /** Estimates by link name, and by store name for all links of a store. */
   readonly #speeds = new Map<string, LinkSpeed>()
   readonly #slow = new Set<string>()
 
-  /** Links over which transfers of this host have shown something. */
-  get sampled (): readonly string[] { return [...this.#samples.keys()] }
+  /** Links with samples from this host's transfers. */
+  get sampledLinks (): readonly string[] { return [...this.#samples.keys()] }
 
   /**
    * @param link - name of a link
    * @param now - monotonic milliseconds
-   * @returns doublings of the time that the site states
+   * @returns estimated slowdown in doublings
    */
   doublings (link: string, now: number): number {
     const speed = this.#speeds.get(link) ?? this.#speeds.get(storeOfLink(link))
@@ -67,16 +68,16 @@
   }
 
   /**
-   * Takes what a first event says of the link that its prompt came over.
+   * Records a first event as a sample of the link over which its prompt was fetched.
    *
-   * @param link - the slowest of those
-   * @param expected - as estimated
+   * @param link - slowest link of the fetch
+   * @param expected - expectation at the time of the choice
    * @param firstEventMs - milliseconds that the first event took
    * @param now - monotonic milliseconds
    */
   observe (link: string, expected: ExpectedFetch, firstEventMs: number, now: number): void {
-    const doubtMs = OTHER_REASONS_MS + expected.otherMs * OTHER_REASONS_SHARE
-    const ratio = (Math.max(0, firstEventMs - expected.otherMs) + doubtMs) / (expected.fetchMs + doubtMs)
+    const toleranceMs = UNRELATED_DELAY_MS + expected.otherMs * UNRELATED_DELAY_SHARE
+    const ratio = (Math.max(0, firstEventMs - expected.otherMs) + toleranceMs) / (expected.fetchMs + toleranceMs)
     const samples = this.#samples.get(link) ?? new SpeedSamples()
     this.#samples.set(link, samples)
     samples.add(expected.doublings + Math.log2(ratio), now)
@@ -85,47 +86,47 @@
   /**
    * @param link - name of a link
    * @param now - monotonic milliseconds
-   * @returns what this host's transfers have shown lately
+   * @returns recent observations of this host's transfers
    */
   recent (link: string, now: number): LinkSamples {
     return this.#samples.get(link)?.recent(now) ?? { samples: 0, slower: 0, faster: 0 }
   }
 
   /**
-   * Follows what the transfers of all hosts show.
+   * Updates the estimates from the observations of all hosts.
    *
-   * @param others - figures of the other hosts by link
+   * @param peers - figures of the other hosts by link
    * @param now - monotonic milliseconds
-   * @returns links that are believed to be slow, or sound again, from now on
+   * @returns links that count as slow, or as recovered, from now on
    */
-  learn (others: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
-    const links = new Set([...this.#samples.keys(), ...others.keys()])
-    const evidence = new Map([...links].map(link => [link, this.#evidenceOf(link, others.get(link), now)]))
+  update (peers: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
+    const links = new Set([...this.#samples.keys(), ...peers.keys()])
+    const evidence = new Map([...links].map(link => [link, this.#evidenceOf(link, peers.get(link), now)]))
     const stores = sumByStore(evidence)
-    for (const [store, sum] of stores) this.#speed(store, now).learn(sum, now)
-    return [...evidence].flatMap(([link, shown]) => {
-      this.#speed(link, now).learn(drawnTowards(shown, stores.get(storeOfLink(link)) ?? shown), now)
-      return this.#changeOf(link, shown.samples, now)
+    for (const [store, sum] of stores) this.#speedOf(store, now).update(sum, now)
+    return [...evidence].flatMap(([link, observed]) => {
+      this.#speedOf(link, now).update(shrinkTowards(observed, stores.get(storeOfLink(link)) ?? observed), now)
+      return this.#changeOf(link, observed.samples, now)
     })
   }
 
-  #evidenceOf (link: string, others: LinkLoadFigures = IDLE_LINK, now: number): SpeedEvidence {
-    const { samples, slower, faster } = addLinkLoads({ ...IDLE_LINK, ...this.recent(link, now) }, others)
+  #evidenceOf (link: string, peers: LinkLoadFigures = IDLE_LINK, now: number): SpeedEvidence {
+    const { samples, slower, faster } = addLinkLoads({ ...IDLE_LINK, ...this.recent(link, now) }, peers)
     return { samples, doublings: slower - faster }
   }
 
-  #speed (name: string, now: number): LinkSpeed {
-    const present = this.#speeds.get(name)
-    if (present !== undefined) return present
-    const fresh = new LinkSpeed(this.doublings(name, now), now)
-    this.#speeds.set(name, fresh)
-    return fresh
+  #speedOf (name: string, now: number): LinkSpeed {
+    const existing = this.#speeds.get(name)
+    if (existing !== undefined) return existing
+    const created = new LinkSpeed(this.doublings(name, now), now)
+    this.#speeds.set(name, created)
+    return created
   }
 
   #changeOf (link: string, samples: number, now: number): LinkSpeedChange[] {
-    const doublings = this.#speed(link, now).doublings(now)
+    const doublings = this.#speedOf(link, now).doublings(now)
     const wasSlow = this.#slow.has(link)
-    const isSlow = doublings > (wasSlow ? SOUND_DOUBLINGS : SLOW_DOUBLINGS)
+    const isSlow = doublings > (wasSlow ? RECOVERED_DOUBLINGS : SLOW_DOUBLINGS)
     if (isSlow === wasSlow) return []
     if (isSlow) this.#slow.add(link)
     else this.#slow.delete(link)
@@ -142,10 +143,10 @@
   return sums
 }
 
-/** What a link's own samples say, with some of what all links of its store say. */
-function drawnTowards (link: SpeedEvidence, store: SpeedEvidence): SpeedEvidence {
+/** Combines a link's own samples with a limited weight of the samples of all links of its store. */
+function shrinkTowards (link: SpeedEvidence, store: SpeedEvidence): SpeedEvidence {
   if (store.samples === 0) return link
-  const borrowed = Math.min(STORE_SAMPLES, store.samples)
+  const borrowed = Math.min(MAX_STORE_SAMPLES, store.samples)
   return {
     samples: link.samples + borrowed,
     doublings: link.doublings + store.doublings / store.samples * borrowed
--- a/packages/routing/src/lib/stores/StoreLinks.ts
+++ b/packages/routing/src/lib/stores/StoreLinks.ts
@@ -1,11 +1,10 @@
 /**
- * Links of stores: what is under way on them, and how long a transfer takes now.
+ * Links of stores: the pending transfers on them, and the current duration of a transfer.
  *
- * Answers the load in which prompts return faster than their store can send them.
- * Transfers run one after another on a store's link and take twice as long to another
- * data centre. Hosts tell each other what they have asked for and what it took
- * ({@link LinkLoad}), so that each counts the transfers of all and a link that turns slow is
- * known to all hosts after some ten transfers of theirs together.
+ * The estimates matter when prompts recur faster than their store can send them. Transfers run one
+ * after another on a store's link, and take twice as long to another data centre. Hosts exchange
+ * their pending transfers and observed speeds ({@link LinkLoad}), so that each host counts the
+ * transfers of all hosts, and all hosts detect a slow link after about ten transfers in total.
  */
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import { linkName, storeOfLink, type LinkLoadFigures, type LinkLoad } from '../load/linkLoad.js'
@@ -15,43 +14,43 @@
 const BITS_PER_MEGABIT = 1e6
 const MILLISECONDS_PER_SECOND = 1000
 
-/** How much longer a transfer to another data centre takes; the users' sheets say twice. */
+/** Factor by which a transfer to another data centre takes longer. */
 const OTHER_DATA_CENTRE_FACTOR = 2
 
-/** Longest wait of a transfer, in milliseconds: engines don't start one that would wait longer. */
-const LONGEST_WAIT_MS = 2000
+/** Longest wait of a transfer, in milliseconds. Engines don't start a transfer that would wait longer. */
+const MAX_TRANSFER_WAIT_MS = 2000
 
-/** Age up to which the others' transfers are counted as last heard, in milliseconds; as for their other work. */
-const OTHERS_LIFETIME_MS = 400
+/** Age up to which the last received transfers of other hosts are used, in milliseconds; the same as for their other load. */
+const PEER_LOAD_LIFETIME_MS = 400
 
-/** Samples that are worth telling other hosts: less is lost in the figures' steps. */
-const LEAST_TOLD_SAMPLES = 1 / 64
+/** Weight of samples from which they are reported to other hosts; smaller weights are below the resolution of the encoding. */
+const MIN_REPORTED_SAMPLES = 1 / 64
 
-/** A transfer that an engine is told to make. */
+/** A transfer that an engine is told to start. */
 export interface StoreTransfer {
   readonly store: StoreService
-  /** Where the engine stands. */
+  /** Data centre of the engine. */
   readonly dataCentre: string
   readonly bytes: number
 }
 
-/** Transfers on all stores' links. */
+/** Transfers and speeds on the links of all stores. */
 export class StoreLinks {
   readonly #speeds = new LinkSpeeds()
   readonly #pending = new Map<string, number>()
-  #others: ReadonlyMap<string, LinkLoadFigures> = new Map()
-  #observedAt = Number.NEGATIVE_INFINITY
-  /** Added up once for all candidates of a choice, which is made at one moment. */
+  #peers: ReadonlyMap<string, LinkLoadFigures> = new Map()
+  #peersObservedAt = Number.NEGATIVE_INFINITY
+  /** Backlogs by store, computed once for all candidates of a choice, which share one point in time. */
   readonly #backlogs = new Map<string, number>()
   #backlogsAt = Number.NaN
 
-  /** @param liveHosts - hosts that share the links, as of now; counts while the others' transfers are not known */
+  /** @param liveHosts - returns the current number of hosts that share the links; used while the transfers of other hosts are unknown */
   constructor (private readonly liveHosts: () => number) {}
 
   /**
-   * Time that a transfer keeps the link busy, at the speed that is believed now.
+   * Returns the time for which a transfer occupies the link at the currently estimated speed.
    *
-   * @param transfer - what goes where
+   * @param transfer - store, target and size
    * @param now - monotonic milliseconds
    * @returns milliseconds
    */
@@ -62,46 +61,46 @@
   }
 
   /**
-   * @param store - which store
-   * @param dataCentre - where its bytes go
+   * @param store - store that sends
+   * @param dataCentre - data centre that receives
    * @param now - monotonic milliseconds
-   * @returns doublings of the time that the site states
+   * @returns estimated slowdown in doublings
    */
   doublings (store: StoreService, dataCentre: string, now: number): number {
     return this.#speeds.doublings(linkName(store.name, dataCentre), now)
   }
 
   /**
-   * @param store - which store
+   * @param store - store that sends
    * @param now - monotonic milliseconds
-   * @returns milliseconds until what all hosts have asked for so far has been sent
+   * @returns milliseconds until the store has sent all pending transfers of all hosts
    */
   backlogMs (store: StoreService, now: number): number {
     if (now !== this.#backlogsAt) this.#backlogs.clear()
     this.#backlogsAt = now
-    const known = this.#backlogs.get(store.name)
-    if (known !== undefined) return known
-    const milliseconds = this.#addUpBacklog(store, now)
+    const cached = this.#backlogs.get(store.name)
+    if (cached !== undefined) return cached
+    const milliseconds = this.#sumBacklog(store, now)
     this.#backlogs.set(store.name, milliseconds)
     return milliseconds
   }
 
-  /** @param transfers - that an engine was told to make */
+  /** @param transfers - transfers that an engine was told to start */
   beginTransfers (transfers: readonly StoreTransfer[]): void {
     this.#addPending(transfers, 1)
   }
 
-  /** @param transfers - that have begun, and are over or given up */
+  /** @param transfers - started transfers that have completed or were abandoned */
   endTransfers (transfers: readonly StoreTransfer[]): void {
     this.#addPending(transfers, -1)
   }
 
   /**
-   * Takes what a first event says of the link that its prompt came over.
+   * Records a first event as a sample of the link over which its prompt was fetched.
    *
-   * @param store - whose link was the slowest of those
-   * @param dataCentre - where the engine stands
-   * @param expected - as estimated
+   * @param store - store with the slowest link of the fetch
+   * @param dataCentre - data centre of the engine
+   * @param expected - expectation at the time of the choice
    * @param firstEventMs - milliseconds that the first event took
    * @param now - monotonic milliseconds
    */
@@ -111,46 +110,46 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns what this host has to tell of links
+   * @returns load of links to report to other hosts
    */
   localLoad (now: number): LinkLoad[] {
-    const links = new Set([...this.#pending.keys(), ...this.#speeds.sampled])
+    const links = new Set([...this.#pending.keys(), ...this.#speeds.sampledLinks])
     return [...links]
       .map(link => ({ link, pendingBytes: this.#pending.get(link) ?? 0, ...this.#speeds.recent(link, now) }))
-      .filter(({ pendingBytes, samples }) => pendingBytes > 0 || samples >= LEAST_TOLD_SAMPLES)
+      .filter(({ pendingBytes, samples }) => pendingBytes > 0 || samples >= MIN_REPORTED_SAMPLES)
   }
 
   /**
-   * Takes what the other hosts have told.
+   * Records the load of the other hosts.
    *
-   * @param others - figures by link
+   * @param peers - figures by link
    * @param now - monotonic milliseconds
-   * @returns links that are believed to be slow, or sound again, from now on
+   * @returns links that count as slow, or as recovered, from now on
    */
-  observePeers (others: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
-    this.#others = others
-    this.#observedAt = now
+  observePeers (peers: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
+    this.#peers = peers
+    this.#peersObservedAt = now
     this.#backlogs.clear()
-    return this.#speeds.learn(others, now)
+    return this.#speeds.update(peers, now)
   }
 
-  #addUpBacklog (store: StoreService, now: number): number {
+  #sumBacklog (store: StoreService, now: number): number {
     let milliseconds = 0
-    for (const [link, bytes] of this.#pendingOfAll(store, now)) {
+    for (const [link, bytes] of this.#pendingOnAllHosts(store, now)) {
       milliseconds += this.transferMs({ store, bytes, dataCentre: link.slice(linkName(store.name, '').length) }, now)
     }
-    return Math.min(LONGEST_WAIT_MS, milliseconds)
+    return Math.min(MAX_TRANSFER_WAIT_MS, milliseconds)
   }
 
-  #pendingOfAll (store: StoreService, now: number): Map<string, number> {
-    const areOthersKnown = now - this.#observedAt < OTHERS_LIFETIME_MS
+  #pendingOnAllHosts (store: StoreService, now: number): Map<string, number> {
+    const arePeersKnown = now - this.#peersObservedAt < PEER_LOAD_LIFETIME_MS
     const pending = new Map<string, number>()
     const add = (link: string, bytes: number): void => {
       if (storeOfLink(link) === store.name) pending.set(link, (pending.get(link) ?? 0) + bytes)
     }
-    // Each of the others is taken to have asked for as much while they are not heard.
-    for (const [link, bytes] of this.#pending) add(link, bytes * (areOthersKnown ? 1 : this.liveHosts()))
-    if (areOthersKnown) for (const [link, { pendingBytes }] of this.#others) add(link, pendingBytes)
+    // While their load is unknown, the other hosts are assumed to have as many transfers pending as this one.
+    for (const [link, bytes] of this.#pending) add(link, bytes * (arePeersKnown ? 1 : this.liveHosts()))
+    if (arePeersKnown) for (const [link, { pendingBytes }] of this.#peers) add(link, pendingBytes)
     return pending
   }
 
--- a/packages/routing/src/lib/stores/StoredPartsIndex.ts
+++ b/packages/routing/src/lib/stores/StoredPartsIndex.ts
@@ -1,10 +1,10 @@
-/** Which prompt parts stores hold whole, as control hosts last said. */
+/** Index of the prompt parts that stores hold completely, as last reported by control hosts. */
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import type { StoreChange, StoredPart } from '@eelgrassmux/schema/site/storedParts'
 import type { PromptPart } from '../prompts/promptDescription.js'
 import { homeStore } from './homeStore.js'
 
-/** Where the parts of one prompt are fetched from and saved to; one entry a part, undefined for none. */
+/** Stores from which the parts of a prompt are fetched and to which they are saved, with one entry for each part; undefined for none. */
 export interface StorePlan {
   readonly fetches: ReadonlyArray<StoreService | undefined>
   readonly saves: ReadonlyArray<string | undefined>
@@ -12,12 +12,12 @@
   readonly storedTokens: number
 }
 
-/** Follows changes and plans fetches and saves. */
+/** Applies changes of the stored parts, and plans fetches and saves. */
 export class StoredPartsIndex {
   readonly #held = new Map<string, Set<string>>()
   #stores: readonly StoreService[] = []
 
-  /** @param stores - stores of the site in force */
+  /** @param stores - stores of the active site */
   configure (stores: readonly StoreService[]): void {
     this.#stores = stores
     const names = new Set(stores.map(store => store.name))
@@ -26,7 +26,7 @@
     }
   }
 
-  /** @param change - what changed at one store; a store is used once something whole was said of it */
+  /** @param change - change at one store; a store is used only after its complete list of parts was received */
   apply (change: StoreChange): void {
     if (change.kind === 'lost') {
       this.#held.delete(change.store)
@@ -39,12 +39,12 @@
     this.#held.set(change.store, held)
   }
 
-  /** Forgets what all stores hold, when nobody vouches for it any more. */
+  /** Drops the parts of all stores; called when no control host confirms them any more. */
   clear (): void {
     this.#held.clear()
   }
 
-  /** Parts held by all stores together. */
+  /** Number of parts held by all stores. */
   get size (): number {
     return [...this.#held.values()].reduce((sum, held) => sum + held.size, 0)
   }
@@ -54,31 +54,31 @@
    *
    * @param scope - cache salt of the request
    * @param parts - shared parts, in order
-   * @param allows - whether they may be kept in a data centre
+   * @param allows - returns whether the parts may be kept in a data centre
    */
   plan (scope: string, parts: readonly PromptPart[], allows: (dataCentre: string) => boolean = () => true): StorePlan {
-    const answering = this.#stores.filter(store => this.#held.has(store.name) && allows(store.dataCentre))
+    const availableStores = this.#stores.filter(store => this.#held.has(store.name) && allows(store.dataCentre))
     const fetches: Array<StoreService | undefined> = []
     const saves: Array<string | undefined> = []
     let storedTokens = 0
-    let isUnbroken = true
+    let isContiguous = true
     for (const part of parts) {
-      const home = homeStore(part.id, answering)
+      const home = homeStore(part.id, availableStores)
       const key = keyOf([scope, part.id])
-      const store = this.#holder(home, key, answering)
+      const store = this.#findHolder(home, key, availableStores)
       fetches.push(store)
-      // Asked for by every request until it is there: whoever asked first may never have been read.
+      // Every request asks for the save until the part is stored, because the first request may never have been prefilled.
       saves.push(store === undefined ? home?.address : undefined)
-      isUnbroken &&= store !== undefined
-      if (isUnbroken) storedTokens += part.tokens
+      isContiguous &&= store !== undefined
+      if (isContiguous) storedTokens += part.tokens
     }
     return { fetches, saves, storedTokens }
   }
 
-  /** The home if it holds the part, else any: while a home was away, its parts were saved elsewhere. */
-  #holder (home: StoreService | undefined, key: string, answering: readonly StoreService[]): StoreService | undefined {
+  /** Returns the home if it holds the part, and any other holder otherwise. While a home is unavailable, its parts are saved elsewhere. */
+  #findHolder (home: StoreService | undefined, key: string, availableStores: readonly StoreService[]): StoreService | undefined {
     const holds = (store: StoreService): boolean => this.#held.get(store.name)?.has(key) === true
-    return home !== undefined && holds(home) ? home : answering.find(holds)
+    return home !== undefined && holds(home) ? home : availableStores.find(holds)
   }
 }
 
--- a/packages/routing/src/lib/stores/homeStore.ts
+++ b/packages/routing/src/lib/stores/homeStore.ts
@@ -1,18 +1,18 @@
-/** The store in which a prompt part is kept, found by every host alike without asking. */
+/** Chooses the store that keeps a prompt part. All hosts compute the same store without communication. */
 import { crc32 } from 'node:zlib'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import { mix32 } from '../prompts/homeEndpoint.js'
 
-/** Numbers that a 32-bit hash can take. */
+/** Number of values of a 32-bit hash. */
 const HASH_RANGE = 2 ** 32
 
 /**
- * Weighted rendezvous hashing: each store gets parts in proportion to its room,
- * and when one goes only its own parts move.
+ * Selects a store by weighted rendezvous hashing. Each store gets parts in proportion to its
+ * capacity, and when a store is removed only its own parts move.
  *
  * @param part - id of a part
- * @param stores - stores that answer
- * @returns the store for it, or undefined if there is none
+ * @param stores - stores that are available
+ * @returns the store for the part, or undefined if there are no stores
  */
 export function homeStore (part: string, stores: readonly StoreService[]): StoreService | undefined {
   const seed = crc32(part)
