--- a/packages/routing/src/lib/load/LoadExchangeScheduler.test.ts
+++ b/packages/routing/src/lib/load/LoadExchangeScheduler.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import { LoadExchangeScheduler } from './LoadExchangeScheduler.js'
 
-const NOTHING = { asks: false, waits: false }
-const WAITS = { asks: false, waits: true }
-const ASKS = { asks: true, waits: true }
+const USE_VIEW = { asks: false, waits: false }
+const WAIT = { asks: false, waits: true }
+const QUERY_AND_WAIT = { asks: true, waits: true }
 
-/** A number in [0, 1) from a seed, alike in each run. */
-function numbers (seed: number): () => number {
+/** Returns a deterministic generator of numbers in [0, 1). */
+function randomNumbers (seed: number): () => number {
   let state = seed
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0
@@ -15,167 +15,167 @@
 }
 
 describe('ExchangePlan', () => {
-  describe('for a request that is to be placed', () => {
-    it('asks, lets those of the same moment wait for the same answer, and uses what was heard a moment ago', () => {
-      const plan = new LoadExchangeScheduler(() => 8)
-      expect(plan.planPlacement(1000)).toEqual(ASKS)
-      plan.recordQuery(1000)
-      expect(plan.planPlacement(1001)).toEqual(WAITS)
-      plan.recordAnswer(1000)
-      expect(plan.planPlacement(1003)).toEqual(NOTHING)
-      expect(plan.planPlacement(1020)).toEqual(NOTHING)
-      expect(plan.planPlacement(1030)).toEqual(ASKS)
+  describe('when a request is to be placed', () => {
+    it('queries, lets concurrent requests wait for the same answer, and uses a recent view without a query', () => {
+      const scheduler = new LoadExchangeScheduler(() => 8)
+      expect(scheduler.planPlacement(1000)).toEqual(QUERY_AND_WAIT)
+      scheduler.recordQuery(1000)
+      expect(scheduler.planPlacement(1001)).toEqual(WAIT)
+      scheduler.recordAnswer(1000)
+      expect(scheduler.planPlacement(1003)).toEqual(USE_VIEW)
+      expect(scheduler.planPlacement(1020)).toEqual(USE_VIEW)
+      expect(scheduler.planPlacement(1030)).toEqual(QUERY_AND_WAIT)
     })
 
-    it('does not wait for a host that has left two questions unanswered, until one is answered', () => {
-      const plan = new LoadExchangeScheduler(() => 8)
+    it('stops waiting after two unanswered queries, until one is answered', () => {
+      const scheduler = new LoadExchangeScheduler(() => 8)
       for (const at of [1000, 1050]) {
-        expect(plan.planPlacement(at)).toEqual(ASKS)
-        plan.recordQuery(at)
+        expect(scheduler.planPlacement(at)).toEqual(QUERY_AND_WAIT)
+        scheduler.recordQuery(at)
       }
-      expect(plan.planPlacement(1100)).toEqual({ asks: true, waits: false })
-      plan.recordQuery(1100)
-      plan.recordAnswer(1100)
-      expect(plan.planPlacement(1200)).toEqual(ASKS)
+      expect(scheduler.planPlacement(1100)).toEqual({ asks: true, waits: false })
+      scheduler.recordQuery(1100)
+      scheduler.recordAnswer(1100)
+      expect(scheduler.planPlacement(1200)).toEqual(QUERY_AND_WAIT)
     })
   })
 
-  describe('of 195 hosts with five requests a second each', () => {
+  describe('with 195 hosts of five requests a second each', () => {
     const hosts = 195
     const seconds = 20
-    const random = numbers(7)
-    const plans = Array.from({ length: hosts }, () => new LoadExchangeScheduler(() => hosts))
+    const random = randomNumbers(7)
+    const schedulers = Array.from({ length: hosts }, () => new LoadExchangeScheduler(() => hosts))
     const arrivals = Array.from({ length: hosts * 5 * seconds }, () => ({ at: random() * seconds * 1000, host: Math.floor(random() * hosts) }))
       .sort((one, other) => one.at - other.at)
     const ages: number[] = []
-    let questions = 0
+    let queries = 0
     const views = new Map<number, number>()
     for (const { at, host } of arrivals) {
-      const plan = plans[host]
-      const step = plan?.planPlacement(at)
+      const scheduler = schedulers[host]
+      const step = scheduler?.planPlacement(at)
       if (step?.asks === true) {
-        questions += 1
-        plan?.recordQuery(at)
-        plan?.recordAnswer(at)
+        queries += 1
+        scheduler?.recordQuery(at)
+        scheduler?.recordAnswer(at)
         views.set(host, at)
       }
       ages.push(at - (views.get(host) ?? Number.NEGATIVE_INFINITY))
     }
 
-    it('places nearly all on a view of the last 25 milliseconds', () => {
+    it('places nearly all requests on a view that is at most 25 milliseconds old', () => {
       const fresh = ages.filter(age => age <= 25).length / ages.length
       expect(fresh).toBeGreaterThan(0.95)
     })
 
-    it('asks no more than its share', () => {
-      expect(questions / seconds).toBeLessThanOrEqual(2000)
+    it('stays within the query budget of all hosts', () => {
+      expect(queries / seconds).toBeLessThanOrEqual(2000)
     })
   })
 
-  describe('of 81 hosts with ten requests a second each', () => {
-    it('asks for most requests, and tells at most half as much again', () => {
-      const random = numbers(11)
-      const plan = new LoadExchangeScheduler(() => 81)
+  describe('with 81 hosts of ten requests a second each', () => {
+    it('queries for most requests, and sends at most half as many separate reports', () => {
+      const random = randomNumbers(11)
+      const scheduler = new LoadExchangeScheduler(() => 81)
       let requests = 0
-      let questions = 0
-      let statements = 0
+      let queries = 0
+      let reports = 0
       for (let at = 0; at < 60_000; at += 1) {
-        if ((plan.nextReportAt ?? Number.POSITIVE_INFINITY) <= at) {
-          statements += 1
-          plan.recordReport(true, at)
+        if ((scheduler.nextReportAt ?? Number.POSITIVE_INFINITY) <= at) {
+          reports += 1
+          scheduler.recordReport(true, at)
         }
         if (random() >= 0.01) continue
         requests += 1
-        if (plan.planPlacement(at).asks) {
-          questions += 1
-          plan.recordQuery(at)
-          plan.recordAnswer(at)
+        if (scheduler.planPlacement(at).asks) {
+          queries += 1
+          scheduler.recordQuery(at)
+          scheduler.recordAnswer(at)
         }
-        if (plan.recordSend(at)) {
-          statements += 1
-          plan.recordReport(true, at)
+        if (scheduler.recordSend(at)) {
+          reports += 1
+          scheduler.recordReport(true, at)
         }
       }
-      expect(questions).toBeGreaterThan(requests * 2 / 3)
-      expect(statements).toBeLessThan(questions / 2)
+      expect(queries).toBeGreaterThan(requests * 2 / 3)
+      expect(reports).toBeLessThan(queries / 2)
     })
   })
 
-  describe('budget of one host', () => {
-    /** Time that a request's work is told of, in milliseconds: until its end, and a moment after. */
-    const LIFE_MS = 700
+  describe('datagrams of one host', () => {
+    /** Time for which a request's load is reported, in milliseconds: until shortly after its end. */
+    const LOAD_LIFETIME_MS = 700
 
-    it.each([[8, 30], [62, 9], [81, 10], [195, 5], [340, 24]])('of %i hosts with %i requests a second: at most a question and two statements a request', (hosts, perSecond) => {
-      const random = numbers(hosts)
-      const plan = new LoadExchangeScheduler(() => hosts)
+    it.each([[8, 30], [62, 9], [81, 10], [195, 5], [340, 24]])('with %i hosts of %i requests a second: at most a query and two reports for each request', (hosts, perSecond) => {
+      const random = randomNumbers(hosts)
+      const scheduler = new LoadExchangeScheduler(() => hosts)
       let datagrams = 0
       let requests = 0
-      let workUntil = 0
+      let loadUntil = 0
       for (let at = 0; at < 60_000; at += 1) {
-        if ((plan.nextReportAt ?? Number.POSITIVE_INFINITY) <= at) {
+        if ((scheduler.nextReportAt ?? Number.POSITIVE_INFINITY) <= at) {
           datagrams += 1
-          plan.recordReport(at < workUntil, at)
+          scheduler.recordReport(at < loadUntil, at)
         }
         if (random() >= perSecond / 1000) continue
         requests += 1
-        workUntil = at + LIFE_MS
-        if (plan.planPlacement(at).asks) {
+        loadUntil = at + LOAD_LIFETIME_MS
+        if (scheduler.planPlacement(at).asks) {
           datagrams += 1
-          plan.recordQuery(at)
-          plan.recordAnswer(at)
+          scheduler.recordQuery(at)
+          scheduler.recordAnswer(at)
         }
-        if (plan.recordSend(at)) {
+        if (scheduler.recordSend(at)) {
           datagrams += 1
-          plan.recordReport(true, at)
+          scheduler.recordReport(true, at)
         }
       }
       expect(datagrams / requests).toBeLessThan(3)
     })
   })
 
-  describe('of 195 hosts with two requests a second each', () => {
-    it('asks for every request, and tells every send at once', () => {
-      const plan = new LoadExchangeScheduler(() => 195)
+  describe('with 195 hosts of two requests a second each', () => {
+    it('queries for every request, and reports every send at once', () => {
+      const scheduler = new LoadExchangeScheduler(() => 195)
       for (let at = 0; at < 20_000; at += 500) {
-        expect(plan.planPlacement(at)).toEqual(ASKS)
-        plan.recordQuery(at)
-        plan.recordAnswer(at)
-        expect(plan.recordSend(at)).toBe(true)
+        expect(scheduler.planPlacement(at)).toEqual(QUERY_AND_WAIT)
+        scheduler.recordQuery(at)
+        scheduler.recordAnswer(at)
+        expect(scheduler.recordSend(at)).toBe(true)
       }
     })
   })
 
-  it('keeps all hosts together to what one can answer, when many requests come at once', () => {
+  it('limits the queries of all hosts to what one host can answer, when many requests arrive at once', () => {
     const hosts = 340
-    const plan = new LoadExchangeScheduler(() => hosts)
-    let questions = 0
+    const scheduler = new LoadExchangeScheduler(() => hosts)
+    let queries = 0
     for (let at = 0; at < 10_000; at += 5) {
-      if (!plan.planPlacement(at).asks) continue
-      questions += 1
-      plan.recordQuery(at)
-      plan.recordAnswer(at)
+      if (!scheduler.planPlacement(at).asks) continue
+      queries += 1
+      scheduler.recordQuery(at)
+      scheduler.recordAnswer(at)
     }
-    expect(questions * hosts / 10).toBeLessThanOrEqual(2000 + 5 * hosts / 10)
+    expect(queries * hosts / 10).toBeLessThanOrEqual(2000 + 5 * hosts / 10)
   })
 
-  describe('tells', () => {
-    it('of what makes room a moment later, and of work again and again until there is none', () => {
-      const plan = new LoadExchangeScheduler(() => 8)
-      expect(plan.nextReportAt).toBeUndefined()
-      plan.recordReport(true, 112)
-      expect(plan.nextReportAt).toBe(462)
-      plan.recordChange(150)
-      plan.recordChange(180)
-      expect(plan.nextReportAt).toBe(400)
-      plan.recordReport(false, 400)
-      expect(plan.nextReportAt).toBeUndefined()
+  describe('reports', () => {
+    it('a change after a delay, and load periodically until there is none', () => {
+      const scheduler = new LoadExchangeScheduler(() => 8)
+      expect(scheduler.nextReportAt).toBeUndefined()
+      scheduler.recordReport(true, 112)
+      expect(scheduler.nextReportAt).toBe(462)
+      scheduler.recordChange(150)
+      scheduler.recordChange(180)
+      expect(scheduler.nextReportAt).toBe(400)
+      scheduler.recordReport(false, 400)
+      expect(scheduler.nextReportAt).toBeUndefined()
     })
 
-    it('nothing twice: a question says it as well', () => {
-      const plan = new LoadExchangeScheduler(() => 8)
-      plan.recordChange(100)
-      plan.recordQuery(110)
-      expect(plan.nextReportAt).toBeUndefined()
+    it('nothing separately that a query already carries', () => {
+      const scheduler = new LoadExchangeScheduler(() => 8)
+      scheduler.recordChange(100)
+      scheduler.recordQuery(110)
+      expect(scheduler.nextReportAt).toBeUndefined()
     })
   })
 })
--- a/packages/routing/src/lib/load/UnresponsiveEndpointDetector.test.ts
+++ b/packages/routing/src/lib/load/UnresponsiveEndpointDetector.test.ts
@@ -8,118 +8,118 @@
 const busy = (endpoint: string): EndpointLoad => work(endpoint, { inFlight: 5, lastByteAgoMs: 20, waitedMs: 900 })
 
 describe('SilentEndpoints', () => {
-  it('asks one that is silent to all, or avoided by several, and no other', () => {
-    const silence = new UnresponsiveEndpointDetector()
-    silence.observe([
+  it('probes endpoints that are silent to all hosts or avoided by several, and no others', () => {
+    const detector = new UnresponsiveEndpointDetector()
+    detector.observe([
       silent('dark'), busy('busy'), work('idle', {}), work('starting', { inFlight: 2, lastByteAgoMs: 900, waitedMs: 900 }),
       work('avoided', { avoiders: 2 }), work('missed', { avoiders: 1 })
     ], 1000)
-    expect(silence.takeDueProbes(1000)).toEqual(['dark', 'avoided'])
-    expect(silence.takeDueProbes(1001)).toEqual([])
-    expect(silence.unresponsive).toEqual([])
+    expect(detector.takeDueProbes(1000)).toEqual(['dark', 'avoided'])
+    expect(detector.takeDueProbes(1001)).toEqual([])
+    expect(detector.unresponsive).toEqual([])
   })
 
-  it('trusts one that answers for a while: its requests are slow, and not lost', () => {
-    const silence = new UnresponsiveEndpointDetector()
-    silence.observe([silent('slow')], 1000)
-    silence.takeDueProbes(1000)
-    expect(silence.recordProbeResult('slow', true, 1002)).toBeUndefined()
-    silence.observe([silent('slow')], 2500)
-    expect(silence.takeDueProbes(2500)).toEqual([])
-    silence.observe([silent('slow')], 3100)
-    expect(silence.takeDueProbes(3100)).toEqual(['slow'])
+  it('exempts an endpoint that answers for some time, because its requests are slow, not lost', () => {
+    const detector = new UnresponsiveEndpointDetector()
+    detector.observe([silent('slow')], 1000)
+    detector.takeDueProbes(1000)
+    expect(detector.recordProbeResult('slow', true, 1002)).toBeUndefined()
+    detector.observe([silent('slow')], 2500)
+    expect(detector.takeDueProbes(2500)).toEqual([])
+    detector.observe([silent('slow')], 3100)
+    expect(detector.takeDueProbes(3100)).toEqual(['slow'])
   })
 
-  describe('one that does not answer', () => {
-    function darkAt (now: number): UnresponsiveEndpointDetector {
-      const silence = new UnresponsiveEndpointDetector()
-      silence.observe([silent('dark')], now)
-      silence.takeDueProbes(now)
-      expect(silence.recordProbeResult('dark', false, now + 250)).toEqual({ endpoint: 'dark', isUnresponsive: true })
-      return silence
+  describe('an endpoint that does not answer', () => {
+    function unresponsiveSince (now: number): UnresponsiveEndpointDetector {
+      const detector = new UnresponsiveEndpointDetector()
+      detector.observe([silent('dark')], now)
+      detector.takeDueProbes(now)
+      expect(detector.recordProbeResult('dark', false, now + 250)).toEqual({ endpoint: 'dark', isUnresponsive: true })
+      return detector
     }
 
-    it('stays unresponsive although its callers have left, until it answers', () => {
-      const silence = darkAt(0)
-      let questions = 0
+    it('stays unresponsive after its callers have disconnected, until it answers', () => {
+      const detector = unresponsiveSince(0)
+      let probes = 0
       for (let now = 300; now < 12_000; now += 100) {
-        silence.observe([], now)
-        for (const endpoint of silence.takeDueProbes(now)) {
-          questions += 1
-          silence.recordProbeResult(endpoint, false, now + 50)
+        detector.observe([], now)
+        for (const endpoint of detector.takeDueProbes(now)) {
+          probes += 1
+          detector.recordProbeResult(endpoint, false, now + 50)
         }
-        expect(silence.unresponsive).toEqual(['dark'])
+        expect(detector.unresponsive).toEqual(['dark'])
       }
-      // Each is priced.
-      expect(questions).toBeLessThan(15)
-      const asked = [...Array(20).keys()].map(step => 12_000 + step * 100).find(now => silence.takeDueProbes(now).length > 0) ?? 0
-      expect(silence.recordProbeResult('dark', true, asked)).toEqual({ endpoint: 'dark', isUnresponsive: false })
-      expect(silence.unresponsive).toEqual([])
+      // Every probe is billed.
+      expect(probes).toBeLessThan(15)
+      const probedAt = [...Array(20).keys()].map(step => 12_000 + step * 100).find(now => detector.takeDueProbes(now).length > 0) ?? 0
+      expect(detector.recordProbeResult('dark', true, probedAt)).toEqual({ endpoint: 'dark', isUnresponsive: false })
+      expect(detector.unresponsive).toEqual([])
     })
 
-    it('responds again once some host hears from it after it was found, and not by what was heard before', () => {
-      const silence = darkAt(0)
-      expect(silence.observe([work('dark', { inFlight: 1, lastByteAgoMs: 1200 })], 1000)).toEqual([])
-      expect(silence.observe([work('dark', { inFlight: 1, lastByteAgoMs: 30 })], 1000)).toEqual([{ endpoint: 'dark', isUnresponsive: false }])
+    it('responds again once a host receives a byte after the failed probe, but not because of earlier bytes', () => {
+      const detector = unresponsiveSince(0)
+      expect(detector.observe([work('dark', { inFlight: 1, lastByteAgoMs: 1200 })], 1000)).toEqual([])
+      expect(detector.observe([work('dark', { inFlight: 1, lastByteAgoMs: 30 })], 1000)).toEqual([{ endpoint: 'dark', isUnresponsive: false }])
     })
 
-    it('is forgotten when it is listed no more', () => {
-      const silence = darkAt(0)
-      silence.retain(endpoint => endpoint !== 'dark')
-      expect(silence.unresponsive).toEqual([])
+    it('is dropped when it is no longer listed', () => {
+      const detector = unresponsiveSince(0)
+      detector.retain(endpoint => endpoint !== 'dark')
+      expect(detector.unresponsive).toEqual([])
     })
   })
 
-  describe('before 195 hosts that ask and tell as they place requests', () => {
+  describe('with 195 hosts that exchange load as they place requests', () => {
     const hosts = 195
     const engines = 55
-    const darkEngines = 11
+    const hungEngines = 11
 
-    /** Requests that go to dark engines from the moment when they fall silent, in seconds after it. */
-    function lostBySecond (isAsked: boolean): number[] {
+    /** Returns the requests sent to hung engines in each second after the engines hang. */
+    function lostBySecond (probes: boolean): number[] {
       let seed = 11
       const random = (): number => {
         seed = (Math.imul(seed, 1664525) + 1013904223) >>> 0
         return seed / 2 ** 32
       }
       const board = new LoadAggregator()
-      const silence = new UnresponsiveEndpointDetector()
+      const detector = new UnresponsiveEndpointDetector()
       const underWay = Array.from({ length: hosts }, () => new Map<string, number[]>())
       const lastBytes = Array.from({ length: hosts }, () => new Map<string, number>())
       const lost: number[] = []
-      const asked: Array<{ readonly endpoint: string, readonly at: number }> = []
-      const isDark = (engine: number, now: number): boolean => engine < darkEngines && now >= 2000
+      const pendingProbes: Array<{ readonly endpoint: string, readonly at: number }> = []
+      const isHung = (engine: number, now: number): boolean => engine < hungEngines && now >= 2000
       for (let now = 0; now < 8000; now += 4) {
         for (let arrival = 0; arrival < 3; arrival += 1) {
           const host = Math.floor(random() * hosts)
           const avoided = new Set(board.totals(now).work.filter(({ unresponsive, inFlight, lastByteAgoMs, waitedMs }) =>
             unresponsive > 0 || (inFlight >= 3 && lastByteAgoMs > 500 && waitedMs > 500)).map(({ endpoint }) => endpoint))
           let engine = Math.floor(random() * engines)
-          for (let turn = 0; turn < 20 && avoided.has(`e${engine}`); turn += 1) engine = Math.floor(random() * engines)
+          for (let attempt = 0; attempt < 20 && avoided.has(`e${engine}`); attempt += 1) engine = Math.floor(random() * engines)
           const sent = underWay[host]
           sent?.set(`e${engine}`, [...sent.get(`e${engine}`) ?? [], now])
-          if (isDark(engine, now)) lost[Math.floor((now - 2000) / 1000)] = (lost[Math.floor((now - 2000) / 1000)] ?? 0) + 1
+          if (isHung(engine, now)) lost[Math.floor((now - 2000) / 1000)] = (lost[Math.floor((now - 2000) / 1000)] ?? 0) + 1
           report(host, now)
         }
         if (now % 100 !== 0) continue
         for (let host = now / 100 % 3; host < hosts; host += 3) report(host, now)
-        if (!isAsked) continue
-        silence.observe(board.totals(now).work, now)
-        for (const endpoint of silence.takeDueProbes(now)) asked.push({ endpoint, at: now })
-        for (const { endpoint } of asked.filter(({ at }) => at === now - 200)) silence.recordProbeResult(endpoint, !isDark(Number(endpoint.slice(1)), now), now)
-        board.setUnresponsive(silence.unresponsive)
+        if (!probes) continue
+        detector.observe(board.totals(now).work, now)
+        for (const endpoint of detector.takeDueProbes(now)) pendingProbes.push({ endpoint, at: now })
+        for (const { endpoint } of pendingProbes.filter(({ at }) => at === now - 200)) detector.recordProbeResult(endpoint, !isHung(Number(endpoint.slice(1)), now), now)
+        board.setUnresponsive(detector.unresponsive)
       }
       return lost
 
-      /** An engine sends an event every ten milliseconds; an answer takes half a second, and callers of dark engines leave after 2.5. */
+      /** An engine sends an event every 10 ms and completes an answer in 0.5 s; callers of hung engines disconnect after 2.5 s. */
       function report (host: number, now: number): void {
         const sent = underWay[host] ?? new Map<string, number[]>()
         for (const [endpoint, times] of sent) {
           const engine = Number(endpoint.slice(1))
-          const left = times.filter(at => now - at < (isDark(engine, now) ? 2500 : 500))
+          const left = times.filter(at => now - at < (isHung(engine, now) ? 2500 : 500))
           if (left.length === 0) sent.delete(endpoint)
           else sent.set(endpoint, left)
-          if (!isDark(engine, now)) lastBytes[host]?.set(endpoint, now)
+          if (!isHung(engine, now)) lastBytes[host]?.set(endpoint, now)
         }
         board.observe({
           host: `h${host}`,
@@ -131,13 +131,13 @@
       }
     }
 
-    it('loses requests in the second in which a fifth of 55 engines goes dark, and none after it', () => {
+    it('loses requests in the second in which a fifth of 55 engines hangs, and none afterwards', () => {
       const [first = 0, ...later] = lostBySecond(true)
       expect(first).toBeGreaterThan(0)
       expect(later.reduce((sum, count) => sum + (count ?? 0), 0)).toBe(0)
     })
 
-    it('goes on losing them if nobody is asked', () => {
+    it('keeps losing requests without probes', () => {
       const later = lostBySecond(false).slice(1)
       expect(later.reduce((sum, count) => sum + (count ?? 0), 0)).toBeGreaterThan(100)
     })
--- a/packages/routing/src/lib/mechanisms/mechanisms.test.ts
+++ b/packages/routing/src/lib/mechanisms/mechanisms.test.ts
@@ -6,10 +6,10 @@
 
 const store: StoreService = { type: 'store', name: 's', address: '10.0.0.1:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 100_000, firstByteMs: 1, isManaged: true }
 
-const without = (...leftOut: Mechanism[]): ReturnType<typeof composeMechanisms> => composeMechanisms(new Set(leftOut))
+const without = (...disabled: Mechanism[]): ReturnType<typeof composeMechanisms> => composeMechanisms(new Set(disabled))
 
 describe('composeMechanisms', () => {
-  it('leaves nothing out unless it is named', () => {
+  it('enables all mechanisms by default', () => {
     const { homeEndpoint, engineRank, admission, usesStores, waitsForSite } = composeMechanisms()
     expect(homeEndpoint('part', ['a'])).toBe('a')
     expect(engineRank(1, 2, false)).toBe(5)
@@ -17,30 +17,30 @@
     expect([usesStores, waitsForSite]).toEqual([true, true])
   })
 
-  it('names every mechanism once, and takes no other name', () => {
+  it('names every mechanism once, and rejects unknown names', () => {
     expect(new Set(mechanismSchema.options).size).toBe(mechanismSchema.options.length)
     expect(() => mechanismSchema.parse('luck')).toThrow()
   })
 
-  describe('replaces what is left out by what does nothing', () => {
+  describe('replaces disabled mechanisms with implementations that do nothing', () => {
     it('homes and ranks', () => {
       const { homeEndpoint, engineRank } = without('homes', 'ranks')
       expect(homeEndpoint('part', ['a'])).toBeUndefined()
       expect([engineRank(1, 2, false), engineRank(0, 0, true)]).toEqual([0, 0])
     })
 
-    it('limits of admission, each by itself', () => {
+    it('admission limits, each separately', () => {
       expect(without('memory-limit').admission).toEqual({ ...ADMISSION_LIMITS, memoryShare: Infinity })
       expect(without('read-ahead').admission).toEqual({ ...ADMISSION_LIMITS, tokensAhead: Infinity })
       expect(without('late-deferral').admission).toEqual({ ...ADMISSION_LIMITS, lateTokensAhead: Infinity, lateMemoryShare: Infinity })
     })
 
-    it('stores and the wait for the site', () => {
+    it('stores and the queue for the site', () => {
       expect(without('store-fetches').usesStores).toBe(false)
       expect(without('startup-queue').waitsForSite).toBe(false)
     })
 
-    it('what is learnt', () => {
+    it('learned estimates', () => {
       const mechanisms = without('engine-times', 'slowness', 'link-speeds')
       const engine = mechanisms.createEngineModel()
       const slowness = mechanisms.createSlownessEstimator()
@@ -57,13 +57,13 @@
       expect(links.doublings(store, 'north', 0)).toBe(0)
     })
 
-    it('the others\' work and what they have seen, each by itself', () => {
+    it('the load of other hosts and their observations, each separately', () => {
       const figures = { ...NO_ENDPOINT_LOAD, inFlight: 3, pendingTokens: 500, heldTokens: 900, avoiders: 2, outcomes: 9, failures: 8 }
-      const at = (...leftOut: Mechanism[]): unknown => {
-        const { peerLoad: others } = without(...leftOut)
-        others.recordOwnReport(1, { work: [], links: [] })
-        others.recordTotals({ sequence: 1, work: [{ endpoint: 'e', ...figures }], links: [] }, 0)
-        return others.forEndpoint('e')
+      const at = (...disabled: Mechanism[]): unknown => {
+        const { peerLoad } = without(...disabled)
+        peerLoad.recordOwnReport(1, { work: [], links: [] })
+        peerLoad.recordTotals({ sequence: 1, work: [{ endpoint: 'e', ...figures }], links: [] }, 0)
+        return peerLoad.forEndpoint('e')
       }
       expect(at()).toEqual(figures)
       expect(at('others-work')).toEqual({ ...figures, inFlight: 0, pendingTokens: 0, heldTokens: 0 })
--- a/packages/routing/src/lib/quarantine/evidenceAndTable.test.ts
+++ b/packages/routing/src/lib/quarantine/evidenceAndTable.test.ts
@@ -6,42 +6,42 @@
 import { QuarantineTable } from './QuarantineTable.js'
 
 const FINGERPRINT = 'a'.repeat(32)
-const run = (number: number): LostRequest => ({ fingerprint: number.toString(16).padStart(32, '0'), service: 's', endpoint: `e${number}`, ranMs: 10 })
+const loss = (number: number): LostRequest => ({ fingerprint: number.toString(16).padStart(32, '0'), service: 's', endpoint: `e${number}`, ranMs: 10 })
 
 describe('CrashEvidence', () => {
-  it('tells how long ago each loss was, until it counts no more', () => {
+  it('reports the age of each loss, until it expires', () => {
     const evidence = new CrashEvidence()
-    evidence.record(run(1), 1000)
-    expect(evidence.reports(1500)).toEqual([{ ...run(1), agoMs: 500 }])
+    evidence.record(loss(1), 1000)
+    expect(evidence.reports(1500)).toEqual([{ ...loss(1), agoMs: 500 }])
     expect(evidence.reports(1000 + EVIDENCE_LIFETIME_MS)).toEqual([])
   })
 
-  it('forgets what came through', () => {
+  it('drops the losses of a request that completed', () => {
     const evidence = new CrashEvidence()
-    for (const number of [1, 2, 1]) evidence.record(run(number), number)
-    evidence.forget(run(1).fingerprint)
+    for (const number of [1, 2, 1]) evidence.record(loss(number), number)
+    evidence.forget(loss(1).fingerprint)
     expect(evidence.reports(10).map(({ endpoint }) => endpoint)).toEqual(['e2'])
   })
 
-  it('holds a bounded number, the newest', () => {
+  it('keeps a bounded number of losses, the newest', () => {
     const evidence = new CrashEvidence()
-    for (let number = 0; number < 1000; number += 1) evidence.record(run(number), number)
+    for (let number = 0; number < 1000; number += 1) evidence.record(loss(number), number)
     expect(evidence.size).toBe(MAX_REPORTS_PER_HOST)
     expect(evidence.reports(1000).at(-1)?.endpoint).toBe('e999')
   })
 })
 
-describe('the schema of reports', () => {
-  const report = { ...run(1), agoMs: 5 }
+describe('crashReportSchema', () => {
+  const report = { ...loss(1), agoMs: 5 }
 
-  it('takes what hosts tell', () => {
+  it('accepts reports of hosts', () => {
     expect(crashReportSchema.safeParse(report).success).toBe(true)
   })
 
   it.each([
     ['fingerprint', 'short'], ['fingerprint', FINGERPRINT.toUpperCase()], ['endpoint', ''], ['endpoint', 'e'.repeat(257)], ['service', ''],
     ['agoMs', -1], ['agoMs', Number.NaN], ['ranMs', Number.POSITIVE_INFINITY], ['more', 1]
-  ])('refuses a wrong %s (%s) and names it', (field, value) => {
+  ])('rejects an invalid %s (%s) and names it', (field, value) => {
     const parsed = crashReportSchema.safeParse({ ...report, [field]: value })
     expect(parsed.success).toBe(false)
     expect(JSON.stringify(parsed.error?.issues)).toContain(field)
@@ -49,12 +49,12 @@
 })
 
 describe('quarantineMs', () => {
-  it('doubles with each, up to a day', () => {
+  it('doubles with each quarantine, up to a day', () => {
     expect([0, 1, 2].map(quarantineDurationMs)).toEqual([1, 2, 4].map(factor => factor * FIRST_QUARANTINE_MS))
     expect(quarantineDurationMs(50)).toBe(MAX_QUARANTINE_MS)
   })
 
-  it('outlasts all evidence that led to it', () => {
+  it('is longer than the lifetime of the evidence that led to it', () => {
     expect(FIRST_QUARANTINE_MS).toBeGreaterThan(EVIDENCE_LIFETIME_MS)
   })
 })
@@ -62,13 +62,13 @@
 describe('QuarantineTable', () => {
   const entryOf = (overrides: Partial<QuarantineEntryMessage> = {}): QuarantineEntryMessage => ({ fingerprint: FINGERPRINT, service: 's', state: 'quarantined', quarantines: 1, leftMs: 5000, ...overrides })
 
-  it('ends entries on its own clock', () => {
+  it('ends entries by its own clock', () => {
     const table = new QuarantineTable()
     table.replace([entryOf()], 100)
     expect(table.find(FINGERPRINT)?.endsAt).toBe(5100)
   })
 
-  it('takes changes and removals, and leaves the others as they are', () => {
+  it('applies changes and removals, and keeps the other entries', () => {
     const table = new QuarantineTable()
     const other = 'b'.repeat(32)
     table.replace([entryOf(), entryOf({ fingerprint: other, state: 'suspected' })], 0)
--- a/packages/routing/src/lib/quarantine/requestFingerprint.test.ts
+++ b/packages/routing/src/lib/quarantine/requestFingerprint.test.ts
@@ -11,11 +11,11 @@
 
   it.each<Partial<RequestIdentity>>([
     { customer: 'clinic' }, { customer: undefined }, { method: 'PUT' }, { target: '/a/b' }, { body: Buffer.from('Body') }, { body: undefined }
-  ])('differs where anything that the caller sent differs (%j)', change => {
+  ])('differs if any part that the caller sent differs (%j)', change => {
     expect(requestFingerprint({ ...request, ...change })).not.toBe(requestFingerprint(request))
   })
 
-  it('keeps its parts apart', () => {
+  it('keeps the boundaries between its parts', () => {
     const first = requestFingerprint({ customer: 'a', method: 'GET', target: '/b"]c', body: undefined })
     expect(requestFingerprint({ customer: 'a', method: 'GET', target: '/b', body: Buffer.from('"]c') })).not.toBe(first)
     expect(requestFingerprint({ customer: 'null', method: 'GET', target: '/', body: undefined })).not.toBe(requestFingerprint({ customer: undefined, method: 'GET', target: '/', body: undefined }))
--- a/packages/routing/src/lib/site/SiteIndex.test.ts
+++ b/packages/routing/src/lib/site/SiteIndex.test.ts
@@ -38,7 +38,7 @@
     ['/sharebox/7', 'root'],
     ['/', 'root'],
     ['/?next=/share/links/', 'root']
-  ])('leads %s to the longest prefix', (target, name) => {
+  ])('finds the longest prefix of %s', (target, name) => {
     expect(table.find('desk.example', target)?.name).toBe(name)
   })
 
@@ -46,11 +46,11 @@
     expect(table.find('DESK.example:8080', '/share/a')?.name).toBe('share')
   })
 
-  it('knows no route of another host', () => {
+  it('finds no route for another host', () => {
     expect(table.find('other.example', '/share/a')).toBeUndefined()
   })
 
-  it('knows no route where no prefix fits', () => {
+  it('finds no route if no prefix matches', () => {
     expect(new RouteTable({ routes: [route('share', '/share/')] }).find('desk.example', '/sharebox/')).toBeUndefined()
   })
 })
@@ -66,7 +66,7 @@
       expect(index.selectService(split, 0.91)).toBe('b')
     })
 
-    it('never lead to a service without weight', () => {
+    it('never select a service of zero weight', () => {
       const drawn = new Set(Array.from({ length: 1000 }, (_, step) => index.selectService(split, step / 1000)))
       expect([...drawn].sort()).toEqual(['a', 'b'])
     })
@@ -75,12 +75,12 @@
   describe('keys', () => {
     const index = new SiteIndex(site({ customers: [{ name: 'ward', keys: ['k1', 'k2'], isIsolated: false }] }))
 
-    it('lead to their holder', () => {
+    it('identify their customer', () => {
       expect(index.customerByKey('k2')?.name).toBe('ward')
       expect(index.customerByKey('k3')).toBeUndefined()
     })
 
-    it('are needed only where the site has customers', () => {
+    it('are needed only if the site has customers', () => {
       expect(index.needsKeys).toBe(true)
       expect(new SiteIndex(site()).needsKeys).toBe(false)
     })
