--- a/packages/routing/src/lib/load/LoadExchangeScheduler.test.ts
+++ b/packages/routing/src/lib/load/LoadExchangeScheduler.test.ts
@@ -14,7 +14,7 @@
   }
 }
 
-describe('ExchangePlan', () => {
+describe('LoadExchangeScheduler', () => {
   describe('when a request is to be placed', () => {
     it('queries, lets concurrent requests wait for the same answer, and uses a recent view without a query', () => {
       const scheduler = new LoadExchangeScheduler(() => 8)
--- a/packages/routing/src/lib/load/UnresponsiveEndpointDetector.test.ts
+++ b/packages/routing/src/lib/load/UnresponsiveEndpointDetector.test.ts
@@ -7,14 +7,14 @@
 const silent = (endpoint: string): EndpointLoad => work(endpoint, { inFlight: 5, lastByteAgoMs: 900, waitedMs: 900 })
 const busy = (endpoint: string): EndpointLoad => work(endpoint, { inFlight: 5, lastByteAgoMs: 20, waitedMs: 900 })
 
-describe('SilentEndpoints', () => {
+describe('UnresponsiveEndpointDetector', () => {
   it('probes endpoints that are silent to all hosts or avoided by several, and no others', () => {
     const detector = new UnresponsiveEndpointDetector()
     detector.observe([
-      silent('dark'), busy('busy'), work('idle', {}), work('starting', { inFlight: 2, lastByteAgoMs: 900, waitedMs: 900 }),
+      silent('hung'), busy('busy'), work('idle', {}), work('starting', { inFlight: 2, lastByteAgoMs: 900, waitedMs: 900 }),
       work('avoided', { avoiders: 2 }), work('missed', { avoiders: 1 })
     ], 1000)
-    expect(detector.takeDueProbes(1000)).toEqual(['dark', 'avoided'])
+    expect(detector.takeDueProbes(1000)).toEqual(['hung', 'avoided'])
     expect(detector.takeDueProbes(1001)).toEqual([])
     expect(detector.unresponsive).toEqual([])
   })
@@ -33,9 +33,9 @@
   describe('an endpoint that does not answer', () => {
     function unresponsiveSince (now: number): UnresponsiveEndpointDetector {
       const detector = new UnresponsiveEndpointDetector()
-      detector.observe([silent('dark')], now)
+      detector.observe([silent('hung')], now)
       detector.takeDueProbes(now)
-      expect(detector.recordProbeResult('dark', false, now + 250)).toEqual({ endpoint: 'dark', isUnresponsive: true })
+      expect(detector.recordProbeResult('hung', false, now + 250)).toEqual({ endpoint: 'hung', isUnresponsive: true })
       return detector
     }
 
@@ -48,24 +48,24 @@
           probes += 1
           detector.recordProbeResult(endpoint, false, now + 50)
         }
-        expect(detector.unresponsive).toEqual(['dark'])
+        expect(detector.unresponsive).toEqual(['hung'])
       }
       // Every probe is billed.
       expect(probes).toBeLessThan(15)
       const probedAt = [...Array(20).keys()].map(step => 12_000 + step * 100).find(now => detector.takeDueProbes(now).length > 0) ?? 0
-      expect(detector.recordProbeResult('dark', true, probedAt)).toEqual({ endpoint: 'dark', isUnresponsive: false })
+      expect(detector.recordProbeResult('hung', true, probedAt)).toEqual({ endpoint: 'hung', isUnresponsive: false })
       expect(detector.unresponsive).toEqual([])
     })
 
     it('responds again once a host receives a byte after the failed probe, but not because of earlier bytes', () => {
       const detector = unresponsiveSince(0)
-      expect(detector.observe([work('dark', { inFlight: 1, lastByteAgoMs: 1200 })], 1000)).toEqual([])
-      expect(detector.observe([work('dark', { inFlight: 1, lastByteAgoMs: 30 })], 1000)).toEqual([{ endpoint: 'dark', isUnresponsive: false }])
+      expect(detector.observe([work('hung', { inFlight: 1, lastByteAgoMs: 1200 })], 1000)).toEqual([])
+      expect(detector.observe([work('hung', { inFlight: 1, lastByteAgoMs: 30 })], 1000)).toEqual([{ endpoint: 'hung', isUnresponsive: false }])
     })
 
     it('is dropped when it is no longer listed', () => {
       const detector = unresponsiveSince(0)
-      detector.retain(endpoint => endpoint !== 'dark')
+      detector.retain(endpoint => endpoint !== 'hung')
       expect(detector.unresponsive).toEqual([])
     })
   })
@@ -82,9 +82,9 @@
         seed = (Math.imul(seed, 1664525) + 1013904223) >>> 0
         return seed / 2 ** 32
       }
-      const board = new LoadAggregator()
+      const aggregator = new LoadAggregator()
       const detector = new UnresponsiveEndpointDetector()
-      const underWay = Array.from({ length: hosts }, () => new Map<string, number[]>())
+      const inFlightRequests = Array.from({ length: hosts }, () => new Map<string, number[]>())
       const lastBytes = Array.from({ length: hosts }, () => new Map<string, number>())
       const lost: number[] = []
       const pendingProbes: Array<{ readonly endpoint: string, readonly at: number }> = []
@@ -92,11 +92,11 @@
       for (let now = 0; now < 8000; now += 4) {
         for (let arrival = 0; arrival < 3; arrival += 1) {
           const host = Math.floor(random() * hosts)
-          const avoided = new Set(board.totals(now).work.filter(({ unresponsive, inFlight, lastByteAgoMs, waitedMs }) =>
+          const avoided = new Set(aggregator.totals(now).work.filter(({ unresponsive, inFlight, lastByteAgoMs, waitedMs }) =>
             unresponsive > 0 || (inFlight >= 3 && lastByteAgoMs > 500 && waitedMs > 500)).map(({ endpoint }) => endpoint))
           let engine = Math.floor(random() * engines)
           for (let attempt = 0; attempt < 20 && avoided.has(`e${engine}`); attempt += 1) engine = Math.floor(random() * engines)
-          const sent = underWay[host]
+          const sent = inFlightRequests[host]
           sent?.set(`e${engine}`, [...sent.get(`e${engine}`) ?? [], now])
           if (isHung(engine, now)) lost[Math.floor((now - 2000) / 1000)] = (lost[Math.floor((now - 2000) / 1000)] ?? 0) + 1
           report(host, now)
@@ -104,16 +104,16 @@
         if (now % 100 !== 0) continue
         for (let host = now / 100 % 3; host < hosts; host += 3) report(host, now)
         if (!probes) continue
-        detector.observe(board.totals(now).work, now)
+        detector.observe(aggregator.totals(now).work, now)
         for (const endpoint of detector.takeDueProbes(now)) pendingProbes.push({ endpoint, at: now })
         for (const { endpoint } of pendingProbes.filter(({ at }) => at === now - 200)) detector.recordProbeResult(endpoint, !isHung(Number(endpoint.slice(1)), now), now)
-        board.setUnresponsive(detector.unresponsive)
+        aggregator.setUnresponsive(detector.unresponsive)
       }
       return lost
 
       /** An engine sends an event every 10 ms and completes an answer in 0.5 s; callers of hung engines disconnect after 2.5 s. */
       function report (host: number, now: number): void {
-        const sent = underWay[host] ?? new Map<string, number[]>()
+        const sent = inFlightRequests[host] ?? new Map<string, number[]>()
         for (const [endpoint, times] of sent) {
           const engine = Number(endpoint.slice(1))
           const left = times.filter(at => now - at < (isHung(engine, now) ? 2500 : 500))
@@ -121,7 +121,7 @@
           else sent.set(endpoint, left)
           if (!isHung(engine, now)) lastBytes[host]?.set(endpoint, now)
         }
-        board.observe({
+        aggregator.observe({
           host: `h${host}`,
           sequence: now,
           links: [],
--- a/packages/routing/src/lib/load/load.test.ts
+++ b/packages/routing/src/lib/load/load.test.ts
@@ -8,7 +8,7 @@
 /** Returns the entry with another waiting time. */
 const waited = (entry: EndpointLoad, waitedMs: number): EndpointLoad => ({ ...entry, waitedMs })
 
-describe('LoadBoard', () => {
+describe('LoadAggregator', () => {
   it('advances the ages of an endpoint although its hosts have not reported since', () => {
     const aggregator = new LoadAggregator()
     aggregator.observe({ host: 'a', sequence: 1, work: [{ ...work('e', 1), lastByteAgoMs: 100, waitedMs: 50 }, { ...work('f', 0), lastByteAgoMs: 59_900 }], links: [] }, 0)
@@ -76,7 +76,7 @@
   })
 })
 
-describe('OthersWork', () => {
+describe('PeerLoad', () => {
   it('subtracts the load that this host reported, not its current load', () => {
     const peerLoad = new PeerLoad()
     peerLoad.recordOwnReport(1, { work: [work('e', 2)], links: [] })
--- a/packages/routing/src/lib/prompts/OutdatedWeightsDeadlines.test.ts
+++ b/packages/routing/src/lib/prompts/OutdatedWeightsDeadlines.test.ts
@@ -3,7 +3,7 @@
 
 const desired = (version: number): Array<{ model: string, version: number }> => [{ model: 'm', version }]
 
-describe('OlderWeights', () => {
+describe('OutdatedWeightsDeadlines', () => {
   it('sets no deadline before weights are desired, and none for the first version', () => {
     const deadlines = new OutdatedWeightsDeadlines(6000)
     expect(deadlines.remainingMs('m', 1, 0)).toBe(Number.POSITIVE_INFINITY)
