--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -10,8 +10,8 @@
 import type { ConfigurationDocument, Customer } from '@eelgrassmux/schema/configuration'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { FleetWatcher } from '../fleet/FleetWatcher.js'
-import { PlannedStop } from '../PlannedStop.js'
-import type { AtMostOnce } from '../plain/AtMostOnce.js'
+import { GracefulShutdown } from '../GracefulShutdown.js'
+import type { AtMostOnceExecutor } from '../plain/AtMostOnceExecutor.js'
 import { PlainHandler } from '../plain/PlainHandler.js'
 import { CallQuarantine } from './CallQuarantine.js'
 import { RequestQuarantine } from './RequestQuarantine.js'
@@ -50,8 +50,8 @@
     const telemetry = new Telemetry('test')
     const reporter = { noteLost: (run: LostRun) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     const quarantine = new CallQuarantine(new RequestQuarantine(this.quarantined, reporter, telemetry), () => performance.now())
-    const stop = new PlannedStop(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
-    this.handler = new PlainHandler(fleet, {} as AtMostOnce, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
+    const stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
+    this.handler = new PlainHandler(fleet, {} as AtMostOnceExecutor, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
   }
 
   async get (path: string): Promise<{ readonly status: number, readonly reason: string | undefined, readonly run: string | undefined }> {
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -15,7 +15,7 @@
 import { DispatchRecord, refuse, type RefusalReason } from '@eelgrassmux/schema/Refusal'
 import type { Route, Site, SiteCustomer } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js'
 import { CallerExchange } from './CallerExchange.js'
 import type { CallerFields, RequestCodec } from './RequestCodec.js'
@@ -31,7 +31,7 @@
   readonly fleet: RoutedFleet
   readonly codec: RequestCodec
   readonly work: WorkGate
-  readonly stop: PlannedStop
+  readonly stop: GracefulShutdown
   readonly telemetry: Telemetry
   readonly quarantine: RequestQuarantine
   readonly budget: RetryBudgetTerms
