--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -16,7 +16,7 @@
 import { FleetWatcher } from './fleet/FleetWatcher.js'
 import { AtMostOnceExecutor } from './plain/AtMostOnceExecutor.js'
 import { PlainHandler } from './plain/PlainHandler.js'
-import { GracefulShutdown, type CallerEdge } from './GracefulShutdown.js'
+import { GracefulShutdown, type DrainableServer } from './GracefulShutdown.js'
 import { CallQuarantine } from './quarantine/CallQuarantine.js'
 import { CrashReporter } from './quarantine/CrashReporter.js'
 import { RequestQuarantine } from './quarantine/RequestQuarantine.js'
@@ -59,14 +59,14 @@
 const INITIAL_CAPACITY_TOKENS = 10_000
 
 /** Requests admitted beyond the engines' places, so that no place waits for the next request. */
-const OVERCOMMIT = 1.25
+const OVERCOMMIT_FACTOR = 1.25
 
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Interval between adjustments of the capacity, in milliseconds. */
-const CAPACITY_MS = 250
+const CAPACITY_UPDATE_INTERVAL_MS = 250
 
-const FIRST_TOKEN_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1, 2, 5, 10]
+const FIRST_TOKEN_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1, 2, 5, 10]
 
 async function startEntry (settings: EntrySettings, telemetry: Telemetry): Promise<RunningDaemon> {
   const clock = new SystemClock()
@@ -95,20 +95,20 @@
   const directory = new DirectoryClient(rpc, () => link.shards)
   const linkBytes = telemetry.labelledCounter('link_bytes_total', 'Bytes over store links by direction', 'direction')
   const retries = telemetry.labelledCounter('retries_total', 'Second attempts by reason')
-  const keeps = telemetry.labelledCounter('keep_decisions_total', 'Decisions and outcomes of exports by kind', 'decision')
+  const keepDecisions = telemetry.labelledCounter('keep_decisions_total', 'Decisions and outcomes of exports by kind', 'decision')
   const placer = new Placer(clock, fleet, directory, configuration, settings.policy,
     telemetry.labelledCounter('lookup_failures_total', 'Directory look-ups without an answer'))
   const importer = new Importer(clock, directory, fleet.links, configuration,
     telemetry.labelledCounter('imports_total', 'Imports by outcome', 'outcome'), linkBytes)
   const pacer = new ExportPacer(clock, configuration, () => link.liveEntries)
-  const storeExporter = new Exporter(clock, fleet, directory, pacer, configuration, work, keeps, linkBytes)
+  const storeExporter = new Exporter(clock, fleet, directory, pacer, configuration, work, keepDecisions, linkBytes)
   const notices = new DispatchNotices(clock, rpc, fleet.loads, () => link.entryPeers,
     telemetry.labelledCounter('dispatch_notices_total', 'Notices of dispatches among entry hosts by outcome', 'outcome'))
   notices.register(peerServer)
   // Policies that never import would export for nothing.
   const exporter = usesStores(settings.policy) ? storeExporter : { exportIfWorthwhile: async () => {} }
   const gate = new AdmissionGate(INITIAL_CAPACITY_TOKENS, settings.queueLimit)
-  const firstToken = telemetry.durationHistogram('first_token_seconds', 'Time to first token', FIRST_TOKEN_BUCKETS)
+  const firstToken = telemetry.durationHistogram('first_token_seconds', 'Time to first token', FIRST_TOKEN_BUCKETS_SECONDS)
   const crashReporter = new CrashReporter(peerAddress, { rpc, leader: () => link.leader, telemetry })
   const requestQuarantine = new RequestQuarantine(link.quarantine, crashReporter, telemetry)
   const quarantine = new CallQuarantine(requestQuarantine, () => performance.now())
@@ -123,13 +123,13 @@
     promptTokens: telemetry.labelledCounter('prompt_tokens_total', 'Prompt tokens computed and reused', 'kind')
   })
   servePeerRuns(peerServer, runs)
-  const once = new AtMostOnceExecutor({
+  const atMostOnce = new AtMostOnceExecutor({
     propose: async (command, deadlineMs) => await link.propose(command, deadlineMs),
     clock,
     work,
     outcomes: telemetry.labelledCounter('at_most_once_total', 'Calls with an idempotency key by outcome', 'outcome')
   })
-  const plain = new PlainHandler(fleet, once, configuration, retries, settings.recordWindowHours, stop, quarantine)
+  const plain = new PlainHandler(fleet, atMostOnce, configuration, retries, settings.recordWindowHours, stop, quarantine)
   const completions = new CompletionHandler(runs, new PeerRuns(rpc), configuration)
   const callers = new CallerServer(completions, plain, {
     configuration,
@@ -149,7 +149,7 @@
   })
   fleet.start()
   link.start()
-  const capacityTimer = setInterval(() => { gate.setCapacity(capacityTokens(fleet, link, runs)) }, CAPACITY_MS)
+  const capacityTimer = setInterval(() => { gate.setCapacity(capacityTokens(fleet, link, runs)) }, CAPACITY_UPDATE_INTERVAL_MS)
   telemetry.gauge('runs_under_way', 'Runs that have not ended', () => runs.underWay)
   telemetry.gauge('runs_kept', 'Runs kept for callers that come back', () => runs.kept)
   telemetry.gauge('admission_tokens_in_flight', 'Tokens held by admitted requests', () => gate.tokensInFlight)
@@ -161,7 +161,7 @@
   const logUnderWay = (event: 'awaited-by-stop' | 'cut-by-stop'): void => {
     runs.logUnderWay(id => { telemetry.decided(event, id, { sinceSignalMs: Math.round(stop.sinceSignalMs) }) })
   }
-  const edge: CallerEdge = {
+  const drainable: DrainableServer = {
     get lastRequestAt () { return callers.lastRequestAt },
     releaseWaiting: () => {},
     closeIdleConnections: () => { callers.closeIdleConnections() },
@@ -173,10 +173,10 @@
   return {
     addresses: { http: `${settings.host}:${port}`, peer: peerAddress },
     isReady: () => !stop.isStopping && link.isReady(),
-    stopping: signalledAt => { stop.begin(signalledAt, edge) },
+    stopping: signalledAt => { stop.begin(signalledAt, drainable) },
     drain: async () => {
       link.stopAccepting()
-      await stop.drain(edge)
+      await stop.drain(drainable)
     },
     close: async () => {
       await callers.close()
@@ -196,8 +196,8 @@
 /** This host's part of the engines' places, in tokens; the parts of all live hosts add up to the whole. */
 function capacityTokens (fleet: FleetWatcher, link: ControlLink, runs: RunManager): number {
   const now = performance.now()
-  const places = fleet.engineTable.eligible(now)
+  const slots = fleet.engineTable.eligible(now)
     .reduce((sum, engine) => sum + (fleet.loads.load(engine, now)?.maxRunning ?? 0), 0)
-  if (places === 0 || runs.meanRequestTokens === 0) return INITIAL_CAPACITY_TOKENS
-  return places * OVERCOMMIT * runs.meanRequestTokens / link.liveEntries
+  if (slots === 0 || runs.meanRequestTokens === 0) return INITIAL_CAPACITY_TOKENS
+  return slots * OVERCOMMIT_FACTOR * runs.meanRequestTokens / link.liveEntries
 }
--- a/apps/entry/src/lib/GracefulShutdown.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -10,7 +10,7 @@
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** What a stop may take. */
-export interface StopTerms {
+export interface ShutdownLimits {
   /** Time for which the balancer may send new work after readiness is withdrawn, in milliseconds. */
   readonly balancerLagMs: number
   /** Time from the signal until the process is killed, in milliseconds. */
@@ -18,7 +18,7 @@
 }
 
 /** The callers' side of a host that stops. */
-export interface CallerEdge {
+export interface DrainableServer {
   /** Monotonic milliseconds at which the last request arrived. */
   readonly lastRequestAt: number
   /** Lets requests go that wait for what the host has still to learn. */
@@ -32,7 +32,7 @@
 }
 
 /** What is known of a request that comes while the host is stopping. */
-export interface RequestTime {
+export interface RequestTimeEstimate {
   /** Milliseconds until its own time is over, by its route or its caller. */
   readonly remainingMs: number
   /** Milliseconds that it will probably take, if known. */
@@ -40,41 +40,41 @@
 }
 
 /** Quiet that says that callers have moved to other hosts, in milliseconds. */
-const QUIET_MS = 400
+const QUIET_PERIOD_MS = 400
 
 /** Longest wait for that quiet, beyond the balancer's lag, in milliseconds. */
-const QUIET_WAIT_MS = 2500
+const MAX_QUIET_WAIT_MS = 2500
 
 /** Interval between looks for it, in milliseconds. */
-const QUIET_LOOK_MS = 50
+const QUIET_POLL_INTERVAL_MS = 50
 
 /** Time before the kill at which the host ends what is left by itself, in milliseconds: enough to write answers and log lines, which a killed process can't. */
-const CUT_BEFORE_KILL_MS = 200
+const ABORT_BEFORE_KILL_MS = 200
 
 /** Time in which the answers of the cut can be written, in milliseconds; a caller who reads more slowly has had its time. */
-const CUT_WRITE_MS = 80
+const ABORT_WRITE_MS = 80
 
 /** Share of the grace period that the balancer's lag may take, where the period is short. */
-const LAG_SHARE = 0.5
+const MAX_LAG_FRACTION = 0.5
 
 /** One planned stop; does nothing until it begins. */
 export class GracefulShutdown {
   #signalledAt: number | undefined
-  #cutTimer: NodeJS.Timeout | undefined
-  #endCut: () => void = () => {}
+  #abortTimer: NodeJS.Timeout | undefined
+  #finishAbort: () => void = () => {}
   readonly #lagMs: number
 
   /**
    * @param work - gate of all work
-   * @param terms - what the stop may take
+   * @param limits - what the stop may take
    * @param telemetry - log
    */
   constructor (
     private readonly work: WorkGate,
-    private readonly terms: StopTerms,
+    private readonly limits: ShutdownLimits,
     private readonly telemetry: Telemetry
   ) {
-    this.#lagMs = Math.min(terms.balancerLagMs, terms.graceMs * LAG_SHARE)
+    this.#lagMs = Math.min(limits.balancerLagMs, limits.graceMs * MAX_LAG_FRACTION)
   }
 
   /** Whether the signal has come. */
@@ -89,20 +89,20 @@
    * Begins the stop, before the balancer has noticed.
    *
    * @param signalledAt - monotonic milliseconds of the signal
-   * @param edge - the callers' side
+   * @param server - the callers' side
    */
-  begin (signalledAt: number, edge: CallerEdge): void {
+  begin (signalledAt: number, server: DrainableServer): void {
     this.#signalledAt = signalledAt
     this.#log('signalled')
-    edge.releaseWaiting()
-    this.#cutTimer = setTimeout(() => { this.#cut(edge) }, Math.max(0, this.#leftMs - CUT_BEFORE_KILL_MS))
+    server.releaseWaiting()
+    this.#abortTimer = setTimeout(() => { this.#abort(server) }, Math.max(0, this.#leftMs - ABORT_BEFORE_KILL_MS))
   }
 
   /**
    * @param request - a request that would begin now
    * @returns whether this host can take it; always true before the signal
    */
-  admits ({ remainingMs, expectedMs }: RequestTime): boolean {
+  admits ({ remainingMs, expectedMs }: RequestTimeEstimate): boolean {
     if (!this.isStopping) return true
     return admitWhileStopping({ leftMs: this.#leftMs, remainingMs, expectedMs, isBalancerLagOver: this.sinceSignalMs >= this.#lagMs })
   }
@@ -110,51 +110,51 @@
   /**
    * Sees a stop that has begun through to its end.
    *
-   * @param edge - the callers' side
+   * @param server - the callers' side
    * @returns once no work is under way and none will begin
    */
-  async drain (edge: CallerEdge): Promise<void> {
-    const cut = new Promise<void>(resolve => { this.#endCut = resolve })
-    await Promise.race([this.#finish(edge), cut])
-    clearTimeout(this.#cutTimer)
+  async drain (server: DrainableServer): Promise<void> {
+    const cut = new Promise<void>(resolve => { this.#finishAbort = resolve })
+    await Promise.race([this.#finish(server), cut])
+    clearTimeout(this.#abortTimer)
     this.#log('ended')
   }
 
-  get #leftMs (): number { return this.terms.graceMs - this.sinceSignalMs }
+  get #leftMs (): number { return this.limits.graceMs - this.sinceSignalMs }
 
-  async #finish (edge: CallerEdge): Promise<void> {
+  async #finish (server: DrainableServer): Promise<void> {
     await sleep(Math.max(0, this.#lagMs - this.sinceSignalMs))
     this.#log('balancer-lag-over')
     // Not now: the process may have been held up since.
     const lagOverAt = performance.now() - this.sinceSignalMs + this.#lagMs
-    edge.closeIdleConnections()
+    server.closeIdleConnections()
     // While earlier work keeps the process, it may as well serve whoever still comes.
     await this.work.whenPresentEnds()
-    await this.#whenQuiet(edge, lagOverAt)
+    await this.#whenQuiet(server, lagOverAt)
     this.work.close()
     this.#log('gate-closed')
-    edge.logUnderWay()
+    server.logUnderWay()
     await this.work.whenIdle()
   }
 
-  async #whenQuiet (edge: CallerEdge, lagOverAt: number): Promise<void> {
+  async #whenQuiet (server: DrainableServer, lagOverAt: number): Promise<void> {
     while (!this.work.isClosed) {
       const now = performance.now()
-      if (now - lagOverAt >= QUIET_WAIT_MS || now - Math.max(edge.lastRequestAt, lagOverAt) >= QUIET_MS) return
-      await sleep(QUIET_LOOK_MS)
+      if (now - lagOverAt >= MAX_QUIET_WAIT_MS || now - Math.max(server.lastRequestAt, lagOverAt) >= QUIET_PERIOD_MS) return
+      await sleep(QUIET_POLL_INTERVAL_MS)
     }
   }
 
-  #cut (edge: CallerEdge): void {
+  #abort (server: DrainableServer): void {
     this.#log('cut')
     this.work.close()
-    edge.cutUnderWay()
-    setTimeout(() => { this.#endCut() }, CUT_WRITE_MS)
+    server.cutUnderWay()
+    setTimeout(() => { this.#finishAbort() }, ABORT_WRITE_MS)
   }
 
   #log (step: string): void {
     this.telemetry.stateChanged('stop-step', {
-      step, underWay: this.work.underWay, sinceSignalMs: Math.round(this.sinceSignalMs), balancerLagMs: this.#lagMs, graceMs: this.terms.graceMs
+      step, underWay: this.work.underWay, sinceSignalMs: Math.round(this.sinceSignalMs), balancerLagMs: this.#lagMs, graceMs: this.limits.graceMs
     })
   }
 }
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -51,7 +51,7 @@
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Lateness of a timer that says that callers may have left unnoticed, in milliseconds; usual lateness is a few. */
-const LAGGING_MS = 40
+const EVENT_LOOP_LAG_LIMIT_MS = 40
 
 /**
  * Starts an entry host for routed requests.
@@ -89,7 +89,7 @@
   })
   const loads = new LoadExchange(address, {
     datagrams,
-    board: () => link.leader,
+    aggregatorAddress: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
     others: fleet.others,
@@ -121,14 +121,14 @@
     storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
     storeClockMs: now => stored.storeClockMs(now),
     beforePlacing: place => { loads.beforePlacing(place) },
-    isLagging: () => link.lagMs > LAGGING_MS
+    isLagging: () => link.lagMs > EVENT_LOOP_LAG_LIMIT_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
   const port = await server.listen(settings.host, settings.port, platform.earlyListener)
   const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
-  const edges = await platform.openPlatformServers(isReady)
+  const platformServers = await platform.openPlatformServers(isReady)
 
   let siteVersion = -1
-  const putInForce = (site: Site | undefined): void => {
+  const applySite = (site: Site | undefined): void => {
     if (site === undefined || site.version === siteVersion) return
     siteVersion = site.version
     server.configure(site)
@@ -141,7 +141,7 @@
     quarantine.logChanges(link.viewRevision, performance.now())
     fleet.update(link.endpoints)
     fleet.limits.evacuate(link.evacuated, performance.now())
-    putInForce(link.site)
+    applySite(link.site)
     server.releaseWaiting()
   })
   link.start()
@@ -164,7 +164,7 @@
       link.stop()
       loads.stop()
       crashReporter.stop()
-      await edges.close()
+      await platformServers.close()
       rpc.close()
       datagrams.close()
     }
--- a/apps/entry/src/lib/callers/CallerServer.ts
+++ b/apps/entry/src/lib/callers/CallerServer.ts
@@ -14,7 +14,7 @@
 import type { PlainHandler } from '../plain/PlainHandler.js'
 import type { CompletionHandler } from './CompletionHandler.js'
 import { problemResponse } from './problem.js'
-import { refuseUnseen } from './readBody.js'
+import { refuseUndispatched } from './readBody.js'
 
 /** What the server needs from around it. */
 export interface CallerPorts {
@@ -75,33 +75,33 @@
 
   #routes (): H3 {
     const app = new H3()
-    app.post('/v1/completions', this.#newWork(async (event, customer) => await this.completions.complete(event.req, connectionOf(event), customer, 'text')))
-    app.post('/v1/chat/completions', this.#newWork(async (event, customer) => await this.completions.complete(event.req, connectionOf(event), customer, 'chat')))
-    app.get('/v1/runs/:run', this.#oldWork(async (event, customer) =>
+    app.post('/v1/completions', this.#handleNewWork(async (event, customer) => await this.completions.complete(event.req, connectionOf(event), customer, 'text')))
+    app.post('/v1/chat/completions', this.#handleNewWork(async (event, customer) => await this.completions.complete(event.req, connectionOf(event), customer, 'chat')))
+    app.get('/v1/runs/:run', this.#handleContinuation(async (event, customer) =>
       await this.completions.resume(connectionOf(event), customer, event.context.params?.run ?? '', event.url.searchParams)))
-    app.all('/services/:service/**', this.#newWork(async (event, customer) => {
+    app.all('/services/:service/**', this.#handleNewWork(async (event, customer) => {
       const service = event.context.params?.service ?? ''
       const path = event.url.pathname.slice(`/services/${service}`.length) + event.url.search
       return await this.plain.handle(event.req, customer, service, path)
     }))
-    app.all('/**', event => this.#refuse(refuseUnseen({ reason: 'unknown-path', status: 404, detail: `there is nothing at ${event.url.pathname}`, field: 'path' })))
+    app.all('/**', event => this.#refuse(refuseUndispatched({ reason: 'unknown-path', status: 404, detail: `there is nothing at ${event.url.pathname}`, field: 'path' })))
     return app
   }
 
   /** New work needs a host that is not stopping and whose configuration is the newest. */
-  #newWork (handler: Handler): (event: H3Event) => Promise<Response> {
+  #handleNewWork (handler: Handler): (event: H3Event) => Promise<Response> {
     return this.#authenticated(async (event, customer) => {
       this.#lastRequestAt = performance.now()
       const ticket = this.ports.work.tryBegin()
       if (ticket === undefined) {
-        return { ok: false, error: refuseUnseen({ reason: 'draining', status: 503, detail: 'this host is stopping; ask another', retryAfterSeconds: 1 }) }
+        return { ok: false, error: refuseUndispatched({ reason: 'draining', status: 503, detail: 'this host is stopping; ask another', retryAfterSeconds: 1 }) }
       }
       return await this.#withTicket(ticket, event, customer, handler)
     })
   }
 
   /** Continuing a run that is here goes on while the host drains. */
-  #oldWork (handler: Handler): (event: H3Event) => Promise<Response> {
+  #handleContinuation (handler: Handler): (event: H3Event) => Promise<Response> {
     return this.#authenticated(async (event, customer) =>
       await this.#withTicket(this.ports.work.beginFollowUp(), event, customer, handler))
   }
@@ -121,11 +121,11 @@
       if (this.ports.stop.isStopping) connectionOf(event).shouldKeepAlive = false
       // Which customer a credential belongs to is configuration too, so freshness comes first.
       if (!this.ports.isFresh()) {
-        return this.#refuse(refuseUnseen({ reason: 'configuration-stale', status: 503, detail: 'this host can not confirm its configuration; ask another', retryAfterSeconds: 1 }))
+        return this.#refuse(refuseUndispatched({ reason: 'configuration-stale', status: 503, detail: 'this host can not confirm its configuration; ask another', retryAfterSeconds: 1 }))
       }
       const customer = this.#customer(event.req.headers.get('authorization'))
       if (customer === undefined) {
-        return this.#refuse(refuseUnseen({ reason: 'unknown-credential', status: 401, detail: 'send a known credential as a bearer token', field: 'Authorization' }))
+        return this.#refuse(refuseUndispatched({ reason: 'unknown-credential', status: 401, detail: 'send a known credential as a bearer token', field: 'Authorization' }))
       }
       const result = await handler(event, customer)
       if (!result.ok) return this.#refuse(result.error)
--- a/apps/entry/src/lib/callers/CompletionHandler.ts
+++ b/apps/entry/src/lib/callers/CompletionHandler.ts
@@ -10,13 +10,13 @@
 import type { Run } from '../runs/Run.js'
 import type { RunManager } from '../runs/RunManager.js'
 import type { RunRequest } from '../runs/RunTask.js'
-import { wholeAnswer, type AnswerHeader, type CompletionForm } from './completionFormat.js'
-import { parseJson, readBody, refuseUnseen } from './readBody.js'
-import { writePieces } from './writePieces.js'
+import { buildAnswer, type AnswerHeader, type CompletionForm } from './completionFormat.js'
+import { parseJson, readBody, refuseUndispatched } from './readBody.js'
+import { writeChunks } from './writeChunks.js'
 import { writeRun } from './writeRun.js'
 
 /** Largest completion request, in bytes. */
-const BODY_LIMIT_BYTES = 8 * 1024 * 1024
+const MAX_BODY_BYTES = 8 * 1024 * 1024
 
 interface ParsedCompletion {
   readonly service: string
@@ -49,22 +49,22 @@
   async complete (
     request: Request, connection: ServerResponse, customer: Customer, form: CompletionForm
   ): Promise<Result<Response | undefined, Refusal>> {
-    const bytes = await readBody(request, BODY_LIMIT_BYTES)
+    const bytes = await readBody(request, MAX_BODY_BYTES)
     if (!bytes.ok) return bytes
     const parsed = this.#parse(bytes.value, customer, form)
     if (!parsed.ok) return parsed
     const { service, stream } = parsed.value
-    const gone = goneSignal(connection)
-    const started = await this.runs.start(service, parsed.value.request, gone)
+    const disconnected = createDisconnectSignal(connection)
+    const started = await this.runs.start(service, parsed.value.request, disconnected)
     if (!started.ok) return started
     const run = started.value
     // The status line waits for the first token, so that a refusal can still be a refusal.
-    await run.waitForStart(gone)
+    await run.waitForStart(disconnected)
     if (run.end?.kind === 'failed' && run.length === 0) return fail(run.end.refusal)
     const header: AnswerHeader = {
       runId: run.id, form, service, version: run.version ?? '', createdSeconds: Math.floor(Date.now() / 1000)
     }
-    if (!stream) return await this.#whole(run, header, gone)
+    if (!stream) return await this.#respondWithoutStream(run, header, disconnected)
     await writeRun(run, header, 0, connection)
     return succeed(undefined)
   }
@@ -83,10 +83,10 @@
   ): Promise<Result<Response | undefined, Refusal>> {
     const offset = Number(query.get('offset') ?? 0)
     if (!Number.isInteger(offset) || offset < 0) {
-      return fail(refuseUnseen({ reason: 'invalid-body', status: 400, detail: 'offset must be a whole number from 0', field: 'offset' }))
+      return fail(refuseUndispatched({ reason: 'invalid-body', status: 400, detail: 'offset must be a whole number from 0', field: 'offset' }))
     }
     const form: CompletionForm = query.get('form') === 'chat' ? 'chat' : 'text'
-    const unknown = refuseUnseen({ reason: 'unknown-run', status: 404, detail: 'no such run, or it is not kept any more', field: 'run' })
+    const unknown = refuseUndispatched({ reason: 'unknown-run', status: 404, detail: 'no such run, or it is not kept any more', field: 'run' })
     const parsed = parseRunId(runId)
     if (parsed === undefined) return fail(unknown)
     const header: AnswerHeader = { runId, form, service: '', version: '', createdSeconds: Math.floor(Date.now() / 1000) }
@@ -95,18 +95,18 @@
       await writeRun(run, { ...header, version: run.version ?? '' }, offset, connection)
       return succeed(undefined)
     }
-    const gone = goneSignal(connection)
-    const remote = await this.peers.read(parsed.entry, { runId, customer: customer.name, offset }, gone)
+    const disconnected = createDisconnectSignal(connection)
+    const remote = await this.peers.read(parsed.entry, { runId, customer: customer.name, offset }, disconnected)
     if (remote === undefined) return fail({ ...unknown, run: 'unknown' })
-    await writePieces(remote, header, offset, connection)
+    await writeChunks(remote, header, offset, connection)
     return succeed(undefined)
   }
 
-  async #whole (run: Run, header: AnswerHeader, gone: AbortSignal): Promise<Result<Response, Refusal>> {
-    for await (const piece of run.read(0, gone)) {
-      if (piece.kind === 'failed') return fail(piece.refusal)
-      if (piece.kind !== 'complete') continue
-      const body = wholeAnswer(header, run.tokens.join(''), piece.finishReason, { ...piece, completionTokens: run.length })
+  async #respondWithoutStream (run: Run, header: AnswerHeader, disconnected: AbortSignal): Promise<Result<Response, Refusal>> {
+    for await (const chunk of run.read(0, disconnected)) {
+      if (chunk.kind === 'failed') return fail(chunk.refusal)
+      if (chunk.kind !== 'complete') continue
+      const body = buildAnswer(header, run.tokens.join(''), chunk.finishReason, { ...chunk, completionTokens: run.length })
       return succeed(Response.json(body, { headers: { 'eelgrassmux-run-id': run.id } }))
     }
     return fail(refuse({ reason: 'endpoint-failed', status: 499, detail: 'the caller left' }, run.dispatch))
@@ -121,7 +121,7 @@
     const service = services.get(body.model)
     const profile = profiles.get(service?.profile ?? '')
     if (service?.type !== 'model' || profile === undefined) {
-      return fail(refuseUnseen({ reason: 'unknown-service', status: 404, detail: `there is no model service ${body.model}`, field: 'model' }))
+      return fail(refuseUndispatched({ reason: 'unknown-service', status: 404, detail: `there is no model service ${body.model}`, field: 'model' }))
     }
     const request: RunRequest = { customer, model: service.model, profile, prompt, maxTokens: body.max_tokens }
     return succeed({ service: service.name, stream: body.stream, request })
@@ -129,8 +129,8 @@
 }
 
 /** Aborted when the caller has left. */
-function goneSignal (connection: ServerResponse): AbortSignal {
-  const gone = new AbortController()
-  connection.once('close', () => { gone.abort() })
-  return gone.signal
+function createDisconnectSignal (connection: ServerResponse): AbortSignal {
+  const disconnected = new AbortController()
+  connection.once('close', () => { disconnected.abort() })
+  return disconnected.signal
 }
--- a/apps/entry/src/lib/callers/completionFormat.ts
+++ b/apps/entry/src/lib/callers/completionFormat.ts
@@ -1,5 +1,5 @@
 /** Forms in which answers go to callers: text or chat completions, whole or as server-sent events. */
-import type { RunPiece } from '../runs/Run.js'
+import type { RunChunk } from '../runs/Run.js'
 import { toProblem } from './problem.js'
 
 /** Which of the two request forms the caller used. */
@@ -33,36 +33,36 @@
  * @param usage - token counts
  * @returns the JSON body
  */
-export function wholeAnswer (header: AnswerHeader, text: string, finishReason: string, usage: AnswerUsage): object {
+export function buildAnswer (header: AnswerHeader, text: string, finishReason: string, usage: AnswerUsage): object {
   const choice = header.form === 'text'
     ? { index: 0, text, finish_reason: finishReason }
     : { index: 0, message: { role: 'assistant', content: text }, finish_reason: finishReason }
-  return { ...common(header, ''), choices: [choice], usage: usageBody(usage) }
+  return { ...commonFields(header, ''), choices: [choice], usage: usageBody(usage) }
 }
 
 /**
- * Renders a piece of an answer as server-sent events.
+ * Renders a chunk of an answer as server-sent events.
  *
  * @param header - what all parts share
- * @param piece - tokens or the end
+ * @param chunk - tokens or the end
  * @param length - tokens of the answer so far
  * @returns the events' text; a failed run ends with an `error` event and without `[DONE]`
  */
-export function renderPiece (header: AnswerHeader, piece: RunPiece, length: number): string {
-  switch (piece.kind) {
+export function renderChunk (header: AnswerHeader, chunk: RunChunk, length: number): string {
+  switch (chunk.kind) {
     case 'tokens':
-      return event({ ...common(header, '.chunk'), offset: piece.offset, tokens: piece.tokens.length, choices: [deltaChoice(header, piece.tokens.join(''), null)] })
+      return event({ ...commonFields(header, '.chunk'), offset: chunk.offset, tokens: chunk.tokens.length, choices: [deltaChoice(header, chunk.tokens.join(''), null)] })
     case 'complete': {
-      const usage = { ...piece, completionTokens: length }
-      const last = { ...common(header, '.chunk'), offset: length, tokens: 0, choices: [deltaChoice(header, '', piece.finishReason)], usage: usageBody(usage) }
+      const usage = { ...chunk, completionTokens: length }
+      const last = { ...commonFields(header, '.chunk'), offset: length, tokens: 0, choices: [deltaChoice(header, '', chunk.finishReason)], usage: usageBody(usage) }
       return event(last) + STREAM_DONE
     }
     case 'failed':
-      return `event: error\ndata: ${JSON.stringify(toProblem(piece.refusal))}\n\n`
+      return `event: error\ndata: ${JSON.stringify(toProblem(chunk.refusal))}\n\n`
   }
 }
 
-function common (header: AnswerHeader, suffix: string): object {
+function commonFields (header: AnswerHeader, suffix: string): object {
   const object = header.form === 'text' ? 'text_completion' : `chat.completion${suffix}`
   return { id: header.runId, object, created: header.createdSeconds, model: header.service, system_fingerprint: header.version }
 }
--- a/apps/entry/src/lib/callers/readBody.ts
+++ b/apps/entry/src/lib/callers/readBody.ts
@@ -9,7 +9,7 @@
  * @param details - reason, status and text
  * @returns a refusal that says "not run"
  */
-export function refuseUnseen (details: RefusalDetails): Refusal {
+export function refuseUndispatched (details: RefusalDetails): Refusal {
   return refuse(details, new DispatchRecord())
 }
 
@@ -21,7 +21,7 @@
  * @returns the bytes, or a refusal
  */
 export async function readBody (request: Request, limitBytes: number): Promise<Result<Uint8Array, Refusal>> {
-  const tooLarge = refuseUnseen({ reason: 'body-too-large', status: 413, detail: `the body is larger than ${limitBytes} bytes`, field: 'body' })
+  const tooLarge = refuseUndispatched({ reason: 'body-too-large', status: 413, detail: `the body is larger than ${limitBytes} bytes`, field: 'body' })
   if (Number(request.headers.get('content-length') ?? 0) > limitBytes) return fail(tooLarge)
   const parts: Uint8Array[] = []
   let total = 0
@@ -47,12 +47,12 @@
   try {
     value = JSON.parse(Buffer.from(bytes).toString('utf8'))
   } catch (error) {
-    return fail(refuseUnseen({ reason: 'malformed-json', status: 400, detail: String(error), field: 'body' }))
+    return fail(refuseUndispatched({ reason: 'malformed-json', status: 400, detail: String(error), field: 'body' }))
   }
   const parsed = schema.safeParse(value)
   if (parsed.success) return succeed(parsed.data)
   const issue = parsed.error.issues[0]
   const unknownKeys = issue?.code === 'unrecognized_keys' ? issue.keys : []
   const field = [...issue?.path ?? [], ...unknownKeys.slice(0, 1)].join('.')
-  return fail(refuseUnseen({ reason: 'invalid-body', status: 400, detail: issue?.message ?? 'invalid', field: field === '' ? 'body' : field }))
+  return fail(refuseUndispatched({ reason: 'invalid-body', status: 400, detail: issue?.message ?? 'invalid', field: field === '' ? 'body' : field }))
 }
--- a/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
+++ b/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
@@ -1,10 +1,10 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { GracefulShutdown, type CallerEdge } from '../GracefulShutdown.js'
+import { GracefulShutdown, type DrainableServer } from '../GracefulShutdown.js'
 import { refuseWhileStopping } from './refuseWhileStopping.js'
 
-class IdleEdge implements CallerEdge {
+class IdleEdge implements DrainableServer {
   readonly lastRequestAt = 0
   releaseWaiting (): void {}
   closeIdleConnections (): void {}
--- a/apps/entry/src/lib/callers/writeRun.ts
+++ b/apps/entry/src/lib/callers/writeRun.ts
@@ -7,7 +7,7 @@
  */
 import type { ServerResponse } from 'node:http'
 import type { Run } from '../runs/Run.js'
-import { renderPiece, type AnswerHeader } from './completionFormat.js'
+import { renderChunk, type AnswerHeader } from './completionFormat.js'
 
 /** Response headers of every event stream. */
 export const STREAM_HEADERS = { 'content-type': 'text/event-stream', 'cache-control': 'no-store' } as const
@@ -40,12 +40,12 @@
     }
     const pump = (): void => {
       while (!isBlocked) {
-        const piece = run.pieceFrom(position)
-        if (piece === undefined) return
-        if (piece.kind === 'tokens') position += piece.tokens.length
-        isBlocked = !response.write(renderPiece(header, piece, position))
-        reader.advance(position, piece.kind !== 'tokens')
-        if (piece.kind === 'tokens') continue
+        const chunk = run.chunkFrom(position)
+        if (chunk === undefined) return
+        if (chunk.kind === 'tokens') position += chunk.tokens.length
+        isBlocked = !response.write(renderChunk(header, chunk, position))
+        reader.advance(position, chunk.kind !== 'tokens')
+        if (chunk.kind === 'tokens') continue
         response.end(finish)
         return
       }
--- a/apps/entry/src/lib/fleet/DispatchNotices.ts
+++ b/apps/entry/src/lib/fleet/DispatchNotices.ts
@@ -19,10 +19,10 @@
 }
 
 /** Dispatches of this time go out in one message, in milliseconds. */
-const BATCH_MS = 3
+const BATCH_WINDOW_MS = 3
 
 /** A notice that takes longer is worth nothing, in milliseconds. */
-const DEADLINE_MS = 200
+const NOTICE_DEADLINE_MS = 200
 
 /** Shares dispatches among entry hosts. */
 export class DispatchNotices {
@@ -60,16 +60,16 @@
   announce (engine: string, tokens: number): void {
     this.#pending.push({ engine, tokens, at: this.clock.now() })
     if (this.#pending.length > 1) return
-    void this.#sendSoon()
+    void this.#sendBatch()
   }
 
-  async #sendSoon (): Promise<void> {
-    await this.clock.sleep(BATCH_MS)
+  async #sendBatch (): Promise<void> {
+    await this.clock.sleep(BATCH_WINDOW_MS)
     const now = this.clock.now()
     const dispatches = this.#pending.map(({ engine, tokens, at }) => ({ engine, tokens, ageMs: now - at }))
     this.#pending = []
     await Promise.all(this.peers().map(async peer => {
-      const answer = await this.rpc.call(peer, noticeDispatches, { dispatches }, DEADLINE_MS)
+      const answer = await this.rpc.call(peer, noticeDispatches, { dispatches }, NOTICE_DEADLINE_MS)
       this.outcomes.count(answer.ok ? 'sent' : answer.error.kind)
     }))
   }
--- a/apps/entry/src/lib/fleet/FleetWatcher.ts
+++ b/apps/entry/src/lib/fleet/FleetWatcher.ts
@@ -10,10 +10,10 @@
 import type { EngineEndpoint, PlainEndpoint, Store } from '@eelgrassmux/schema/configuration'
 
 /** Interval between reports of each back end, in milliseconds. */
-const POLL_MS = 250
+const POLL_INTERVAL_MS = 250
 
 /** Interval between readings of the platform's list, in milliseconds. */
-const LIST_MS = 500
+const MEMBERSHIP_POLL_INTERVAL_MS = 500
 
 interface Watched<Client> {
   readonly client: Client
@@ -31,7 +31,7 @@
   readonly #engines = new Map<string, Watched<EngineClient>>()
   readonly #services = new Map<string, Watched<ServiceClient>>()
   readonly #stores = new Map<string, Watched<StoreClient>>()
-  readonly #storesUp = new Map<string, number>()
+  readonly #storesLastSeenAt = new Map<string, number>()
   readonly #membership: MembershipClient | undefined
   #listTimer: NodeJS.Timeout | undefined
 
@@ -42,7 +42,7 @@
 
   /** Starts to read the platform's list. */
   start (): void {
-    this.#listTimer = setInterval(() => { void this.#readList() }, LIST_MS)
+    this.#listTimer = setInterval(() => { void this.#readList() }, MEMBERSHIP_POLL_INTERVAL_MS)
     void this.#readList()
   }
 
@@ -51,9 +51,9 @@
     this.engineTable.retain(new Set(configuration.engines.keys()))
     this.serviceTable.retain(new Set(configuration.plainEndpoints.keys()))
     this.links.retain(new Set(configuration.stores.keys()))
-    this.#sync(this.#engines, configuration.engines, endpoint => this.#watchEngine(endpoint))
-    this.#sync(this.#services, configuration.plainEndpoints, endpoint => this.#watchService(endpoint))
-    this.#sync(this.#stores, configuration.stores, store => this.#watchStore(store))
+    this.#reconcile(this.#engines, configuration.engines, endpoint => this.#watchEngine(endpoint))
+    this.#reconcile(this.#services, configuration.plainEndpoints, endpoint => this.#watchService(endpoint))
+    this.#reconcile(this.#stores, configuration.stores, store => this.#watchStore(store))
     for (const store of configuration.stores.values()) this.links.configure(store.name, store.linkBytesPerSecond)
     void this.#readList()
   }
@@ -63,8 +63,8 @@
    * @param dataCentres - whose endpoints get no new work
    */
   evacuate (configuration: ConfigurationIndex, dataCentres: ReadonlySet<string>): void {
-    this.engineTable.evacuate(namesIn(configuration.engines, dataCentres))
-    this.serviceTable.evacuate(namesIn(configuration.plainEndpoints, dataCentres))
+    this.engineTable.evacuate(endpointNamesIn(configuration.engines, dataCentres))
+    this.serviceTable.evacuate(endpointNamesIn(configuration.plainEndpoints, dataCentres))
   }
 
   /**
@@ -87,9 +87,9 @@
    * @param now - monotonic milliseconds
    * @returns stores that answered lately, with the share of their capacity in use
    */
-  storesUp (now: number): string[] {
+  availableStores (now: number): string[] {
     const lately = now - DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
-    return [...this.#storesUp].filter(([, at]) => at > lately).map(([store]) => store)
+    return [...this.#storesLastSeenAt].filter(([, at]) => at > lately).map(([store]) => store)
   }
 
   /** Stops all polling and closes all connections. */
@@ -102,7 +102,7 @@
     await this.#membership?.close()
   }
 
-  #sync<Document extends { readonly name: string, readonly address: string }, Client extends { close (): Promise<void> }> (
+  #reconcile<Document extends { readonly name: string, readonly address: string }, Client extends { close (): Promise<void> }> (
     watched: Map<string, Watched<Client>>, documents: ReadonlyMap<string, Document>, watch: (document: Document) => Watched<Client>
   ): void {
     for (const [name, present] of watched) {
@@ -126,7 +126,7 @@
       this.engineTable.observeReport(name, { leaving: state === 'leaving', incarnation }, now)
       this.loads.observe(name, report.value, now)
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   #watchService ({ name, address }: PlainEndpoint): Watched<ServiceClient> {
@@ -137,7 +137,7 @@
       const { state, incarnation } = health.value
       this.serviceTable.observeReport(name, { leaving: state === 'leaving', incarnation }, performance.now())
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   #watchStore ({ name, address }: Store): Watched<StoreClient> {
@@ -146,10 +146,10 @@
       const load = await client.load()
       if (!load.ok) return
       const now = performance.now()
-      this.#storesUp.set(name, now)
+      this.#storesLastSeenAt.set(name, now)
       this.links.observeBacklog(name, load.value.backlogBytes, now)
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   async #readList (): Promise<void> {
@@ -161,14 +161,14 @@
   }
 }
 
-function namesIn (endpoints: ReadonlyMap<string, { readonly dataCentre: string }>, dataCentres: ReadonlySet<string>): Set<string> {
+function endpointNamesIn (endpoints: ReadonlyMap<string, { readonly dataCentre: string }>, dataCentres: ReadonlySet<string>): Set<string> {
   return new Set([...endpoints].filter(([, { dataCentre }]) => dataCentres.has(dataCentre)).map(([name]) => name))
 }
 
 /** Polls now and then at an interval; a slow poll is not overtaken by the next. */
-function every (intervalMs: number, poll: () => Promise<void>): NodeJS.Timeout {
+function pollEvery (intervalMs: number, poll: () => Promise<void>): NodeJS.Timeout {
   let busy = false
-  const turn = async (): Promise<void> => {
+  const runPoll = async (): Promise<void> => {
     if (busy) return
     busy = true
     try {
@@ -177,6 +177,6 @@
       busy = false
     }
   }
-  void turn()
-  return setInterval(() => { void turn() }, intervalMs)
+  void runPoll()
+  return setInterval(() => { void runPoll() }, intervalMs)
 }
--- a/apps/entry/src/lib/load/LoadExchange.test.ts
+++ b/apps/entry/src/lib/load/LoadExchange.test.ts
@@ -7,7 +7,7 @@
 import { LoadExchange } from './LoadExchange.js'
 
 /** One host and the one that adds up, which has 5 requests of others at an endpoint; all on a virtual clock. */
-class World {
+class ExchangeHarness {
   asked = 0
   reports: LoadReport[] = []
   answers = true
@@ -26,7 +26,7 @@
       },
       tell: (_address, _method, request) => { this.reports.push(request as LoadReport) }
     },
-    board: () => this.board,
+    aggregatorAddress: () => this.board,
     liveHosts: () => 8,
     ownWork: () => this.own,
     others: this.others,
@@ -46,7 +46,7 @@
   afterEach(() => { vi.useRealTimers() })
 
   it('places a request on what others have under way at that moment', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     const placed = world.place()
     expect(placed.at).toBeUndefined()
     vi.advanceTimersByTime(2)
@@ -58,7 +58,7 @@
   })
 
   it('never holds a request for longer than an answer is worth', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     world.answers = false
     const placed = world.place()
     vi.advanceTimersByTime(9)
@@ -68,7 +68,7 @@
   })
 
   it('does not wait when there is nobody to ask, and lets what waits go when it stops', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     const waiting = world.place()
     world.exchange.stop()
     expect(waiting.at).toBe(0)
@@ -78,7 +78,7 @@
   })
 
   it('that rarely asks tells of its sends at once, and again while there is work; a host at rest is silent', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     vi.advanceTimersByTime(1000)
     expect(world.reports).toHaveLength(0)
     world.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
@@ -94,7 +94,7 @@
   })
 
   it('that asks often tells of its sends with the next question, or a moment later if none comes', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     for (let question = 0; question < 20; question += 1) {
       world.place()
       vi.advanceTimersByTime(100)
@@ -113,7 +113,7 @@
   })
 
   it('asks by the clock while a host starts, so that what waits there is let go', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     world.exchange.start()
     vi.advanceTimersByTime(500)
     expect(world.others.isRecent(performance.now())).toBe(true)
@@ -123,12 +123,12 @@
   })
 
   it('takes no answer that it cannot read, and goes on', () => {
-    const world = new World()
+    const world = new ExchangeHarness()
     const telemetry = new Telemetry('test')
     let answer: (totals: Uint8Array) => void = () => {}
     const exchange = new LoadExchange('h', {
       datagrams: { ask: (_address, _method, _request, onAnswer) => { answer = totals => { onAnswer(totals as never, 0) } }, tell: () => {} },
-      board: () => 'board',
+      aggregatorAddress: () => 'board',
       liveHosts: () => 1,
       ownWork: () => world.own,
       others: world.others,
--- a/apps/entry/src/lib/load/LoadExchange.ts
+++ b/apps/entry/src/lib/load/LoadExchange.ts
@@ -8,16 +8,16 @@
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** Time after the start in which a host asks by the clock, in milliseconds: what waits at its start is let go once the others' work is known. */
-const STARTUP_MS = 3000
+const STARTUP_PERIOD_MS = 3000
 
 /** Interval of that, in milliseconds. */
-const STARTUP_ASK_MS = 100
+const STARTUP_ASK_INTERVAL_MS = 100
 
 /** Where questions come from and answers go. */
 export interface LoadExchangePorts {
   readonly datagrams: Pick<DatagramClient, 'ask' | 'tell'>
   /** Address of the control host that adds up, as of now. */
-  board (): string | undefined
+  aggregatorAddress (): string | undefined
   /** Entry hosts that exchange, as of now. */
   liveHosts (): number
   /** This host's work, as of now. */
@@ -34,7 +34,7 @@
   readonly #malformed: LabelledCounter
   readonly #endpointNames = new NameList()
   #sequence = 0
-  #startup: NodeJS.Timeout | undefined
+  #startupTimer: NodeJS.Timeout | undefined
   #tellTimer: NodeJS.Timeout | undefined
   #tellTimerAt = Number.POSITIVE_INFINITY
   /** Requests that wait for an answer. */
@@ -55,15 +55,15 @@
   /** Begins to ask by the clock, until the host has started. */
   start (): void {
     const startedAt = performance.now()
-    this.#startup = setInterval(() => {
-      if (performance.now() - startedAt > STARTUP_MS) clearInterval(this.#startup)
+    this.#startupTimer = setInterval(() => {
+      if (performance.now() - startedAt > STARTUP_PERIOD_MS) clearInterval(this.#startupTimer)
       this.#ask()
-    }, STARTUP_ASK_MS)
+    }, STARTUP_ASK_INTERVAL_MS)
   }
 
   /** Ends exchanging; what waits goes on. */
   stop (): void {
-    clearInterval(this.#startup)
+    clearInterval(this.#startupTimer)
     clearTimeout(this.#tellTimer)
     this.#releaseWaiting()
   }
@@ -98,20 +98,20 @@
 
   /** @returns whether there was anybody to ask */
   #ask (): boolean {
-    const board = this.ports.board()
-    if (board === undefined) return false
+    const aggregator = this.ports.aggregatorAddress()
+    if (aggregator === undefined) return false
     const report = this.#report()
     this.#plan.asked(performance.now())
-    this.ports.datagrams.ask(board, askLoad, report, (totals, askedAt) => { this.#take(Buffer.from(totals), askedAt) })
+    this.ports.datagrams.ask(aggregator, askLoad, report, (totals, askedAt) => { this.#applyTotals(Buffer.from(totals), askedAt) })
     this.#noteReported(report)
     return true
   }
 
   #tell (): void {
-    const board = this.ports.board()
-    if (board === undefined) return
+    const aggregator = this.ports.aggregatorAddress()
+    if (aggregator === undefined) return
     const report = this.#report()
-    this.ports.datagrams.tell(board, tellLoad, report)
+    this.ports.datagrams.tell(aggregator, tellLoad, report)
     this.#noteReported(report)
   }
 
@@ -127,8 +127,8 @@
     this.#scheduleTelling()
   }
 
-  #take (bytes: Buffer, askedAt: number): void {
-    const totals = this.#read(bytes)
+  #applyTotals (bytes: Buffer, askedAt: number): void {
+    const totals = this.#decodeTotals(bytes)
     if (totals === undefined) return
     this.ports.others.answered(totals, performance.now())
     this.#plan.answered(askedAt)
@@ -136,7 +136,7 @@
     this.#releaseWaiting()
   }
 
-  #read (bytes: Buffer): LoadTotals | undefined {
+  #decodeTotals (bytes: Buffer): LoadTotals | undefined {
     try {
       return decodeLoadTotals(bytes, this.#endpointNames)
     } catch (error) {
--- a/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
+++ b/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
@@ -15,7 +15,7 @@
 import type { ProposeError } from '@eelgrassmux/view/ControlLink'
 
 /** A call to run at most once. */
-export interface OnceCall {
+export interface AtMostOnceCall {
   readonly record: RecordKey
   /** Everything that must be the same in a repeat. */
   readonly fingerprint: Uint8Array
@@ -26,7 +26,7 @@
 }
 
 /** What the task needs from around it. */
-export interface OncePorts {
+export interface AtMostOncePorts {
   propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>>
   readonly clock: Clock
   readonly outcomes: LabelledCounter
@@ -35,19 +35,19 @@
 }
 
 /** An answer, and whether it is a repeat of a stored one. */
-export interface OnceAnswer {
+export interface AtMostOnceAnswer {
   readonly answer: ServiceAnswer
   readonly isRepeat: boolean
 }
 
 /** Longest wait for a claim to be agreed on, in milliseconds. */
-const CLAIM_MS = 2000
+const CLAIM_TIMEOUT_MS = 2000
 
 /** Wait for the outcome to be recorded before the caller is answered anyway, in milliseconds. */
-const RECORD_WAIT_MS = 2000
+const MAX_RECORD_WAIT_MS = 2000
 
 /** How long recording an outcome or a release is tried in the background, in milliseconds. */
-const BACKGROUND_MS = 60_000
+const BACKGROUND_TIMEOUT_MS = 60_000
 
 /** Slack between hosts' wall clocks, in milliseconds. */
 const CLOCK_SLACK_MS = 2000
@@ -55,7 +55,7 @@
 /** Makes calls at most once. */
 export class AtMostOnceExecutor {
   /** @param ports - surroundings */
-  constructor (private readonly ports: OncePorts) {}
+  constructor (private readonly ports: AtMostOncePorts) {}
 
   /**
    * Runs a call, or repeats the stored answer of its key.
@@ -63,7 +63,7 @@
    * @param call - what to run
    * @returns the answer, or a refusal
    */
-  async run (call: OnceCall): Promise<Result<OnceAnswer, Refusal>> {
+  async run (call: AtMostOnceCall): Promise<Result<AtMostOnceAnswer, Refusal>> {
     const dispatch = new DispatchRecord()
     const claimId = randomUUID()
     const claim: Command = {
@@ -71,12 +71,12 @@
       record: call.record,
       bodySha256: createHash('sha256').update(call.fingerprint).digest('hex'),
       claimId,
-      deadlineAt: this.ports.clock.wallClock() + CLAIM_MS + call.timeoutMs + CLOCK_SLACK_MS
+      deadlineAt: this.ports.clock.wallClock() + CLAIM_TIMEOUT_MS + call.timeoutMs + CLOCK_SLACK_MS
     }
-    const claimed = await this.ports.propose(claim, CLAIM_MS)
+    const claimed = await this.ports.propose(claim, CLAIM_TIMEOUT_MS)
     if (!claimed.ok || claimed.value.kind !== 'claim') {
       // The claim may still be agreed on: it is withdrawn through the log and nothing is dispatched.
-      this.#inBackground({ kind: 'release', record: call.record, claimId })
+      this.#proposeInBackground({ kind: 'release', record: call.record, claimId })
       return this.#refuseUnknown('idempotency-unavailable', 'the claim could not be confirmed; whether an earlier call with this key ran is not known', 1)
     }
     const { result } = claimed.value
@@ -84,7 +84,7 @@
     return this.#answerClaim(result)
   }
 
-  async #dispatch (call: OnceCall, claimId: string, dispatch: DispatchRecord): Promise<Result<OnceAnswer, Refusal>> {
+  async #dispatch (call: AtMostOnceCall, claimId: string, dispatch: DispatchRecord): Promise<Result<AtMostOnceAnswer, Refusal>> {
     dispatch.markDispatched()
     const answer = await call.dispatch(call.timeoutMs)
     if (answer.ok) {
@@ -92,20 +92,20 @@
       const { status, contentType, body } = answer.value
       const complete: Command = { kind: 'complete', record: call.record, claimId, answer: { status, contentType, body } }
       // The caller gets its answer in any case; a repeat before the record is agreed on is told "unknown".
-      await Promise.race([this.#inBackground(complete), this.ports.clock.sleep(RECORD_WAIT_MS)])
+      await Promise.race([this.#proposeInBackground(complete), this.ports.clock.sleep(MAX_RECORD_WAIT_MS)])
       return succeed({ answer: answer.value, isRepeat: false })
     }
     if (isNotStarted(answer.error)) {
       dispatch.markNotStarted()
       this.ports.outcomes.count('not-started')
-      await Promise.race([this.#inBackground({ kind: 'release', record: call.record, claimId }), this.ports.clock.sleep(RECORD_WAIT_MS)])
+      await Promise.race([this.#proposeInBackground({ kind: 'release', record: call.record, claimId }), this.ports.clock.sleep(MAX_RECORD_WAIT_MS)])
       return fail(refuse({ reason: 'endpoint-refused', status: 503, detail: 'the endpoint did not start the call', retryAfterSeconds: 1 }, dispatch))
     }
     this.ports.outcomes.count('outcome-unknown')
     return fail(refuse({ reason: 'endpoint-failed', status: 502, detail: `no answer from the endpoint: ${answer.error.kind}; it may have run the call` }, dispatch))
   }
 
-  #answerClaim (result: Exclude<ClaimResult, { kind: 'claimed' }>): Result<OnceAnswer, Refusal> {
+  #answerClaim (result: Exclude<ClaimResult, { kind: 'claimed' }>): Result<AtMostOnceAnswer, Refusal> {
     this.ports.outcomes.count(result.kind)
     switch (result.kind) {
       case 'answered': return succeed({ answer: result.answer, isRepeat: true })
@@ -136,9 +136,9 @@
   }
 
   /** Proposes until it is applied or the time is up. */
-  async #inBackground (command: Command): Promise<void> {
+  async #proposeInBackground (command: Command): Promise<void> {
     const ticket = this.ports.work.beginFollowUp()
-    const proposed = await this.ports.propose(command, BACKGROUND_MS)
+    const proposed = await this.ports.propose(command, BACKGROUND_TIMEOUT_MS)
     if (!proposed.ok) this.ports.outcomes.count(`${command.kind}-not-recorded`)
     ticket.end()
   }
--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -20,7 +20,7 @@
 const WARD: Customer = { kind: 'customer', name: 'ward', credentialSha256: 'a'.repeat(64), cacheSecret: 'secret of the ward', share: 1 }
 
 /** One endpoint of one plain service behind the handler. */
-class World {
+class PlainServiceHarness {
   readonly lost: LostRun[] = []
   readonly whole: string[] = []
   readonly quarantined = new QuarantineTable()
@@ -60,7 +60,7 @@
     return answer.ok ? { status: answer.value.status, reason: undefined, run: undefined } : { status: answer.error.status, reason: answer.error.reason, run: answer.error.run }
   }
 
-  hold (fingerprint: string): void {
+  quarantineRequest (fingerprint: string): void {
     this.quarantined.replace([{ fingerprint, service: 'app', state: 'quarantined', quarantines: 1, leftMs: MINUTE_MS }], performance.now())
   }
 
@@ -72,11 +72,11 @@
 }
 
 describe('calls to plain services', () => {
-  let world: World
+  let world: PlainServiceHarness
   afterEach(async () => { await world.close() })
 
-  async function started (answer: RequestListener): Promise<World> {
-    world = new World()
+  async function started (answer: RequestListener): Promise<PlainServiceHarness> {
+    world = new PlainServiceHarness()
     await world.start(answer)
     return world
   }
@@ -103,7 +103,7 @@
     const { lost } = await started(breakOff)
     await world.get('/a')
     const { calls } = world
-    world.hold(lost[0]?.fingerprint ?? '')
+    world.quarantineRequest(lost[0]?.fingerprint ?? '')
     expect(await world.get('/a')).toEqual({ status: 503, reason: 'request-quarantined', run: 'not-run' })
     expect(world.calls).toBe(calls)
     expect((await world.get('/b')).reason).not.toBe('request-quarantined')
--- a/apps/entry/src/lib/quarantine/CrashReporter.ts
+++ b/apps/entry/src/lib/quarantine/CrashReporter.ts
@@ -9,13 +9,13 @@
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** Pause in which the losses of one endpoint's end come together, in milliseconds. */
-const GATHER_MS = 20
+const BATCH_WINDOW_MS = 20
 
 /** Pause before it is told again what was not taken, in milliseconds. */
-const RETRY_MS = 200
+const RETRY_DELAY_MS = 200
 
 /** Deadline of a call, in milliseconds. */
-const CALL_MS = 1000
+const CALL_TIMEOUT_MS = 1000
 
 /** Where reports go. */
 export interface CrashReporterPorts {
@@ -47,7 +47,7 @@
   noteLost (run: LostRun): void {
     this.#evidence.note(run, performance.now())
     this.#hasUnreported = true
-    this.#schedule(GATHER_MS)
+    this.#schedule(BATCH_WINDOW_MS)
   }
 
   /** @param fingerprint - of a request with an entry, which came through whole */
@@ -56,14 +56,14 @@
     if (this.#completed.size >= MOST_REPORTS_OF_HOST) return
     this.#completed.add(fingerprint)
     this.#hasUnreported = true
-    this.#schedule(GATHER_MS)
+    this.#schedule(BATCH_WINDOW_MS)
   }
 
   /** Call when another control host leads: it has heard nothing yet. */
   leaderChanged (): void {
     if (this.#evidence.size === 0) return
     this.#hasUnreported = true
-    this.#schedule(GATHER_MS)
+    this.#schedule(BATCH_WINDOW_MS)
   }
 
   /** Ends telling. */
@@ -76,27 +76,27 @@
     if (this.#isStopped) return
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined
-      this.#look()
+      this.#reportIfDue()
     }, delayMs)
   }
 
-  #look (): void {
+  #reportIfDue (): void {
     const leader = this.ports.leader()
     if (!this.#hasUnreported || this.#isReporting) return
-    if (leader === undefined) this.#schedule(RETRY_MS)
-    else void this.#tell(leader)
+    if (leader === undefined) this.#schedule(RETRY_DELAY_MS)
+    else void this.#report(leader)
   }
 
-  async #tell (leader: string): Promise<void> {
+  async #report (leader: string): Promise<void> {
     this.#isReporting = true
     this.#hasUnreported = false
     const completed = [...this.#completed]
-    const answer = await this.ports.rpc.call(leader, reportCrashes, { host: this.host, losses: this.#evidence.reports(performance.now()), completed }, CALL_MS)
+    const answer = await this.ports.rpc.call(leader, reportCrashes, { host: this.host, losses: this.#evidence.reports(performance.now()), completed }, CALL_TIMEOUT_MS)
     this.#isReporting = false
     const isTaken = answer.ok && answer.value.isTaken
     if (isTaken) for (const fingerprint of completed) this.#completed.delete(fingerprint)
     else this.#hasUnreported = true
     this.#reports.count(isTaken ? 'taken' : answer.ok ? 'not-leader' : answer.error.kind)
-    if (this.#hasUnreported) this.#schedule(isTaken ? GATHER_MS : RETRY_MS)
+    if (this.#hasUnreported) this.#schedule(isTaken ? BATCH_WINDOW_MS : RETRY_DELAY_MS)
   }
 }
--- a/apps/entry/src/lib/quarantine/QuarantineGuard.ts
+++ b/apps/entry/src/lib/quarantine/QuarantineGuard.ts
@@ -31,7 +31,7 @@
    * @returns undefined if the request may be sent
    */
   rejection (now: number): QuarantineRejection | undefined {
-    if (this.quarantine.isIdle) return undefined
+    if (this.quarantine.isEmpty) return undefined
     const forMs = this.quarantine.quarantinedForMs(this.fingerprint, now)
     if (forMs === undefined) return undefined
     return { forMs, detail: `this request has crashed the endpoints that ran it and is quarantined (fingerprint ${this.fingerprint})` }
@@ -39,7 +39,7 @@
 
   /** Notes that the request came through whole. */
   noteWhole (): void {
-    if (!this.quarantine.isIdle) this.quarantine.noteWhole(this.fingerprint)
+    if (!this.quarantine.isEmpty) this.quarantine.noteWhole(this.fingerprint)
   }
 
   /**
--- a/apps/entry/src/lib/quarantine/RequestQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/RequestQuarantine.ts
@@ -18,7 +18,7 @@
   }
 
   /** Whether no request is watched: then none has to be identified. */
-  get isIdle (): boolean { return this.table.isEmpty }
+  get isEmpty (): boolean { return this.table.isEmpty }
 
   /**
    * @param fingerprint - of a request that is to be sent
@@ -48,7 +48,7 @@
    * @param now - monotonic milliseconds
    */
   logChanges (view: number, now: number): void {
-    if (this.isIdle && this.#logged.size === 0) return
+    if (this.isEmpty && this.#logged.size === 0) return
     const present = new Map(this.table.all.map(entry => [entry.fingerprint, entry]))
     for (const entry of present.values()) {
       if (this.#logged.get(entry.fingerprint)?.state !== entry.state) this.#logEntry(entry, view, now)
--- a/apps/entry/src/lib/quarantine/quarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/quarantine.test.ts
@@ -15,7 +15,7 @@
 const MINUTE_MS = 60_000
 
 /** A host whose reports a test reads and whose entries it sets. */
-class QuarantinedHost {
+class QuarantineHarness {
   readonly lost: LostRun[] = []
   readonly whole: string[] = []
   readonly table = new QuarantineTable()
@@ -30,7 +30,7 @@
 
   get seen (): number { return this.endpoints.reduce((sum, { seen }) => sum + seen.length, 0) }
 
-  decide (fingerprint: string, state: QuarantineState): void {
+  setQuarantineState (fingerprint: string, state: QuarantineState): void {
     this.table.replace([{ fingerprint, service: 'app', state, quarantines: 1, leftMs: 15 * MINUTE_MS }], performance.now())
   }
 
@@ -45,15 +45,15 @@
 }
 
 describe('an entry host', () => {
-  let started: QuarantinedHost | undefined
+  let started: QuarantineHarness | undefined
 
   afterEach(async () => {
     await started?.host.close()
     started = undefined
   })
 
-  async function hostWith (...behaviours: Behaviour[]): Promise<QuarantinedHost> {
-    started = new QuarantinedHost(...behaviours)
+  async function hostWith (...behaviours: Behaviour[]): Promise<QuarantineHarness> {
+    started = new QuarantineHarness(...behaviours)
     await started.host.start()
     return started
   }
@@ -89,7 +89,7 @@
       const world = await hostWith(answerOk)
       const fingerprint = await world.fingerprintOf('/unsafe/a')
       const before = world.seen
-      world.decide(fingerprint, 'quarantined')
+      world.setQuarantineState(fingerprint, 'quarantined')
       const answer = await world.host.ask('/unsafe/a')
       expect(answer.status).toBe(503)
       const problem = JSON.parse(answer.body) as Record<string, unknown>
@@ -103,7 +103,7 @@
 
     it('and serves every other one as before', async () => {
       const world = await hostWith(answerOk)
-      world.decide(await world.fingerprintOf('/unsafe/a'), 'quarantined')
+      world.setQuarantineState(await world.fingerprintOf('/unsafe/a'), 'quarantined')
       expect((await world.host.ask('/unsafe/b')).status).toBe(200)
       expect((await world.host.ask('/safe/a')).status).toBe(200)
     })
@@ -113,7 +113,7 @@
       const fingerprint = await world.fingerprintOf('/safe/a')
       const before = world.seen
       const judged: Behaviour = (request, response, body) => {
-        world.decide(fingerprint, 'quarantined')
+        world.setQuarantineState(fingerprint, 'quarantined')
         resetConnection(request, response, body)
       }
       for (const endpoint of world.endpoints) endpoint.behaviour = judged
@@ -131,7 +131,7 @@
         endpoint.behaviour = (request, response) => {
           response.writeHead(200)
           response.write(streamEvent(1))
-          world.decide(fingerprint, 'quarantined')
+          world.setQuarantineState(fingerprint, 'quarantined')
           setTimeout(() => { request.socket.resetAndDestroy() }, 50)
         }
       }
@@ -143,7 +143,7 @@
     it.each(['suspected', 'released'] as const)('but runs one that is only %s, and tells when it comes through', async state => {
       const world = await hostWith(answerOk)
       const fingerprint = await world.fingerprintOf('/unsafe/a')
-      world.decide(fingerprint, state)
+      world.setQuarantineState(fingerprint, state)
       expect((await world.host.ask('/unsafe/a')).status).toBe(200)
       await world.host.ask('/unsafe/b')
       expect(world.whole).toEqual([fingerprint])
--- a/apps/entry/src/lib/runs/AdmissionGate.test.ts
+++ b/apps/entry/src/lib/runs/AdmissionGate.test.ts
@@ -6,12 +6,12 @@
 describe('AdmissionGate', () => {
   it('gives the place of a caller that has left to the next', async () => {
     const gate = new AdmissionGate(100, 10)
-    const gone = new AbortController()
+    const disconnected = new AbortController()
     const stays = new AbortController().signal
     expect((await gate.request(request('1'), stays)).kind).toBe('admitted')
-    const leaving = gate.request(request('2'), gone.signal)
+    const leaving = gate.request(request('2'), disconnected.signal)
     const next = gate.request(request('3'), stays)
-    gone.abort()
+    disconnected.abort()
     expect((await leaving).kind).toBe('refused')
     expect(gate.queued).toBe(1)
     gate.release('1')
--- a/apps/entry/src/lib/runs/AdmissionGate.ts
+++ b/apps/entry/src/lib/runs/AdmissionGate.ts
@@ -5,7 +5,7 @@
 export type GateDecision = Exclude<AdmissionDecision, { kind: 'queued' }>
 
 /** Interval between looks for requests that waited too long, in milliseconds. */
-const EXPIRE_MS = 20
+const EXPIRY_CHECK_INTERVAL_MS = 20
 
 /** Owns one host's admission queue. */
 export class AdmissionGate {
@@ -19,7 +19,7 @@
    */
   constructor (capacityTokens: number, queueLimit: number) {
     this.#queue = new AdmissionQueue(capacityTokens, queueLimit)
-    this.#timer = setInterval(() => { this.#settle(this.#queue.expire(performance.now())) }, EXPIRE_MS)
+    this.#timer = setInterval(() => { this.#resolveWaiting(this.#queue.expire(performance.now())) }, EXPIRY_CHECK_INTERVAL_MS)
   }
 
   get tokensInFlight (): number { return this.#queue.tokensInFlight }
@@ -27,15 +27,15 @@
 
   /**
    * @param request - who and how much
-   * @param gone - aborted when the caller has left; it then gives up its place in the queue
+   * @param disconnected - aborted when the caller has left; it then gives up its place in the queue
    * @returns the decision, at once or when the queue has made it
    */
-  async request (request: AdmissionRequest, gone: AbortSignal): Promise<GateDecision> {
+  async request (request: AdmissionRequest, disconnected: AbortSignal): Promise<GateDecision> {
     const decision = this.#queue.request(request, performance.now())
     if (decision.kind !== 'queued') return decision
     return await new Promise(resolve => {
       this.#waiting.set(request.id, resolve)
-      gone.addEventListener('abort', () => {
+      disconnected.addEventListener('abort', () => {
         if (!this.#waiting.has(request.id)) return
         this.release(request.id)
         resolve({ kind: 'refused', reason: 'deadline-unreachable', retryAfterMs: 0 })
@@ -46,12 +46,12 @@
   /** @param id - request that ended or was given up */
   release (id: string): void {
     this.#waiting.delete(id)
-    this.#settle(this.#queue.release(id, performance.now()))
+    this.#resolveWaiting(this.#queue.release(id, performance.now()))
   }
 
   /** @param tokens - new capacity of this host */
   setCapacity (tokens: number): void {
-    this.#settle(this.#queue.setCapacity(tokens, performance.now()))
+    this.#resolveWaiting(this.#queue.setCapacity(tokens, performance.now()))
   }
 
   /** Stops the timer. */
@@ -59,7 +59,7 @@
     clearInterval(this.#timer)
   }
 
-  #settle (outcomes: readonly AdmissionOutcome[]): void {
+  #resolveWaiting (outcomes: readonly AdmissionOutcome[]): void {
     for (const { id, decision } of outcomes) {
       this.#waiting.get(id)?.(decision)
       this.#waiting.delete(id)
--- a/apps/entry/src/lib/runs/DirectoryClient.ts
+++ b/apps/entry/src/lib/runs/DirectoryClient.ts
@@ -25,10 +25,10 @@
 }
 
 /** Deadline of a look-up; the first token waits for it. In milliseconds. */
-const LOOKUP_MS = 150
+const LOOKUP_TIMEOUT_MS = 150
 
 /** Deadline of calls that no first token waits for, in milliseconds. */
-const WRITE_MS = 2000
+const WRITE_TIMEOUT_MS = 2000
 
 /** Finds the owner for each call from the view in force. */
 export class DirectoryClient {
@@ -45,7 +45,7 @@
   async lookup (keys: readonly string[]): Promise<Result<LookupFound, DirectoryError>> {
     const owner = this.#owner(keys)
     if (owner === undefined) return fail({ kind: 'no-owner' })
-    const answer = await this.rpc.call(owner.address, lookupBlocks, { ...owner.header, keys: [...keys] }, LOOKUP_MS)
+    const answer = await this.rpc.call(owner.address, lookupBlocks, { ...owner.header, keys: [...keys] }, LOOKUP_TIMEOUT_MS)
     if (!answer.ok) return fail({ kind: 'silent' })
     return answer.value.kind === 'found' ? succeed(answer.value) : fail({ kind: 'wrong-owner' })
   }
@@ -58,7 +58,7 @@
   async lease (keys: readonly string[], fromBlock: number): Promise<Result<LeasesGranted, DirectoryError>> {
     const owner = this.#owner(keys)
     if (owner === undefined) return fail({ kind: 'no-owner' })
-    const answer = await this.rpc.call(owner.address, leaseObjects, { ...owner.header, keys: [...keys], fromBlock }, LOOKUP_MS)
+    const answer = await this.rpc.call(owner.address, leaseObjects, { ...owner.header, keys: [...keys], fromBlock }, LOOKUP_TIMEOUT_MS)
     if (!answer.ok) return fail({ kind: 'silent' })
     return answer.value.kind === 'leased' ? succeed(answer.value) : fail({ kind: 'wrong-owner' })
   }
@@ -74,7 +74,7 @@
     if (owner === undefined) return undefined
     const { customer, store, keys, tokensPerBlock } = request
     const body = { ...owner.header, customer, store, keys: [...keys], tokensPerBlock }
-    const answer = await this.rpc.call(owner.address, reserveWrite, body, WRITE_MS)
+    const answer = await this.rpc.call(owner.address, reserveWrite, body, WRITE_TIMEOUT_MS)
     return answer.ok && answer.value.kind === 'reserved' ? answer.value : undefined
   }
 
@@ -89,7 +89,7 @@
   ): Promise<boolean> {
     const owner = this.#owner(chain)
     if (owner === undefined) return false
-    const answer = await this.rpc.call(owner.address, publishWrite, { ...owner.header, name, ...acknowledged }, WRITE_MS)
+    const answer = await this.rpc.call(owner.address, publishWrite, { ...owner.header, name, ...acknowledged }, WRITE_TIMEOUT_MS)
     return answer.ok && answer.value.kind === 'published'
   }
 
@@ -99,7 +99,7 @@
    */
   async abandon (chain: readonly string[], name: string): Promise<void> {
     const owner = this.#owner(chain)
-    if (owner !== undefined) await this.rpc.call(owner.address, abandonWrite, { ...owner.header, name }, WRITE_MS)
+    if (owner !== undefined) await this.rpc.call(owner.address, abandonWrite, { ...owner.header, name }, WRITE_TIMEOUT_MS)
   }
 
   #owner (keys: readonly string[]): { address: string, header: { shard: number, epoch: number } } | undefined {
--- a/apps/entry/src/lib/runs/ExportPacer.ts
+++ b/apps/entry/src/lib/runs/ExportPacer.ts
@@ -10,13 +10,13 @@
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 
 /** Part of a link that exports may take. */
-const EXPORT_PART = 0.6
+const EXPORT_LINK_FRACTION = 0.6
 
 /** Size of a burst, in objects of the size asked for. */
 const BURST_OBJECTS = 2
 
 /** Pause before the bucket is looked at again, in milliseconds. */
-const LOOK_MS = 20
+const RETRY_INTERVAL_MS = 20
 
 /** Paces this host's exports, one bucket for each store. */
 export class ExportPacer {
@@ -38,19 +38,19 @@
    *
    * @param store - store name
    * @param bytes - size of the next object
-   * @param patienceMs - longest wait
+   * @param maxWaitMs - longest wait
    * @returns false if the wait was too long
    */
-  async admit (store: string, bytes: number, patienceMs: number): Promise<boolean> {
-    const deadline = this.clock.now() + patienceMs
+  async admit (store: string, bytes: number, maxWaitMs: number): Promise<boolean> {
+    const deadline = this.clock.now() + maxWaitMs
     const bytesPerMs = (this.configuration().stores.get(store)?.linkBytesPerSecond ?? 0) / 1000
-    const rate = EXPORT_PART * bytesPerMs / this.liveEntries()
+    const rate = EXPORT_LINK_FRACTION * bytesPerMs / this.liveEntries()
     const bucket = this.#buckets.get(store) ?? new TokenBucket(rate, BURST_OBJECTS * bytes, this.clock.now())
     this.#buckets.set(store, bucket)
     while (this.clock.now() < deadline) {
       bucket.setRate(rate, BURST_OBJECTS * bytes, this.clock.now())
       if (bucket.tryTake(bytes, this.clock.now())) return true
-      await this.clock.sleep(LOOK_MS)
+      await this.clock.sleep(RETRY_INTERVAL_MS)
     }
     return false
   }
--- a/apps/entry/src/lib/runs/Exporter.ts
+++ b/apps/entry/src/lib/runs/Exporter.ts
@@ -24,27 +24,27 @@
 }
 
 /** Longest time an export may take, in milliseconds. */
-const EXPORT_MS = 15_000
+const EXPORT_TIMEOUT_MS = 15_000
 
 /** How long an export is put off while the link is busy, and the pause between looks, in milliseconds. */
-const PATIENCE_MS = 10_000
-const PAUSE_MS = 300
+const MAX_DEFERRAL_MS = 10_000
+const RETRY_INTERVAL_MS = 300
 
 /** Interval between looks at a busy link, in milliseconds. */
-const LINK_LOOK_MS = 20
+const LINK_POLL_INTERVAL_MS = 20
 
 /** Backlog on a link, as time, that counts as fully busy. In milliseconds. */
 const BUSY_BACKLOG_MS = 60
 
 /** Tokens in the largest object that the directory reserves. */
-const LARGEST_OBJECT_TOKENS = DEFAULT_SHARD_SETTINGS.blocksPerObject * TOKENS_PER_BLOCK
+const MAX_OBJECT_TOKENS = DEFAULT_SHARD_SETTINGS.blocksPerObject * TOKENS_PER_BLOCK
 
 /** Exports under way at once; imports must not wait behind a crowd of them. */
-const EXPORTS_AT_ONCE = 8
+const MAX_CONCURRENT_EXPORTS = 8
 
 /** Exports blocks in the background. */
 export class Exporter {
-  #underWay = 0
+  #activeExports = 0
 
   /**
    * @param clock - time
@@ -75,22 +75,22 @@
    */
   async exportIfWorthwhile (run: FinishedRun): Promise<void> {
     const ticket = this.work.beginFollowUp()
-    const deadline = this.clock.now() + PATIENCE_MS
-    while (!await this.#tryOnce(run) && this.clock.now() < deadline) await this.clock.sleep(PAUSE_MS)
+    const deadline = this.clock.now() + MAX_DEFERRAL_MS
+    while (!await this.#tryOnce(run) && this.clock.now() < deadline) await this.clock.sleep(RETRY_INTERVAL_MS)
     ticket.end()
   }
 
   /** @returns false if it should be tried again later */
   async #tryOnce (run: FinishedRun): Promise<boolean> {
-    if (this.#underWay >= EXPORTS_AT_ONCE) {
+    if (this.#activeExports >= MAX_CONCURRENT_EXPORTS) {
       this.decisions.count('too-many-under-way')
       return false
     }
-    this.#underWay += 1
+    this.#activeExports += 1
     try {
       return await this.#decideAndExport(run)
     } finally {
-      this.#underWay -= 1
+      this.#activeExports -= 1
     }
   }
 
@@ -115,14 +115,14 @@
       missingTokens,
       missingBytes: missingTokens * load.bytesPerToken,
       prefillTokensPerMs: load.prefillTokensPerMs,
-      linkBusy: this.#linkBusy(store)
+      linkBusy: this.#relativeBacklog(store)
     })
     this.decisions.count(decision)
     if (decision !== 'export') return decision !== 'link-busy'
     let remaining = missingTokens
     while (remaining > 0) {
-      const bytes = Math.min(remaining, LARGEST_OBJECT_TOKENS) * load.bytesPerToken
-      const exported = await this.#mayExport(store, bytes) ? await this.#exportNext(run, keys, store) : 0
+      const bytes = Math.min(remaining, MAX_OBJECT_TOKENS) * load.bytesPerToken
+      const exported = await this.#waitForLink(store, bytes) ? await this.#exportNextObject(run, keys, store) : 0
       if (exported === 0) break
       remaining -= exported
     }
@@ -130,20 +130,20 @@
   }
 
   /** Before each object, lets imports go first and keeps to this host's share of the link. */
-  async #mayExport (store: string, bytes: number): Promise<boolean> {
-    const deadline = this.clock.now() + PATIENCE_MS
-    while (this.#linkBusy(store) > 1 && this.clock.now() < deadline) await this.clock.sleep(LINK_LOOK_MS)
-    return await this.pacer.admit(store, bytes, PATIENCE_MS)
+  async #waitForLink (store: string, bytes: number): Promise<boolean> {
+    const deadline = this.clock.now() + MAX_DEFERRAL_MS
+    while (this.#relativeBacklog(store) > 1 && this.clock.now() < deadline) await this.clock.sleep(LINK_POLL_INTERVAL_MS)
+    return await this.pacer.admit(store, bytes, MAX_DEFERRAL_MS)
   }
 
   /** Backlog of a link as a multiple of what exports may find there. */
-  #linkBusy (store: string): number {
+  #relativeBacklog (store: string): number {
     const link = this.fleet.links.views(this.clock.now()).get(store)
     return link === undefined ? 1 : link.backlogBytes / link.bytesPerMs / BUSY_BACKLOG_MS
   }
 
   /** Exports the next object of the chain; returns its tokens, 0 when there is none or it failed. */
-  async #exportNext (run: FinishedRun, keys: readonly string[], store: string): Promise<number> {
+  async #exportNextObject (run: FinishedRun, keys: readonly string[], store: string): Promise<number> {
     const reserved = await this.directory.reserve({ customer: run.customer.name, store, keys, tokensPerBlock: TOKENS_PER_BLOCK })
     const engine = this.fleet.engine(run.engine)
     const storeAddress = this.configuration().stores.get(store)?.address
@@ -153,7 +153,7 @@
     }
     const { name, firstBlock } = reserved
     const request = { storeAddress, name, customer: run.customer.name, keys: reserved.keys, tokens: reserved.tokens, firstBlock }
-    const exported = await engine.exportBlocks(request, EXPORT_MS)
+    const exported = await engine.exportBlocks(request, EXPORT_TIMEOUT_MS)
     if (!exported.ok) {
       this.decisions.count(exported.error.kind === 'rejected' ? exported.error.detail : 'export-failed')
       await this.directory.abandon(keys, name)
@@ -167,6 +167,6 @@
 
   /** The same chain goes to the same store while that store is up, so that it is read over one link. */
   #chooseStore (keys: readonly string[]): string | undefined {
-    return rendezvousOrder(keys[0] ?? '', this.fleet.storesUp(this.clock.now()))[0]
+    return rendezvousOrder(keys[0] ?? '', this.fleet.availableStores(this.clock.now()))[0]
   }
 }
--- a/apps/entry/src/lib/runs/Importer.ts
+++ b/apps/entry/src/lib/runs/Importer.ts
@@ -17,8 +17,8 @@
 import type { PlacedRun } from './Placer.js'
 
 /** Room for an import beyond its estimate before it is given up, as a factor and in milliseconds. */
-const OVERRUN_FACTOR = 2
-const OVERRUN_MS = 50
+const TIMEOUT_FACTOR = 2
+const TIMEOUT_MARGIN_MS = 50
 
 /** Grants leases on stored objects. */
 export interface LeaseSource {
@@ -86,11 +86,11 @@
       sha256: object.sha256
     }))
     const startedAt = this.clock.now()
-    const timeoutMs = Math.min(leaseEndsAt - startedAt, this.#patience(placed))
+    const timeoutMs = Math.min(leaseEndsAt - startedAt, this.#timeoutMs(placed))
     for (const { object } of leases) this.links.recordStart(object.store, object.bytes)
     const staged = await engine.stageImport({ importId, objects }, Math.max(1, timeoutMs), AbortSignal.any([signal, AbortSignal.timeout(Math.max(1, Math.ceil(timeoutMs)))]))
     const endedAt = this.clock.now()
-    this.#learn(placed, leases, endedAt - startedAt, staged.ok, endedAt)
+    this.#recordTransfers(placed, leases, endedAt - startedAt, staged.ok, endedAt)
     if (!staged.ok) {
       this.outcomes.count('failed')
       void engine.discardImport(importId)
@@ -108,13 +108,13 @@
   }
 
   /** Giving up after about the time that computing takes bounds the loss to that time once more. */
-  #patience ({ placement }: PlacedRun): number {
+  #timeoutMs ({ placement }: PlacedRun): number {
     const imported = placement.reusedBlocks - placement.engine.residentBlocks
     const computeMs = imported * TOKENS_PER_BLOCK / placement.engine.prefillTokensPerMs
-    return Math.max(OVERRUN_FACTOR * placement.importMs, computeMs) + OVERRUN_MS
+    return Math.max(TIMEOUT_FACTOR * placement.importMs, computeMs) + TIMEOUT_MARGIN_MS
   }
 
-  #learn (placed: PlacedRun, leases: LeasesGranted['leases'], elapsedMs: number, complete: boolean, now: number): void {
+  #recordTransfers (placed: PlacedRun, leases: LeasesGranted['leases'], elapsedMs: number, complete: boolean, now: number): void {
     const bytesByStore = new Map<string, number>()
     for (const { object } of leases) bytesByStore.set(object.store, (bytesByStore.get(object.store) ?? 0) + object.bytes)
     for (const [store, bytes] of bytesByStore) {
--- a/apps/entry/src/lib/runs/PeerRuns.ts
+++ b/apps/entry/src/lib/runs/PeerRuns.ts
@@ -4,7 +4,7 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { ResponseStream, RpcServer } from '@eelgrassmux/rpc/RpcServer'
 import { DispatchRecord, refuse } from '@eelgrassmux/schema/Refusal'
-import type { RunPiece } from './Run.js'
+import type { RunChunk } from './Run.js'
 import type { RunManager } from './RunManager.js'
 
 /** Which run is wanted, for whom, from where. */
@@ -23,9 +23,9 @@
    * @param entry - address of the host that holds the run
    * @param request - which run
    * @param signal - aborted when the caller is gone
-   * @returns the pieces, or undefined if the host is gone or does not have it
+   * @returns the chunks, or undefined if the host is gone or does not have it
    */
-  async read (entry: string, request: PeerRunRequest, signal: AbortSignal): Promise<AsyncGenerator<RunPiece> | undefined> {
+  async read (entry: string, request: PeerRunRequest, signal: AbortSignal): Promise<AsyncGenerator<RunChunk> | undefined> {
     const events: RunEvent[] = []
     const stream = { isClosed: false }
     let wake = (): void => {}
@@ -43,31 +43,31 @@
     }
     const first = await next()
     if (first === undefined || first.kind === 'unknown-run') return undefined
-    return toPieces(first, next)
+    return toChunks(first, next)
   }
 }
 
-async function * toPieces (first: RunEvent, next: () => Promise<RunEvent | undefined>): AsyncGenerator<RunPiece> {
+async function * toChunks (first: RunEvent, next: () => Promise<RunEvent | undefined>): AsyncGenerator<RunChunk> {
   for (let event: RunEvent | undefined = first; event !== undefined; event = await next()) {
-    const piece = toPiece(event)
-    if (piece === undefined) break
-    yield piece
-    if (piece.kind !== 'tokens') return
+    const chunk = toChunk(event)
+    if (chunk === undefined) break
+    yield chunk
+    if (chunk.kind !== 'tokens') return
   }
   // The holding host went away: an explicit error, never a silent cut.
-  yield lostPiece('the entry host that held the run went away')
+  yield failedChunk('the entry host that held the run went away')
 }
 
-function toPiece (event: RunEvent): RunPiece | undefined {
+function toChunk (event: RunEvent): RunChunk | undefined {
   switch (event.kind) {
     case 'tokens': return { kind: 'tokens', offset: event.offset, tokens: event.tokens }
     case 'end': return { kind: 'complete', finishReason: event.finishReason, promptTokens: event.promptTokens, cachedTokens: event.cachedTokens }
-    case 'failed': return lostPiece(event.detail)
+    case 'failed': return failedChunk(event.detail)
     case 'unknown-run': return undefined
   }
 }
 
-function lostPiece (detail: string): RunPiece {
+function failedChunk (detail: string): RunChunk {
   const record = new DispatchRecord()
   record.markDispatched()
   return { kind: 'failed', refusal: refuse({ reason: 'endpoint-failed', status: 502, detail, retryAfterSeconds: 1 }, record) }
@@ -86,22 +86,22 @@
       await stream.send({ kind: 'unknown-run' })
       return
     }
-    for await (const piece of run.read(offset, stream.signal)) await sendPiece(stream, piece, run.length)
+    for await (const chunk of run.read(offset, stream.signal)) await sendChunk(stream, chunk, run.length)
   })
 }
 
-async function sendPiece (stream: ResponseStream<RunEvent>, piece: RunPiece, length: number): Promise<void> {
-  switch (piece.kind) {
+async function sendChunk (stream: ResponseStream<RunEvent>, chunk: RunChunk, length: number): Promise<void> {
+  switch (chunk.kind) {
     case 'tokens':
-      await stream.send({ kind: 'tokens', offset: piece.offset, tokens: [...piece.tokens] })
+      await stream.send({ kind: 'tokens', offset: chunk.offset, tokens: [...chunk.tokens] })
       break
     case 'complete': {
-      const finishReason: FinishReason = piece.finishReason
-      await stream.send({ kind: 'end', length, finishReason, promptTokens: piece.promptTokens, cachedTokens: piece.cachedTokens })
+      const finishReason: FinishReason = chunk.finishReason
+      await stream.send({ kind: 'end', length, finishReason, promptTokens: chunk.promptTokens, cachedTokens: chunk.cachedTokens })
       break
     }
     case 'failed':
-      await stream.send({ kind: 'failed', reason: piece.refusal.reason, detail: piece.refusal.detail })
+      await stream.send({ kind: 'failed', reason: chunk.refusal.reason, detail: chunk.refusal.detail })
       break
   }
 }
--- a/apps/entry/src/lib/runs/Run.test.ts
+++ b/apps/entry/src/lib/runs/Run.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { Clock } from '@eelgrassmux/schema/Clock'
-import { Run, type RunPiece } from './Run.js'
+import { Run, type RunChunk } from './Run.js'
 
 class ManualClock implements Clock {
   time = 0
@@ -19,16 +19,16 @@
 describe('Run', () => {
   it('gives every reader the whole answer from its offset, before and after the end', async () => {
     const { run } = newRun()
-    const pieces: RunPiece[] = []
-    const early = (async () => { for await (const piece of run.read(0, new AbortController().signal)) pieces.push(piece) })()
+    const chunks: RunChunk[] = []
+    const early = (async () => { for await (const chunk of run.read(0, new AbortController().signal)) chunks.push(chunk) })()
     run.push(['a', 'b'], 'v1')
     await new Promise(resolve => { setImmediate(resolve) })
     run.push(['c'], 'v1')
     run.finish(COMPLETE)
     await early
-    expect(pieces).toEqual([{ kind: 'tokens', offset: 0, tokens: ['a', 'b'] }, { kind: 'tokens', offset: 2, tokens: ['c'] }, COMPLETE])
-    const late: RunPiece[] = []
-    for await (const piece of run.read(1, new AbortController().signal)) late.push(piece)
+    expect(chunks).toEqual([{ kind: 'tokens', offset: 0, tokens: ['a', 'b'] }, { kind: 'tokens', offset: 2, tokens: ['c'] }, COMPLETE])
+    const late: RunChunk[] = []
+    for await (const chunk of run.read(1, new AbortController().signal)) late.push(chunk)
     expect(late).toEqual([{ kind: 'tokens', offset: 1, tokens: ['b', 'c'] }, COMPLETE])
     expect(run.wasReadToEnd).toBe(true)
   })
@@ -37,25 +37,25 @@
     const { run } = newRun()
     const reader = run.attach(0, () => {})
     run.push(Array.from({ length: 3000 }, () => 't'), 'v1')
-    expect(run.isTooFarAhead).toBe(true)
+    expect(run.needsBackpressure).toBe(true)
     let hasRoom = false
-    const room = run.waitForRoom(new AbortController().signal).then(() => { hasRoom = true })
+    const room = run.waitForReaders(new AbortController().signal).then(() => { hasRoom = true })
     await Promise.resolve()
     expect(hasRoom).toBe(false)
     reader.detach()
     await room
-    expect(run.isTooFarAhead).toBe(false)
+    expect(run.needsBackpressure).toBe(false)
   })
 
   it('counts the time that nobody reads', () => {
     const { run, clock } = newRun()
     clock.time = 100
-    expect(run.unreadFor(100)).toBe(100)
+    expect(run.unreadMs(100)).toBe(100)
     const reader = run.attach(0, () => {})
-    expect(run.unreadFor(150)).toBe(0)
+    expect(run.unreadMs(150)).toBe(0)
     clock.time = 200
     reader.detach()
-    expect(run.unreadFor(260)).toBe(60)
+    expect(run.unreadMs(260)).toBe(60)
   })
 
   it('keeps its first end', () => {
--- a/apps/entry/src/lib/runs/Run.ts
+++ b/apps/entry/src/lib/runs/Run.ts
@@ -8,8 +8,8 @@
   | { readonly kind: 'complete', readonly finishReason: FinishReason, readonly promptTokens: number, readonly cachedTokens: number }
   | { readonly kind: 'failed', readonly refusal: Refusal }
 
-/** A piece of the answer for a reader. */
-export type RunPiece =
+/** A chunk of the answer for a reader. */
+export type RunChunk =
   | { readonly kind: 'tokens', readonly offset: number, readonly tokens: readonly string[] }
   | RunEnd
 
@@ -24,17 +24,17 @@
 }
 
 /** Tokens a reader may lag behind before the run waits for it. */
-const READER_LAG_LIMIT = 2048
+const MAX_READER_LAG_TOKENS = 2048
 
 /** Buffer and readers of one run. */
 export class Run {
   readonly dispatch = new DispatchRecord()
   readonly startedAt: number
   readonly #tokens: string[] = []
-  readonly #wakers = new Set<() => void>()
+  readonly #listeners = new Set<() => void>()
   #readers = 0
-  #readersGoneAt: number | undefined
-  #furthestRead = 0
+  #unreadSince: number | undefined
+  #furthestOffset = 0
   #wasReadToEnd = false
   #end: RunEnd | undefined
   #version: string | undefined
@@ -46,7 +46,7 @@
    */
   constructor (readonly id: string, readonly customer: string, private readonly clock: Clock) {
     this.startedAt = clock.now()
-    this.#readersGoneAt = this.startedAt
+    this.#unreadSince = this.startedAt
   }
 
   get length (): number { return this.#tokens.length }
@@ -63,8 +63,8 @@
    * @param now - monotonic milliseconds
    * @returns how long nobody has read the run, in milliseconds
    */
-  unreadFor (now: number): number {
-    return this.#readersGoneAt === undefined ? 0 : now - this.#readersGoneAt
+  unreadMs (now: number): number {
+    return this.#unreadSince === undefined ? 0 : now - this.#unreadSince
   }
 
   /**
@@ -76,18 +76,18 @@
   push (tokens: readonly string[], version: string): void {
     this.#version ??= version
     this.#tokens.push(...tokens)
-    this.#wake()
+    this.#notifyReaders()
   }
 
   /** @param end - how the run ended; the first end counts */
   finish (end: RunEnd): void {
     this.#end ??= end
-    this.#wake()
+    this.#notifyReaders()
   }
 
   /** Whether the furthest reader lags so far that the run should wait for it. */
-  get isTooFarAhead (): boolean {
-    return this.#readers > 0 && this.#tokens.length - this.#furthestRead > READER_LAG_LIMIT
+  get needsBackpressure (): boolean {
+    return this.#readers > 0 && this.#tokens.length - this.#furthestOffset > MAX_READER_LAG_TOKENS
   }
 
   /**
@@ -95,8 +95,8 @@
    *
    * @param signal - ends the wait
    */
-  async waitForRoom (signal: AbortSignal): Promise<void> {
-    while (this.isTooFarAhead && !signal.aborted) await this.#change(signal)
+  async waitForReaders (signal: AbortSignal): Promise<void> {
+    while (this.needsBackpressure && !signal.aborted) await this.#nextChange(signal)
   }
 
   /**
@@ -108,22 +108,22 @@
    */
   attach (offset: number, wake: () => void): RunReader {
     this.#readers += 1
-    this.#readersGoneAt = undefined
-    this.#furthestRead = Math.max(this.#furthestRead, offset)
-    this.#wakers.add(wake)
+    this.#unreadSince = undefined
+    this.#furthestOffset = Math.max(this.#furthestOffset, offset)
+    this.#listeners.add(wake)
     let isAttached = true
     return {
       advance: (position, isEnd) => {
-        this.#furthestRead = Math.max(this.#furthestRead, position)
+        this.#furthestOffset = Math.max(this.#furthestOffset, position)
         if (isEnd) this.#wasReadToEnd = true
       },
       detach: () => {
         if (!isAttached) return
         isAttached = false
-        this.#wakers.delete(wake)
+        this.#listeners.delete(wake)
         this.#readers -= 1
-        if (this.#readers === 0) this.#readersGoneAt = this.clock.now()
-        this.#wake()
+        if (this.#readers === 0) this.#unreadSince = this.clock.now()
+        this.#notifyReaders()
       }
     }
   }
@@ -132,7 +132,7 @@
    * @param position - first token wanted
    * @returns what there is from there on, or undefined if nothing yet
    */
-  pieceFrom (position: number): RunPiece | undefined {
+  chunkFrom (position: number): RunChunk | undefined {
     if (position < this.#tokens.length) return { kind: 'tokens', offset: position, tokens: this.#tokens.slice(position) }
     return this.#end
   }
@@ -143,20 +143,20 @@
    * @param offset - first token wanted
    * @param signal - aborted when the reader is gone
    */
-  async * read (offset: number, signal: AbortSignal): AsyncGenerator<RunPiece> {
+  async * read (offset: number, signal: AbortSignal): AsyncGenerator<RunChunk> {
     const reader = this.attach(offset, () => {})
     let position = offset
     try {
       while (!signal.aborted) {
-        const piece = this.pieceFrom(position)
-        if (piece === undefined) {
-          await this.#change(signal)
+        const chunk = this.chunkFrom(position)
+        if (chunk === undefined) {
+          await this.#nextChange(signal)
           continue
         }
-        yield piece
-        if (piece.kind === 'tokens') position += piece.tokens.length
-        reader.advance(position, piece.kind !== 'tokens')
-        if (piece.kind !== 'tokens') return
+        yield chunk
+        if (chunk.kind === 'tokens') position += chunk.tokens.length
+        reader.advance(position, chunk.kind !== 'tokens')
+        if (chunk.kind !== 'tokens') return
       }
     } finally {
       reader.detach()
@@ -169,22 +169,22 @@
    * @param signal - ends the wait
    */
   async waitForStart (signal: AbortSignal): Promise<void> {
-    while (this.#tokens.length === 0 && this.#end === undefined && !signal.aborted) await this.#change(signal)
+    while (this.#tokens.length === 0 && this.#end === undefined && !signal.aborted) await this.#nextChange(signal)
   }
 
-  async #change (signal: AbortSignal): Promise<void> {
+  async #nextChange (signal: AbortSignal): Promise<void> {
     await new Promise<void>(resolve => {
       const wake = (): void => {
-        this.#wakers.delete(wake)
+        this.#listeners.delete(wake)
         signal.removeEventListener('abort', wake)
         resolve()
       }
-      this.#wakers.add(wake)
+      this.#listeners.add(wake)
       signal.addEventListener('abort', wake, { once: true })
     })
   }
 
-  #wake (): void {
-    for (const wake of [...this.#wakers]) wake()
+  #notifyReaders (): void {
+    for (const wake of [...this.#listeners]) wake()
   }
 }
--- a/apps/entry/src/lib/runs/RunManager.ts
+++ b/apps/entry/src/lib/runs/RunManager.ts
@@ -32,10 +32,10 @@
 }
 
 /** Interval between sweeps of unread runs, in milliseconds. */
-const SWEEP_MS = 250
+const SWEEP_INTERVAL_MS = 250
 
 /** Longest time to a first token that is recorded, in milliseconds. */
-const FIRST_TOKEN_LIMIT_MS = 120_000
+const MAX_FIRST_TOKEN_MS = 120_000
 
 /** Owns all runs of this host. */
 export class RunManager {
@@ -43,7 +43,7 @@
   readonly #budgets = new Map<string, RetryBudget>()
   readonly #durations = new RouteDurations()
   readonly #sweeper: NodeJS.Timeout
-  #requestTokens = 0
+  #meanRequestTokens = 0
   #underWay = 0
 
   /**
@@ -62,7 +62,7 @@
     private readonly quarantine: CallQuarantine,
     private readonly ports: Omit<RunPorts, 'budget' | 'guard'>
   ) {
-    this.#sweeper = setInterval(() => { this.#sweep() }, SWEEP_MS)
+    this.#sweeper = setInterval(() => { this.#sweep() }, SWEEP_INTERVAL_MS)
   }
 
   /** Runs that have not ended. */
@@ -70,30 +70,30 @@
   /** Runs kept, ended ones included. */
   get kept (): number { return this.#runs.size }
   /** Mean tokens a request holds, lately. */
-  get meanRequestTokens (): number { return this.#requestTokens }
+  get meanRequestTokens (): number { return this.#meanRequestTokens }
 
   /**
    * Admits a request and starts its run.
    *
    * @param service - service name, for the retry budget
    * @param request - what was asked
-   * @param gone - aborted when the caller has left
+   * @param disconnected - aborted when the caller has left
    * @returns the run, or why it was not admitted
    */
-  async start (service: string, request: RunRequest, gone: AbortSignal): Promise<Result<Run, Refusal>> {
+  async start (service: string, request: RunRequest, disconnected: AbortSignal): Promise<Result<Run, Refusal>> {
     const run = new Run(createRunId(this.settings.peerAddress), request.customer.name, this.ports.clock)
     const guard = this.#guard(service, request)
     const held = guard.refusal()
     if (held !== undefined) return fail(refuse(held, run.dispatch))
     const tokens = heldTokens(request)
-    this.#requestTokens += (tokens - this.#requestTokens) * (this.#requestTokens === 0 ? 1 : 0.05)
+    this.#meanRequestTokens += (tokens - this.#meanRequestTokens) * (this.#meanRequestTokens === 0 ? 1 : 0.05)
     const decision = await this.gate.request({
       id: run.id,
       customer: request.customer.name,
       share: request.customer.share,
       tokens,
       waitLimitMs: request.profile.firstTokenLimitMs
-    }, gone)
+    }, disconnected)
     if (decision.kind === 'refused') {
       return fail(refuse({
         reason: decision.reason,
@@ -147,7 +147,7 @@
   }
 
   async #observeFirstToken (run: Run): Promise<void> {
-    await run.waitForStart(AbortSignal.timeout(FIRST_TOKEN_LIMIT_MS))
+    await run.waitForStart(AbortSignal.timeout(MAX_FIRST_TOKEN_MS))
     if (run.length > 0) this.settings.firstToken(this.ports.clock.now() - run.startedAt)
   }
 
@@ -155,7 +155,7 @@
     const now = this.ports.clock.now()
     for (const { run, task, ticket } of this.#runs.values()) {
       if (run.wasReadToEnd) ticket.end()
-      if (run.unreadFor(now) < this.settings.resumeGraceMs) continue
+      if (run.unreadMs(now) < this.settings.resumeGraceMs) continue
       if (run.end === undefined) {
         task.cancel()
         continue
--- a/apps/entry/src/lib/runs/RunTask.ts
+++ b/apps/entry/src/lib/runs/RunTask.ts
@@ -18,7 +18,7 @@
 import type { CallGuard } from '../quarantine/CallQuarantine.js'
 import type { FinishedRun } from './Exporter.js'
 import type { PlacedRun, PlaceRequest } from './Placer.js'
-import { ResumptionPatience } from './ResumptionPatience.js'
+import { ResumptionRetryPolicy } from './ResumptionRetryPolicy.js'
 import type { Run } from './Run.js'
 
 /** What a caller asked for. */
@@ -80,7 +80,7 @@
 interface StartedStream {
   readonly placed: PlacedRun
   readonly engine: EngineBackend
-  readonly engineRun: string
+  readonly engineRunId: string
   readonly items: AsyncGenerator<RunStreamItem>
   readonly abort: AbortController
   readonly startedAt: number
@@ -88,13 +88,13 @@
 }
 
 /** Pause before engines are looked for again when there is none, in milliseconds. */
-const NO_ENGINE_PAUSE_MS = 100
+const NO_ENGINE_RETRY_DELAY_MS = 100
 
 /** Longest wait for any engine, in milliseconds. */
-const NO_ENGINE_PATIENCE_MS = 2000
+const MAX_NO_ENGINE_WAIT_MS = 2000
 
 /** Longest silence of a stream before it is read again from the gap, in milliseconds. */
-const STALL_MS = 3000
+const RESUME_TIMEOUT_MS = 3000
 
 /** Seconds after which a caller may try again when there is no better estimate. */
 const RETRY_AFTER_SECONDS = 1
@@ -103,7 +103,7 @@
 export class RunTask {
   readonly #abort = new AbortController()
   readonly #deadline: number
-  readonly #patience: ResumptionPatience
+  readonly #resumptionRetries: ResumptionRetryPolicy
   readonly #excluded = new Set<string>()
   #assembler: AnswerAssembler | undefined
   #attempts = 0
@@ -116,7 +116,7 @@
    */
   constructor (private readonly run: Run, private readonly request: RunRequest, private readonly ports: RunPorts) {
     this.#deadline = run.startedAt + request.profile.deadlineMs
-    this.#patience = new ResumptionPatience(ports.clock)
+    this.#resumptionRetries = new ResumptionRetryPolicy(ports.clock)
   }
 
   /** Ends the run early and frees its engine. */
@@ -146,7 +146,7 @@
   // --- Placement ---
 
   async #place (): Promise<PlacedRun | undefined> {
-    const patienceEnds = this.#hasBegun ? this.#patience.endsAt : this.ports.clock.now() + NO_ENGINE_PATIENCE_MS
+    const waitDeadline = this.#hasTokens ? this.#resumptionRetries.deadline : this.ports.clock.now() + MAX_NO_ENGINE_WAIT_MS
     for (;;) {
       if (this.#abort.signal.aborted) return this.#fail({ reason: 'endpoint-failed', status: 499, detail: 'the caller left' })
       const held = this.ports.guard.refusal()
@@ -162,20 +162,20 @@
         excluded: this.#excluded
       })
       const best = ranked[0]
-      if (best !== undefined) return this.#withinLimit(best)
+      if (best !== undefined) return this.#checkFirstTokenLimit(best)
       // Engines that failed once may have recovered; better them than none.
       this.#excluded.clear()
-      if (this.ports.clock.now() >= patienceEnds) {
+      if (this.ports.clock.now() >= waitDeadline) {
         const detail = this.run.version === undefined ? 'no engine of the model can take the request' : `no engine runs version ${this.run.version} any more`
         return this.#fail({ reason: 'no-endpoint', status: 503, detail, retryAfterSeconds: RETRY_AFTER_SECONDS })
       }
-      await this.ports.clock.sleep(this.#hasBegun ? this.#patience.nextPauseMs() : NO_ENGINE_PAUSE_MS)
+      await this.ports.clock.sleep(this.#hasTokens ? this.#resumptionRetries.nextDelayMs() : NO_ENGINE_RETRY_DELAY_MS)
     }
   }
 
-  get #hasBegun (): boolean { return this.run.length > 0 }
+  get #hasTokens (): boolean { return this.run.length > 0 }
 
-  #withinLimit (best: PlacedRun): PlacedRun | undefined {
+  #checkFirstTokenLimit (best: PlacedRun): PlacedRun | undefined {
     const { firstTokenLimitMs } = this.request.profile
     const excessMs = best.placement.firstTokenMs - firstTokenLimitMs
     if (excessMs <= 0 || this.run.length > 0) return best
@@ -217,7 +217,7 @@
       ...(importId === undefined ? {} : { importId })
     }, this.#remainingMs(), AbortSignal.any([abort.signal, this.#abort.signal]))
     if (!started.ok) return this.#startFailed(name, started.error, startedAt)
-    return { placed, engine, engineRun, items: started.value, abort, startedAt }
+    return { placed, engine, engineRunId: engineRun, items: started.value, abort, startedAt }
   }
 
   #startFailed (engine: string, error: BackendError, startedAt: number): AttemptOutcome {
@@ -266,13 +266,13 @@
     if ('kind' in secondary) return primary
     secondary.first = secondary.items.next()
     const winner = await Promise.race([primary.first.then(() => primary), secondary.first.then(() => secondary)])
-    this.#abandon(winner === primary ? secondary : primary)
+    this.#cancelStream(winner === primary ? secondary : primary)
     return winner
   }
 
-  #abandon (stream: StartedStream): void {
+  #cancelStream (stream: StartedStream): void {
     stream.abort.abort()
-    void stream.engine.cancelRun(stream.engineRun)
+    void stream.engine.cancelRun(stream.engineRunId)
   }
 
   async #consume (stream: StartedStream, assembler: AnswerAssembler): Promise<AttemptOutcome> {
@@ -281,13 +281,13 @@
       const outcome = await this.#readItems(current, assembler)
       if (outcome !== 'broken') return outcome
       if (this.#abort.signal.aborted) {
-        this.#abandon(current)
+        this.#cancelStream(current)
         return { kind: 'retry', reason: 'engine-lost' }
       }
       const resumed = await this.#resume(current, assembler.nextOffset)
       if (!resumed.ok) {
         this.#noteLost(current.placed.placement.engine.name, current.startedAt)
-        this.#abandon(current)
+        this.#cancelStream(current)
         this.ports.fleet.engineTable.observeFailure(current.placed.placement.engine.name, this.ports.clock.now())
         this.#excluded.add(current.placed.placement.engine.name)
         return { kind: 'retry', reason: 'engine-lost' }
@@ -308,13 +308,13 @@
       const message = next.value.value
       if (message.version !== assembler.version) {
         // Not a token of another version may reach the caller.
-        this.#abandon(stream)
+        this.#cancelStream(stream)
         this.#excluded.add(name)
         return { kind: 'retry', reason: 'version-mismatch' }
       }
       if (message.kind === 'end') {
         if (!assembler.finish(message)) {
-          this.#abandon(stream)
+          this.#cancelStream(stream)
           this.ports.fleet.engineTable.observeFailure(name, this.ports.clock.now())
           return { kind: 'contradiction' }
         }
@@ -323,9 +323,9 @@
         const accepted = assembler.accept(message)
         if (accepted.kind === 'progress') {
           this.run.push(accepted.tokens, assembler.version)
-          this.#patience.noteTokens()
+          this.#resumptionRetries.noteTokens()
         }
-        if (this.run.isTooFarAhead) await this.run.waitForRoom(this.#abort.signal)
+        if (this.run.needsBackpressure) await this.run.waitForReaders(this.#abort.signal)
       }
       if (assembler.completed !== undefined && end !== undefined) {
         this.ports.fleet.engineTable.observeSuccess(name)
@@ -341,7 +341,7 @@
   }
 
   async #resume (stream: StartedStream, offset: number): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>> {
-    return await stream.engine.resumeRun(stream.engineRun, offset, Math.min(STALL_MS, this.#remainingMs()), this.#abort.signal)
+    return await stream.engine.resumeRun(stream.engineRunId, offset, Math.min(RESUME_TIMEOUT_MS, this.#remainingMs()), this.#abort.signal)
   }
 
   // --- Ends ---
@@ -366,8 +366,8 @@
     this.#lastRetry = reason
     const isSafe = reason === 'engine-refused' || reason === 'connect-failed' || reason === 'version-mismatch'
     // Engines that refuse the rest of an answer have not run it, and may take it a moment later.
-    if (isSafe && this.#hasBegun) this.#patience.noteRefusal()
-    const isWithinProfile = this.#attempts - this.#patience.refusals <= this.request.profile.retries
+    if (isSafe && this.#hasTokens) this.#resumptionRetries.noteRefusal()
+    const isWithinProfile = this.#attempts - this.#resumptionRetries.refusals <= this.request.profile.retries
     // A refusal by a full or leaving engine costs nothing; only work that may be done twice spends the budget.
     if (isWithinProfile && (isSafe || this.ports.budget.tryRetry())) {
       this.ports.retries.count(reason)
