--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the entry host's tasks together. */
+/** Wires up the components of an entry host. */
 import { z } from 'zod'
 import type { DaemonProgram, RunningDaemon } from '@eelgrassmux/daemon/runDaemon'
 import { SystemClock } from '@eelgrassmux/daemon/SystemClock'
@@ -47,7 +47,7 @@
 /** @internal */
 type EntrySettings = z.infer<typeof settingsSchema>
 
-/** The entry host's program. */
+/** Daemon program of an entry host. */
 export const entryProgram: DaemonProgram<EntrySettings> = {
   name: 'eelgrassmux-entry',
   description: 'Takes callers\' requests, runs them on endpoints and answers',
@@ -55,15 +55,14 @@
   start: startEntry
 }
 
-/** Tokens in flight before the fleet is known. */
+/** Admission capacity before the fleet is known. */
 const INITIAL_CAPACITY_TOKENS = 10_000
 
-/** Requests admitted beyond the engines' places, so that no place waits for the next request. */
+/** Requests admitted per engine slot; above 1 so that a freed slot finds the next request waiting. */
 const OVERCOMMIT_FACTOR = 1.25
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Interval between adjustments of the capacity, in milliseconds. */
 const CAPACITY_UPDATE_INTERVAL_MS = 250
 
 const FIRST_TOKEN_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1, 2, 5, 10]
@@ -105,7 +104,7 @@
   const notices = new DispatchNotices(clock, rpc, fleet.loads, () => link.entryPeers,
     telemetry.labelledCounter('dispatch_notices_total', 'Notices of dispatches among entry hosts by outcome', 'outcome'))
   notices.register(peerServer)
-  // Policies that never import would export for nothing.
+  // Exported blocks are useless to policies that never import.
   const exporter = usesStores(settings.policy) ? storeExporter : { exportIfWorthwhile: async () => {} }
   const gate = new AdmissionGate(INITIAL_CAPACITY_TOKENS, settings.queueLimit)
   const firstToken = telemetry.durationHistogram('first_token_seconds', 'Time to first token', FIRST_TOKEN_BUCKETS_SECONDS)
@@ -166,7 +165,7 @@
     releaseWaiting: () => {},
     closeIdleConnections: () => { callers.closeIdleConnections() },
     logUnderWay: () => { logUnderWay('awaited-by-stop') },
-    // No other host can go on with a run: it goes on to the last moment, and its caller sees that the answer is not complete.
+    // No other host can continue a run, so it runs until the process exits and its caller sees an incomplete answer.
     cutUnderWay: () => { logUnderWay('cut-by-stop') }
   }
 
@@ -193,7 +192,7 @@
   }
 }
 
-/** This host's part of the engines' places, in tokens; the parts of all live hosts add up to the whole. */
+/** Returns this host's share of the engine slots, in tokens; the shares of all live hosts add up to the total. */
 function capacityTokens (fleet: FleetWatcher, link: ControlLink, runs: RunManager): number {
   const now = performance.now()
   const slots = fleet.engineTable.eligible(now)
--- a/apps/entry/src/lib/GracefulShutdown.test.ts
+++ b/apps/entry/src/lib/GracefulShutdown.test.ts
@@ -1,15 +1,9 @@
 /**
- * Seen: when all entry hosts were stopped in turn under load, streams broke off in the
- * middle, each at the moment at which the platform killed a host, eight seconds after its
- * SIGTERM. The host had taken them up to five seconds after the signal.
- *
- * How it came about: callers kept their connections, and with more than half of the hosts of a
- * data centre stopping at once the balancer sent new ones to all of them again. The quiet for
- * which a stop waits never came, and until then everything was taken, whatever time it needed.
- *
- * Cause: work was admitted without regard to how long the process may live. Proved by the
- * first test: with requests coming all the time, a stream that outlasts the grace period is
- * passed on and cut.
+ * Guards against streams that break off when the platform kills a stopping host, eight seconds
+ * after its SIGTERM. Under a rolling restart callers kept their connections, and with more than
+ * half of the hosts of a data centre stopping the balancer sent new connections to all of them.
+ * The quiet period never came, and up to five seconds after the signal the host accepted requests
+ * that could not finish before the kill. The first test reproduces this with constant requests.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { connect, type Socket } from 'node:net'
@@ -19,7 +13,7 @@
 import { BALANCER_LAG_MS, RoutedHost, type RoutedHostOptions } from './routed/harness/RoutedHost.js'
 import { TEST_SITE, testRoute } from './routed/harness/testSite.js'
 
-/** Streams begin and go on until the test lets them end; silent ones never answer; others answer at once. */
+/** `/resumable/` paths stream until the test ends the stream, `/silent/` paths never answer, all others answer at once. */
 const byPath: Behaviour = (request, response, body) => {
   if (request.url?.startsWith('/silent/') === true) return
   if (request.url?.startsWith('/resumable/') !== true) {
@@ -30,7 +24,7 @@
   response.write(streamEvent(1))
 }
 
-/** An answer that doesn't fit into the buffers between a host and a caller who does not read. */
+/** Larger than the buffers between a host and a caller that does not read. */
 const LARGE = 'x'.repeat(8 * 1024 * 1024)
 
 const answerLarge: Behaviour = (request, response) => {
@@ -51,10 +45,10 @@
   return Buffer.concat(chunks).toString()
 }
 
-/** With a route whose requests may wait for longer than any grace period here. */
+/** Site with a route whose timeout exceeds every grace period in this file. */
 const SITE = { ...TEST_SITE, routes: [...TEST_SITE.routes, testRoute('/silent/', { timeoutMs: 20_000 })] }
 
-describe('PlannedStop', () => {
+describe('GracefulShutdown', () => {
   let host: RoutedHost
   let endpoint: EndpointStandin
   let headCame: () => void
@@ -73,7 +67,7 @@
     return socket
   }
 
-  /** @returns status, and whether the answer was whole */
+  /** @returns status, and whether the answer was complete */
   async function ask (path: string): Promise<{ readonly status: number, readonly isWhole: boolean }> {
     const { status, isWhole } = await host.ask(path, () => { headCame() })
     return { status, isWhole }
@@ -85,27 +79,27 @@
 
   afterEach(async () => { await host.close() })
 
-  describe('once the balancer has noticed', () => {
-    it('takes no stream that could outlast the process, although requests keep coming', async () => {
+  describe('after the lag of the balancer', () => {
+    it('refuses a stream that could outlast the process, although requests keep coming', async () => {
       await serve(byPath, { graceMs: 5000 })
       host.stop.begin(performance.now() - BALANCER_LAG_MS, host.server)
       void host.stop.drain(host.server)
       const asked = ask('/resumable/1')
       await Promise.race([asked, endpoint.whenSeen()])
-      // What the platform does when the grace period is over.
+      // The platform kills the process at the end of the grace period.
       await host.server.close()
       expect(await asked).toEqual({ status: 503, isWhole: true })
       expect(endpoint.seen).toHaveLength(0)
     })
 
-    it('serves what will end in time for as long as earlier work keeps the process', async () => {
+    it('serves requests that will end in time while earlier work keeps the process running', async () => {
       await serve(byPath, { graceMs: 60_000 })
       const earlier = ask('/resumable/1')
       await endpoint.whenSeen()
       host.stop.begin(performance.now(), host.server)
       const drained = host.stop.drain(host.server)
       expect(await ask('/safe/2')).toEqual({ status: 200, isWhole: true })
-      // Later than the quiet for which a stop without work waits.
+      // Longer than the quiet period after which a shutdown without work ends.
       await sleep(600)
       expect(await ask('/safe/3')).toEqual({ status: 200, isWhole: true })
       endpoint.finishStreams()
@@ -115,8 +109,8 @@
     })
   })
 
-  describe('work that has begun', () => {
-    it('ends only when its answer has left the process', async () => {
+  describe('work in flight', () => {
+    it('lasts until its answer has left the process', async () => {
       await serve(answerLarge, { graceMs: 60_000 })
       const caller = await openRaw()
       caller.pause()
@@ -150,14 +144,14 @@
       await sleep(50)
       host.stop.begin(performance.now(), host.server)
       const closed = host.stop.drain(host.server).then(async () => { await host.server.close() })
-      // Later than the quiet for which a stop without work waits.
+      // Longer than the quiet period after which a shutdown without work ends.
       await sleep(1000)
       caller.write('whole')
       await closed
       expect(await received).toContain('POST /unsafe/1 half whole')
     })
 
-    it('includes a request that waits for what the host has still to learn', async () => {
+    it('includes a request that waits for data which the host loads at its start', async () => {
       await serve(byPath, { graceMs: 60_000, startedAt: performance.now() })
       const asked = ask('/safe/1')
       await sleep(50)
@@ -168,15 +162,15 @@
     })
   })
 
-  describe('from the signal on', () => {
-    it('counts the time since the signal, however late it is noticed', async () => {
+  describe('after the signal', () => {
+    it('measures the time from the signal, however late it is handled', async () => {
       await serve(byPath, { graceMs: 5000 })
       host.stop.begin(performance.now() - 4000, host.server)
       expect(host.stop.admits({ remainingMs: 2000, expectedMs: 10 })).toBe(false)
       await host.stop.drain(host.server)
     })
 
-    it('sends nothing a second time that could outlast the process', async () => {
+    it('does not retry a request that could outlast the process', async () => {
       let served = 0
       const rejectOnceStopping: Behaviour = (request, response, body) => {
         served += 1
@@ -189,7 +183,7 @@
       await host.stop.drain(host.server)
     })
 
-    it('takes a stream while the balancer may not have noticed, and asks its caller to leave the connection', async () => {
+    it('accepts a stream within the lag of the balancer, and asks its caller to close the connection', async () => {
       await serve(byPath, { graceMs: 5000 })
       host.stop.begin(performance.now(), host.server)
       const asked = host.ask('/resumable/1')
@@ -199,8 +193,8 @@
     })
   })
 
-  describe('when the grace period is over', () => {
-    it('ends what is left by itself, none of it as complete, and says which', async () => {
+  describe('at the end of the grace period', () => {
+    it('aborts the remaining requests, none of them as complete, and logs their ids', async () => {
       const lines: string[] = []
       await serve(byPath, { graceMs: 300 })
       host.telemetry.decided = (event, request) => { lines.push(`${event} ${request}`) }
@@ -211,7 +205,7 @@
       host.stop.begin(performance.now(), host.server)
       await host.stop.drain(host.server)
       expect(await begun).toEqual({ status: 200, isWhole: false })
-      // It ran, so its caller is told nothing else.
+      // The request was sent to an endpoint, so the answer may not claim that it did not run.
       expect(await silent).toEqual({ status: 502, isWhole: true })
       expect(lines.filter(line => line.startsWith('cut-by-stop'))).toHaveLength(2)
     })
--- a/apps/entry/src/lib/GracefulShutdown.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -1,63 +1,62 @@
 /**
- * The planned stop of an entry host, from its signal to the end of its last work.
+ * Graceful shutdown of an entry host, from the signal to the end of its last request.
  *
- * Callers and the balancer learn of it late, so the host goes on serving what it can
- * finish while it sends its callers elsewhere, and ends as soon as its work has.
+ * Callers and the balancer learn of the shutdown late. Until they have left, the host
+ * serves every request that it can finish in time, and it exits once no work is left.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { admitWhileStopping } from '@eelgrassmux/policy/limits/admitWhileStopping'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** What a stop may take. */
+/** Time limits of a shutdown. */
 export interface ShutdownLimits {
-  /** Time for which the balancer may send new work after readiness is withdrawn, in milliseconds. */
+  /** Time for which the balancer may still send new requests after readiness is withdrawn, in milliseconds. */
   readonly balancerLagMs: number
   /** Time from the signal until the process is killed, in milliseconds. */
   readonly graceMs: number
 }
 
-/** The callers' side of a host that stops. */
+/** Server that a shutdown drains. */
 export interface DrainableServer {
   /** Monotonic milliseconds at which the last request arrived. */
   readonly lastRequestAt: number
-  /** Lets requests go that wait for what the host has still to learn. */
+  /** Stops holding back requests that wait for data which the host loads at its start. */
   releaseWaiting (): void
   /** Closes connections on which no request is under way. */
   closeIdleConnections (): void
-  /** Logs what is under way, so that work that is cut later can be told by its ids. */
+  /** Logs the requests in flight, so that requests aborted later can be identified. */
   logUnderWay (): void
-  /** Ends what is under way, each request with the truest answer that can still be given. */
+  /** Aborts all requests in flight; each gets the most accurate answer that is still possible. */
   cutUnderWay (): void
 }
 
-/** What is known of a request that comes while the host is stopping. */
+/** Expected duration of a request that arrives during the shutdown. */
 export interface RequestTimeEstimate {
-  /** Milliseconds until its own time is over, by its route or its caller. */
+  /** Milliseconds until the deadline set by its route or its caller. */
   readonly remainingMs: number
-  /** Milliseconds that it will probably take, if known. */
+  /** Milliseconds that the request will probably take, if known. */
   readonly expectedMs: number | undefined
 }
 
-/** Quiet that says that callers have moved to other hosts, in milliseconds. */
+/** Time without requests after which callers are taken to have moved to other hosts, in milliseconds. */
 const QUIET_PERIOD_MS = 400
 
-/** Longest wait for that quiet, beyond the balancer's lag, in milliseconds. */
+/** Longest wait for a quiet period after the balancer's lag, in milliseconds. */
 const MAX_QUIET_WAIT_MS = 2500
 
-/** Interval between looks for it, in milliseconds. */
 const QUIET_POLL_INTERVAL_MS = 50
 
-/** Time before the kill at which the host ends what is left by itself, in milliseconds: enough to write answers and log lines, which a killed process can't. */
+/** Time before the kill at which the host aborts the remaining requests, in milliseconds: enough to write answers and log lines, which a killed process can't. */
 const ABORT_BEFORE_KILL_MS = 200
 
-/** Time in which the answers of the cut can be written, in milliseconds; a caller who reads more slowly has had its time. */
+/** Time to write the answers of aborted requests, in milliseconds; slower readers lose theirs. */
 const ABORT_WRITE_MS = 80
 
-/** Share of the grace period that the balancer's lag may take, where the period is short. */
+/** Largest fraction of the grace period that is spent on the balancer's lag; matters for short grace periods. */
 const MAX_LAG_FRACTION = 0.5
 
-/** One planned stop; does nothing until it begins. */
+/** Shuts the host down gracefully; does nothing until `begin` is called. */
 export class GracefulShutdown {
   #signalledAt: number | undefined
   #abortTimer: NodeJS.Timeout | undefined
@@ -65,9 +64,9 @@
   readonly #lagMs: number
 
   /**
-   * @param work - gate of all work
-   * @param limits - what the stop may take
-   * @param telemetry - log
+   * @param work - tracks all work in flight
+   * @param limits - time limits
+   * @param telemetry - event log
    */
   constructor (
     private readonly work: WorkGate,
@@ -77,7 +76,7 @@
     this.#lagMs = Math.min(limits.balancerLagMs, limits.graceMs * MAX_LAG_FRACTION)
   }
 
-  /** Whether the signal has come. */
+  /** Whether the signal has been received. */
   get isStopping (): boolean { return this.#signalledAt !== undefined }
 
   /** Milliseconds since the signal; 0 before it. */
@@ -86,10 +85,10 @@
   }
 
   /**
-   * Begins the stop, before the balancer has noticed.
+   * Begins the shutdown; the balancer has not noticed it yet.
    *
-   * @param signalledAt - monotonic milliseconds of the signal
-   * @param server - the callers' side
+   * @param signalledAt - time of the signal, in monotonic milliseconds
+   * @param server - server to drain
    */
   begin (signalledAt: number, server: DrainableServer): void {
     this.#signalledAt = signalledAt
@@ -99,8 +98,8 @@
   }
 
   /**
-   * @param request - a request that would begin now
-   * @returns whether this host can take it; always true before the signal
+   * @param request - expected duration of a request that would start now
+   * @returns whether this host can finish it; always true before the signal
    */
   admits ({ remainingMs, expectedMs }: RequestTimeEstimate): boolean {
     if (!this.isStopping) return true
@@ -108,10 +107,10 @@
   }
 
   /**
-   * Sees a stop that has begun through to its end.
+   * Runs a shutdown that has begun to its end.
    *
-   * @param server - the callers' side
-   * @returns once no work is under way and none will begin
+   * @param server - server to drain
+   * @returns once no work is in flight and none will start
    */
   async drain (server: DrainableServer): Promise<void> {
     const cut = new Promise<void>(resolve => { this.#finishAbort = resolve })
@@ -125,10 +124,10 @@
   async #finish (server: DrainableServer): Promise<void> {
     await sleep(Math.max(0, this.#lagMs - this.sinceSignalMs))
     this.#log('balancer-lag-over')
-    // Not now: the process may have been held up since.
+    // The current time would be too late if the process was suspended during the sleep.
     const lagOverAt = performance.now() - this.sinceSignalMs + this.#lagMs
     server.closeIdleConnections()
-    // While earlier work keeps the process, it may as well serve whoever still comes.
+    // New requests are still accepted while earlier work keeps the process running.
     await this.work.whenPresentEnds()
     await this.#whenQuiet(server, lagOverAt)
     this.work.close()
--- a/apps/entry/src/lib/RoutedDaemon.test.ts
+++ b/apps/entry/src/lib/RoutedDaemon.test.ts
@@ -6,7 +6,7 @@
 const GIVEN = { dataCentre: 'n', control: '10.0.0.1:7400' }
 
 describe('routed settings', () => {
-  it('take a budget that is no whole number: platforms state their bounds as fractions too', () => {
+  it('accept a fractional retry budget, because platforms state their bounds as fractions too', () => {
     expect(schema.parse({ ...GIVEN, retrySlack: '55.8', retryRatio: '0.2' })).toMatchObject({ retrySlack: 55.8, retryRatio: 0.2 })
   })
 
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the tasks of an entry host for routed requests together. */
+/** Wires up the components of an entry host for routed requests. */
 import { z } from 'zod'
 import type { EarlyListener } from '@eelgrassmux/daemon/EarlyListener'
 import type { RunningDaemon } from '@eelgrassmux/daemon/runDaemon'
@@ -36,29 +36,29 @@
   retrySlack: z.coerce.number().min(0).max(100_000).default(20).describe('repeats on top, in any window of some seconds, over all entry hosts')
 }
 
-/** Settings of an entry host for routed requests, checked. */
+/** Validated settings of an entry host for routed requests. */
 export type RoutedSettings = z.infer<z.ZodObject<typeof routedSettingsShape>>
 
-/** What a platform brings. */
+/** Platform-specific parts of an entry host. */
 export interface RoutedPlatform {
   readonly codec: RequestCodec
-  /** The callers' port, if it was opened before the program was loaded. */
+  /** Listener on the callers' port, if it was opened before the program was loaded. */
   readonly earlyListener?: EarlyListener | undefined
-  /** Opens what else the platform calls on an entry host. */
+  /** Opens the other servers that the platform calls on an entry host. */
   openPlatformServers (isReady: () => boolean): Promise<{ close (): Promise<void> }>
 }
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Lateness of a timer that says that callers may have left unnoticed, in milliseconds; usual lateness is a few. */
+/** Event-loop lag above which callers may have disconnected unnoticed, in milliseconds; the usual lag is a few milliseconds. */
 const EVENT_LOOP_LAG_LIMIT_MS = 40
 
 /**
  * Starts an entry host for routed requests.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @param telemetry - log and metrics
- * @param platform - words and edges
+ * @param platform - codec and servers of the platform
  */
 export async function startRoutedDaemon (settings: RoutedSettings, telemetry: Telemetry, platform: RoutedPlatform): Promise<RunningDaemon> {
   const work = new WorkGate()
@@ -117,7 +117,7 @@
     leftMsOn: (model, version) => olderWeights.leftMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
     mayAct,
-    // Parts that nobody vouches for may have been freed meanwhile.
+    // Without a current confirmation from the control hosts, stored parts may have been freed already.
     storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
     storeClockMs: now => stored.storeClockMs(now),
     beforePlacing: place => { loads.beforePlacing(place) },
--- a/apps/entry/src/lib/callers/CallerServer.ts
+++ b/apps/entry/src/lib/callers/CallerServer.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers talk to: who asks, whether this host may act, and which handler answers. */
+/** HTTP server for callers: authenticates requests, checks that this host may act, and routes them to handlers. */
 import { createHash } from 'node:crypto'
 import type { ServerResponse } from 'node:http'
 import { H3, serve, type H3Event } from 'h3'
@@ -16,17 +16,17 @@
 import { problemResponse } from './problem.js'
 import { refuseUndispatched } from './readBody.js'
 
-/** What the server needs from around it. */
+/** Dependencies of the server. */
 export interface CallerPorts {
   configuration (): ConfigurationIndex
-  /** Whether the configuration in force is known to be the newest, as of now. */
+  /** Whether the configuration in force is currently confirmed as the newest. */
   isFresh (): boolean
   readonly refusals: LabelledCounter
   readonly work: WorkGate
   readonly stop: GracefulShutdown
 }
 
-/** Answers a request of a known customer; nothing is left to send after a stream. */
+/** Answers a request of an authenticated customer; returns undefined if it has streamed the answer itself. */
 type Handler = (event: H3Event, customer: Customer) => Promise<Result<Response | undefined, Refusal>>
 
 /** Serves callers until drained. */
@@ -35,9 +35,9 @@
   #lastRequestAt = 0
 
   /**
-   * @param completions - model requests
-   * @param plain - calls to plain services
-   * @param ports - surroundings
+   * @param completions - handles completion requests
+   * @param plain - handles calls to plain services
+   * @param ports - dependencies
    */
   constructor (
     private readonly completions: CompletionHandler,
@@ -46,9 +46,9 @@
   ) {}
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
-   * @param host - IP number
+   * @param host - IP address
    * @param port - port, 0 for a free one
    * @returns the port
    */
@@ -59,7 +59,7 @@
     return portOf(server.url)
   }
 
-  /** Monotonic milliseconds at which the last request for new work arrived. */
+  /** Time at which the last request for new work arrived, in monotonic milliseconds. */
   get lastRequestAt (): number { return this.#lastRequestAt }
 
   /** Closes connections on which no request is under way. */
@@ -88,7 +88,7 @@
     return app
   }
 
-  /** New work needs a host that is not stopping and whose configuration is the newest. */
+  /** Wraps a handler of new work, which is refused while the host is stopping. */
   #handleNewWork (handler: Handler): (event: H3Event) => Promise<Response> {
     return this.#authenticated(async (event, customer) => {
       this.#lastRequestAt = performance.now()
@@ -100,13 +100,13 @@
     })
   }
 
-  /** Continuing a run that is here goes on while the host drains. */
+  /** Wraps a handler that continues an existing run, which is allowed while the host drains. */
   #handleContinuation (handler: Handler): (event: H3Event) => Promise<Response> {
     return this.#authenticated(async (event, customer) =>
       await this.#withTicket(this.ports.work.beginFollowUp(), event, customer, handler))
   }
 
-  /** The work ends with the handler: it writes streams to their end itself. */
+  /** Ends the ticket with the handler, which writes streams to their end itself. */
   async #withTicket (ticket: WorkTicket, event: H3Event, customer: Customer, handler: Handler): Promise<Result<Response | undefined, Refusal>> {
     try {
       return await handler(event, customer)
@@ -117,9 +117,9 @@
 
   #authenticated (handler: Handler): (event: H3Event) => Promise<Response> {
     return async event => {
-      // Every answer of a stopping host is the last on its connection.
+      // A stopping host closes each connection after its current answer.
       if (this.ports.stop.isStopping) connectionOf(event).shouldKeepAlive = false
-      // Which customer a credential belongs to is configuration too, so freshness comes first.
+      // The mapping of credentials to customers is part of the configuration, so freshness is checked first.
       if (!this.ports.isFresh()) {
         return this.#refuse(refuseUndispatched({ reason: 'configuration-stale', status: 503, detail: 'this host can not confirm its configuration; ask another', retryAfterSeconds: 1 }))
       }
@@ -129,7 +129,7 @@
       }
       const result = await handler(event, customer)
       if (!result.ok) return this.#refuse(result.error)
-      // After a stream the head is sent already, and an empty response changes nothing.
+      // After a stream the head is already sent, and an empty response has no effect.
       return result.value ?? new Response(null)
     }
   }
@@ -146,9 +146,9 @@
   }
 }
 
-/** The connection under a request; there always is one on this platform. */
+/** Returns the Node.js response of a request; it always exists because the server runs on Node.js. */
 function connectionOf (event: H3Event): ServerResponse {
   const connection = event.runtime?.node?.res
-  assertInvariant(connection !== undefined, 'caller-connection', () => 'a request without a connection')
+  assertInvariant(connection !== undefined, 'caller-connection', () => 'the request has no Node.js response')
   return connection as ServerResponse
 }
--- a/apps/entry/src/lib/callers/CompletionHandler.ts
+++ b/apps/entry/src/lib/callers/CompletionHandler.ts
@@ -1,4 +1,4 @@
-/** Answers completion requests and the resumption of their runs. */
+/** Answers completion requests and requests to resume their runs. */
 import type { ServerResponse } from 'node:http'
 import { chatCompletionSchema, renderChatPrompt, textCompletionSchema } from '@eelgrassmux/schema/completions'
 import type { Customer } from '@eelgrassmux/schema/configuration'
@@ -15,7 +15,7 @@
 import { writeChunks } from './writeChunks.js'
 import { writeRun } from './writeRun.js'
 
-/** Largest completion request, in bytes. */
+/** Largest body of a completion request. */
 const MAX_BODY_BYTES = 8 * 1024 * 1024
 
 interface ParsedCompletion {
@@ -41,10 +41,10 @@
    * Starts a run and answers with its output.
    *
    * @param request - the caller's request
-   * @param connection - where a stream is written
-   * @param customer - who asks
-   * @param form - which form was used
-   * @returns a response to send, nothing if a stream was written, or a refusal
+   * @param connection - response that a stream is written to
+   * @param customer - authenticated customer
+   * @param form - request form of the caller
+   * @returns a response to send, undefined if a stream was written, or a refusal
    */
   async complete (
     request: Request, connection: ServerResponse, customer: Customer, form: CompletionForm
@@ -58,7 +58,7 @@
     const started = await this.runs.start(service, parsed.value.request, disconnected)
     if (!started.ok) return started
     const run = started.value
-    // The status line waits for the first token, so that a refusal can still be a refusal.
+    // The status line is sent with the first token, so that an earlier failure can still be answered with an error status.
     await run.waitForStart(disconnected)
     if (run.end?.kind === 'failed' && run.length === 0) return fail(run.end.refusal)
     const header: AnswerHeader = {
@@ -70,13 +70,13 @@
   }
 
   /**
-   * Continues the answer of a run from an offset, here or through the entry host that holds it.
+   * Continues the answer of a run from an offset; reads it from another entry host if that host holds the run.
    *
-   * @param connection - where the stream is written
-   * @param customer - who asks; a run of another customer does not exist for it
-   * @param runId - from the answer's id or header
-   * @param query - `offset`, and `form` of the events
-   * @returns a response to send, nothing if a stream was written, or a refusal
+   * @param connection - response that the stream is written to
+   * @param customer - authenticated customer; runs of other customers are reported as unknown
+   * @param runId - run id from the id or the header of the answer
+   * @param query - `offset` of the first token and `form` of the events
+   * @returns a response to send, undefined if a stream was written, or a refusal
    */
   async resume (
     connection: ServerResponse, customer: Customer, runId: string, query: URLSearchParams
@@ -128,7 +128,7 @@
   }
 }
 
-/** Aborted when the caller has left. */
+/** Returns a signal that is aborted when the caller disconnects. */
 function createDisconnectSignal (connection: ServerResponse): AbortSignal {
   const disconnected = new AbortController()
   connection.once('close', () => { disconnected.abort() })
--- a/apps/entry/src/lib/callers/completionFormat.ts
+++ b/apps/entry/src/lib/callers/completionFormat.ts
@@ -1,11 +1,11 @@
-/** Forms in which answers go to callers: text or chat completions, whole or as server-sent events. */
+/** Formats answers to callers as text or chat completions, either as one JSON body or as server-sent events. */
 import type { RunChunk } from '../runs/Run.js'
 import { toProblem } from './problem.js'
 
-/** Which of the two request forms the caller used. */
+/** Request form that the caller used. */
 export type CompletionForm = 'text' | 'chat'
 
-/** What all parts of one answer share. */
+/** Fields shared by all parts of one answer. */
 export interface AnswerHeader {
   readonly runId: string
   readonly form: CompletionForm
@@ -14,22 +14,22 @@
   readonly createdSeconds: number
 }
 
-/** What the end of a whole answer states. */
+/** Token counts reported at the end of a complete answer. */
 export interface AnswerUsage {
   readonly promptTokens: number
   readonly cachedTokens: number
   readonly completionTokens: number
 }
 
-/** Last event of a whole stream. */
+/** Last event of a complete stream. */
 export const STREAM_DONE = 'data: [DONE]\n\n'
 
 /**
- * Builds a whole answer.
+ * Builds the JSON body of a complete answer.
  *
- * @param header - what all parts share
- * @param text - the answer
- * @param finishReason - why it ended
+ * @param header - shared fields
+ * @param text - text of the answer
+ * @param finishReason - why generation stopped
  * @param usage - token counts
  * @returns the JSON body
  */
@@ -43,10 +43,10 @@
 /**
  * Renders a chunk of an answer as server-sent events.
  *
- * @param header - what all parts share
+ * @param header - shared fields
  * @param chunk - tokens or the end
- * @param length - tokens of the answer so far
- * @returns the events' text; a failed run ends with an `error` event and without `[DONE]`
+ * @param length - length of the answer so far, in tokens
+ * @returns the serialized events; a failed run ends with an `error` event and without `[DONE]`
  */
 export function renderChunk (header: AnswerHeader, chunk: RunChunk, length: number): string {
   switch (chunk.kind) {
--- a/apps/entry/src/lib/callers/problem.ts
+++ b/apps/entry/src/lib/callers/problem.ts
@@ -1,10 +1,9 @@
-/** Refusals as problem details (RFC 9457). */
+/** Converts refusals to problem details (RFC 9457). */
 import type { Refusal } from '@eelgrassmux/schema/Refusal'
 
-/** Prefix of problem types. */
 const PROBLEM_TYPE = 'urn:eelgrassmux:problem:'
 
-/** Body of a refusal. */
+/** JSON body of a refusal. */
 export interface Problem {
   readonly type: string
   readonly title: string
@@ -16,8 +15,8 @@
 }
 
 /**
- * @param refusal - what to tell the caller
- * @returns the problem's body
+ * @param refusal - refusal to convert
+ * @returns the problem body
  */
 export function toProblem (refusal: Refusal): Problem {
   return {
@@ -32,8 +31,8 @@
 }
 
 /**
- * @param refusal - what to tell the caller
- * @returns the whole response
+ * @param refusal - refusal to convert
+ * @returns the response with body and headers
  */
 export function problemResponse (refusal: Refusal): Response {
   const headers = new Headers({ 'content-type': 'application/problem+json' })
--- a/apps/entry/src/lib/callers/readBody.ts
+++ b/apps/entry/src/lib/callers/readBody.ts
@@ -1,23 +1,23 @@
-/** Reads request bodies within a bound. */
+/** Reads request bodies up to a size limit. */
 import { DispatchRecord, refuse, type Refusal, type RefusalDetails } from '@eelgrassmux/schema/Refusal'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { z } from 'zod'
 
 /**
- * A refusal of a request that was only looked at.
+ * Builds a refusal of a request that was not sent to any endpoint.
  *
- * @param details - reason, status and text
- * @returns a refusal that says "not run"
+ * @param details - reason, status and detail
+ * @returns a refusal marked as not run
  */
 export function refuseUndispatched (details: RefusalDetails): Refusal {
   return refuse(details, new DispatchRecord())
 }
 
 /**
- * Reads a whole body, but not more than the bound.
+ * Reads a complete body, and refuses one that exceeds the limit.
  *
  * @param request - the caller's request
- * @param limitBytes - most bytes taken
+ * @param limitBytes - size limit
  * @returns the bytes, or a refusal
  */
 export async function readBody (request: Request, limitBytes: number): Promise<Result<Uint8Array, Refusal>> {
@@ -36,11 +36,11 @@
 }
 
 /**
- * Parses and checks a JSON body.
+ * Parses and validates a JSON body.
  *
- * @param bytes - the body
- * @param schema - what it must look like
- * @returns the checked body, or a refusal that names the field
+ * @param bytes - encoded body
+ * @param schema - schema of the body
+ * @returns the validated body, or a refusal that names the invalid field
  */
 export function parseJson<Body> (bytes: Uint8Array, schema: z.ZodType<Body>): Result<Body, Refusal> {
   let value: unknown
--- a/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
+++ b/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
@@ -4,7 +4,7 @@
 import { GracefulShutdown, type DrainableServer } from '../GracefulShutdown.js'
 import { refuseWhileStopping } from './refuseWhileStopping.js'
 
-class IdleEdge implements DrainableServer {
+class IdleServer implements DrainableServer {
   readonly lastRequestAt = 0
   releaseWaiting (): void {}
   closeIdleConnections (): void {}
@@ -17,17 +17,17 @@
 
   beforeEach(() => { stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 1000, graceMs: 60_000 }, new Telemetry('test')) })
 
-  it('refuses nothing before the stop', () => {
+  it('refuses nothing before the shutdown begins', () => {
     expect(refuseWhileStopping(stop, { remainingMs: 3_600_000, expectedMs: 3_600_000 })).toBeUndefined()
   })
 
-  it('refuses what will probably outlast the process, as not run', () => {
-    stop.begin(performance.now(), new IdleEdge())
+  it('refuses a request that will probably outlast the process, as not run', () => {
+    stop.begin(performance.now(), new IdleServer())
     expect(refuseWhileStopping(stop, { remainingMs: 3_600_000, expectedMs: 70_000 })).toMatchObject({ reason: 'draining', status: 503, run: 'not-run' })
   })
 
-  it('takes what will end in time', () => {
-    stop.begin(performance.now(), new IdleEdge())
+  it('accepts requests that will end in time', () => {
+    stop.begin(performance.now(), new IdleServer())
     expect(refuseWhileStopping(stop, { remainingMs: 10_000, expectedMs: undefined })).toBeUndefined()
     expect(refuseWhileStopping(stop, { remainingMs: 3_600_000, expectedMs: 500 })).toBeUndefined()
   })
--- a/apps/entry/src/lib/callers/refuseWhileStopping.ts
+++ b/apps/entry/src/lib/callers/refuseWhileStopping.ts
@@ -1,15 +1,14 @@
-/** Refusal of requests that a stopping host could not finish. */
+/** Refuses requests that a stopping host could not finish. */
 import type { Refusal } from '@eelgrassmux/schema/Refusal'
 import type { GracefulShutdown, RequestTimeEstimate } from '../GracefulShutdown.js'
 import { refuseUndispatched } from './readBody.js'
 
-/** Pause before another host is asked, in seconds. */
 const RETRY_AFTER_SECONDS = 1
 
 /**
- * @param stop - stop of this host
- * @param request - how long it may take
- * @returns why it is refused; undefined if this host can take it
+ * @param stop - shutdown of this host
+ * @param request - expected duration of the request
+ * @returns the refusal; undefined if this host can finish the request
  */
 export function refuseWhileStopping (stop: GracefulShutdown, request: RequestTimeEstimate): Refusal | undefined {
   if (stop.admits(request)) return undefined
--- a/apps/entry/src/lib/callers/writeChunks.ts
+++ b/apps/entry/src/lib/callers/writeChunks.ts
@@ -1,4 +1,4 @@
-/** Writes chunks that come from another entry host to a caller's connection. */
+/** Writes chunks received from another entry host to a caller's connection. */
 import { once } from 'node:events'
 import type { ServerResponse } from 'node:http'
 import type { RunChunk } from '../runs/Run.js'
@@ -6,12 +6,12 @@
 import { STREAM_HEADERS } from './writeRun.js'
 
 /**
- * Writes all chunks, at the caller's pace.
+ * Writes all chunks, and waits while the caller's connection is full.
  *
- * @param chunks - from the wanted offset on
- * @param header - what all parts share
- * @param offset - first token written
- * @param response - the caller's connection
+ * @param chunks - chunks of the run, starting at the requested offset
+ * @param header - fields shared by all events
+ * @param offset - offset of the first token
+ * @param response - response of the caller's request
  */
 export async function writeChunks (chunks: AsyncGenerator<RunChunk>, header: AnswerHeader, offset: number, response: ServerResponse): Promise<void> {
   if (response.destroyed) return
--- a/apps/entry/src/lib/callers/writeRun.ts
+++ b/apps/entry/src/lib/callers/writeRun.ts
@@ -1,9 +1,9 @@
 /**
  * Writes a run to a caller's connection as server-sent events.
  *
- * Tokens go from the run to the socket without a stream between: at 200 streams
- * the steps of all of them come at once, and each layer in between would add to
- * the time until the last caller has its first token.
+ * Tokens go from the run to the socket without an intermediate stream. With 200
+ * concurrent streams the decoding steps of all of them arrive at once, and each
+ * layer would delay the first token of the last caller.
  */
 import type { ServerResponse } from 'node:http'
 import type { Run } from '../runs/Run.js'
@@ -13,13 +13,13 @@
 export const STREAM_HEADERS = { 'content-type': 'text/event-stream', 'cache-control': 'no-store' } as const
 
 /**
- * Writes everything from an offset on, at the caller's pace.
+ * Writes the run from an offset to its end, and waits while the caller's connection is full.
  *
- * @param run - what to write
- * @param header - what all parts share
- * @param offset - first token wanted
- * @param response - the caller's connection
- * @returns resolves when all was written or the caller has left
+ * @param run - run to write
+ * @param header - fields shared by all events
+ * @param offset - offset of the first token
+ * @param response - response of the caller's request
+ * @returns once everything is written or the caller has disconnected
  */
 export async function writeRun (run: Run, header: AnswerHeader, offset: number, response: ServerResponse): Promise<void> {
   if (response.destroyed) return
--- a/apps/entry/src/lib/fleet/DispatchNotices.ts
+++ b/apps/entry/src/lib/fleet/DispatchNotices.ts
@@ -1,9 +1,9 @@
 /**
- * Tells the other entry hosts of each dispatch at once, and hears of theirs.
+ * Notifies the other entry hosts of each dispatch, and records theirs.
  *
  * Engines report their load with a lag. Without notices several hosts choose the
- * same idle engine within that lag, and all but the first prompt wait for a
- * whole prefill.
+ * same idle engine within that lag, and every prompt but the first waits for a
+ * complete prefill.
  */
 import type { EngineLoadTable } from '@eelgrassmux/policy/health/EngineLoadTable'
 import { noticeDispatches } from '@eelgrassmux/rpc/methods/entryMethods'
@@ -18,21 +18,21 @@
   readonly at: number
 }
 
-/** Dispatches of this time go out in one message, in milliseconds. */
+/** Dispatches within this window are sent in one message, in milliseconds. */
 const BATCH_WINDOW_MS = 3
 
-/** A notice that takes longer is worth nothing, in milliseconds. */
+/** Deadline of a notice, in milliseconds; a later one is useless. */
 const NOTICE_DEADLINE_MS = 200
 
-/** Shares dispatches among entry hosts. */
+/** Exchanges dispatch notices with the other entry hosts. */
 export class DispatchNotices {
   #pending: PendingDispatch[] = []
 
   /**
-   * @param clock - time
+   * @param clock - time source
    * @param rpc - client for the calls
-   * @param loads - corrected by what is heard
-   * @param peers - addresses of the other entry hosts
+   * @param loads - load table that received dispatches are added to
+   * @param peers - returns the addresses of the other entry hosts
    * @param outcomes - counts notices by outcome
    */
   constructor (
@@ -43,7 +43,7 @@
     private readonly outcomes: LabelledCounter
   ) {}
 
-  /** @param server - where to hear of the others' dispatches */
+  /** @param server - server that receives the notices of other hosts */
   register (server: RpcServer): void {
     server.handle(noticeDispatches, async ({ dispatches }) => {
       const now = this.clock.now()
@@ -54,8 +54,8 @@
   }
 
   /**
-   * @param engine - endpoint that a prompt is being sent to
-   * @param tokens - prefill tokens it has to compute
+   * @param engine - engine that a prompt is being sent to
+   * @param tokens - prefill tokens that the engine has to compute
    */
   announce (engine: string, tokens: number): void {
     this.#pending.push({ engine, tokens, at: this.clock.now() })
--- a/apps/entry/src/lib/fleet/FleetWatcher.ts
+++ b/apps/entry/src/lib/fleet/FleetWatcher.ts
@@ -1,4 +1,4 @@
-/** Keeps this host's picture of endpoints and stores: liveness, load, links. */
+/** Tracks liveness, load and link speeds of endpoints and stores. */
 import { EngineClient } from '@eelgrassmux/backends/EngineClient'
 import { MembershipClient } from '@eelgrassmux/backends/MembershipClient'
 import { ServiceClient } from '@eelgrassmux/backends/ServiceClient'
@@ -9,10 +9,10 @@
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { EngineEndpoint, PlainEndpoint, Store } from '@eelgrassmux/schema/configuration'
 
-/** Interval between reports of each back end, in milliseconds. */
+/** Interval at which each endpoint and store is polled, in milliseconds. */
 const POLL_INTERVAL_MS = 250
 
-/** Interval between readings of the platform's list, in milliseconds. */
+/** Interval at which the platform's membership list is read, in milliseconds. */
 const MEMBERSHIP_POLL_INTERVAL_MS = 500
 
 interface Watched<Client> {
@@ -21,10 +21,10 @@
   readonly address: string
 }
 
-/** Owns the connections to all back ends. */
+/** Polls all endpoints and stores, and owns the connections to them. */
 export class FleetWatcher {
   readonly engineTable = new EndpointTable()
-  /** Endpoints of plain services, which have pools and ejection bounds of their own. */
+  /** Endpoints of plain services; they have separate pools and ejection limits. */
   readonly serviceTable = new EndpointTable(DEFAULT_ENDPOINT_SETTINGS)
   readonly loads = new EngineLoadTable()
   readonly links = new LinkTable()
@@ -35,18 +35,18 @@
   readonly #membership: MembershipClient | undefined
   #listTimer: NodeJS.Timeout | undefined
 
-  /** @param membershipAddress - the platform's list, if there is one */
+  /** @param membershipAddress - address of the platform's membership list, if there is one */
   constructor (membershipAddress: string | undefined) {
     this.#membership = membershipAddress === undefined ? undefined : new MembershipClient(membershipAddress)
   }
 
-  /** Starts to read the platform's list. */
+  /** Starts reading the platform's membership list. */
   start (): void {
     this.#listTimer = setInterval(() => { void this.#readList() }, MEMBERSHIP_POLL_INTERVAL_MS)
     void this.#readList()
   }
 
-  /** @param configuration - configuration that is now in force */
+  /** @param configuration - new configuration in force */
   configure (configuration: ConfigurationIndex): void {
     this.engineTable.retain(new Set(configuration.engines.keys()))
     this.serviceTable.retain(new Set(configuration.plainEndpoints.keys()))
@@ -59,8 +59,8 @@
   }
 
   /**
-   * @param configuration - configuration that is now in force
-   * @param dataCentres - whose endpoints get no new work
+   * @param configuration - new configuration in force
+   * @param dataCentres - evacuated data centres, whose endpoints get no new work
    */
   evacuate (configuration: ConfigurationIndex, dataCentres: ReadonlySet<string>): void {
     this.engineTable.evacuate(endpointNamesIn(configuration.engines, dataCentres))
@@ -68,16 +68,16 @@
   }
 
   /**
-   * @param name - engine
-   * @returns its client
+   * @param name - engine name
+   * @returns the engine's client, if the engine is configured
    */
   engine (name: string): EngineClient | undefined {
     return this.#engines.get(name)?.client
   }
 
   /**
-   * @param name - endpoint of a plain service
-   * @returns its client
+   * @param name - endpoint name
+   * @returns the endpoint's client, if the endpoint is configured
    */
   service (name: string): ServiceClient | undefined {
     return this.#services.get(name)?.client
@@ -85,11 +85,11 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns stores that answered lately, with the share of their capacity in use
+   * @returns names of the stores that answered recently
    */
   availableStores (now: number): string[] {
-    const lately = now - DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
-    return [...this.#storesLastSeenAt].filter(([, at]) => at > lately).map(([store]) => store)
+    const oldest = now - DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
+    return [...this.#storesLastSeenAt].filter(([, at]) => at > oldest).map(([store]) => store)
   }
 
   /** Stops all polling and closes all connections. */
@@ -154,7 +154,7 @@
 
   async #readList (): Promise<void> {
     const list = await this.#membership?.list()
-    // A list that can't be read, or has stopped, changes nothing: it is no evidence of life.
+    // An unreadable list changes nothing: it says nothing about the liveness of endpoints.
     if (list?.ok !== true) return
     this.engineTable.observeList(list.value.members)
     this.serviceTable.observeList(list.value.members)
@@ -165,7 +165,7 @@
   return new Set([...endpoints].filter(([, { dataCentre }]) => dataCentres.has(dataCentre)).map(([name]) => name))
 }
 
-/** Polls now and then at an interval; a slow poll is not overtaken by the next. */
+/** Polls immediately and then at an interval; skips a poll while the previous one is still running. */
 function pollEvery (intervalMs: number, poll: () => Promise<void>): NodeJS.Timeout {
   let busy = false
   const runPoll = async (): Promise<void> => {
--- a/apps/entry/src/lib/load/LoadExchange.test.ts
+++ b/apps/entry/src/lib/load/LoadExchange.test.ts
@@ -6,14 +6,14 @@
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { LoadExchange } from './LoadExchange.js'
 
-/** One host and the one that adds up, which has 5 requests of others at an endpoint; all on a virtual clock. */
+/** One host and a control host whose totals contain 5 requests of other hosts at an endpoint, on a virtual clock. */
 class ExchangeHarness {
   asked = 0
   reports: LoadReport[] = []
   answers = true
   own: HostWork = { work: [], links: [] }
   readonly others = new OthersWork()
-  board: string | undefined = 'board'
+  aggregatorAddress: string | undefined = 'aggregator'
   readonly exchange = new LoadExchange('h', {
     datagrams: {
       ask: (_address, method, request, onAnswer) => {
@@ -26,14 +26,14 @@
       },
       tell: (_address, _method, request) => { this.reports.push(request as LoadReport) }
     },
-    aggregatorAddress: () => this.board,
+    aggregatorAddress: () => this.aggregatorAddress,
     liveHosts: () => 8,
     ownWork: () => this.own,
     others: this.others,
     onAnswer: () => {}
   }, new Telemetry('test'))
 
-  /** Has a request placed; afterwards says when that was, or undefined while it waits. */
+  /** Places a request; `at` is the time of the placement, undefined while the request waits. */
   place (): { at: number | undefined } {
     const placed: { at: number | undefined } = { at: undefined }
     this.exchange.beforePlacing(() => { placed.at = performance.now() })
@@ -45,97 +45,97 @@
   beforeEach(() => { vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] }) })
   afterEach(() => { vi.useRealTimers() })
 
-  it('places a request on what others have under way at that moment', () => {
-    const world = new ExchangeHarness()
-    const placed = world.place()
+  it('places a request with the current work of the other hosts', () => {
+    const harness = new ExchangeHarness()
+    const placed = harness.place()
     expect(placed.at).toBeUndefined()
     vi.advanceTimersByTime(2)
     expect(placed.at).toBe(2)
-    expect(world.others.at('e').inFlight).toBe(5)
+    expect(harness.others.at('e').inFlight).toBe(5)
     vi.advanceTimersByTime(10)
-    expect(world.place().at).toBe(12)
-    expect(world.asked).toBe(1)
+    expect(harness.place().at).toBe(12)
+    expect(harness.asked).toBe(1)
   })
 
-  it('never holds a request for longer than an answer is worth', () => {
-    const world = new ExchangeHarness()
-    world.answers = false
-    const placed = world.place()
+  it('never delays a request for longer than the maximum wait for an answer', () => {
+    const harness = new ExchangeHarness()
+    harness.answers = false
+    const placed = harness.place()
     vi.advanceTimersByTime(9)
     expect(placed.at).toBeUndefined()
     vi.advanceTimersByTime(1)
     expect(placed.at).toBe(10)
   })
 
-  it('does not wait when there is nobody to ask, and lets what waits go when it stops', () => {
-    const world = new ExchangeHarness()
-    const waiting = world.place()
-    world.exchange.stop()
+  it('does not wait when no control host is known, and releases waiting requests when it stops', () => {
+    const harness = new ExchangeHarness()
+    const waiting = harness.place()
+    harness.exchange.stop()
     expect(waiting.at).toBe(0)
-    world.board = undefined
+    harness.aggregatorAddress = undefined
     vi.advanceTimersByTime(100)
-    expect(world.place().at).toBe(100)
+    expect(harness.place().at).toBe(100)
   })
 
-  it('that rarely asks tells of its sends at once, and again while there is work; a host at rest is silent', () => {
-    const world = new ExchangeHarness()
+  it('reports sends of a host with rare requests immediately, repeats the report while there is work, and is silent at rest', () => {
+    const harness = new ExchangeHarness()
     vi.advanceTimersByTime(1000)
-    expect(world.reports).toHaveLength(0)
-    world.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
-    world.exchange.noteSend()
-    expect(world.reports.at(-1)?.work[0]?.inFlight).toBe(1)
+    expect(harness.reports).toHaveLength(0)
+    harness.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
+    harness.exchange.noteSend()
+    expect(harness.reports.at(-1)?.work[0]?.inFlight).toBe(1)
     vi.advanceTimersByTime(1000)
-    expect(world.reports).toHaveLength(3)
-    world.own = { work: [], links: [] }
-    world.exchange.noteChange()
+    expect(harness.reports).toHaveLength(3)
+    harness.own = { work: [], links: [] }
+    harness.exchange.noteChange()
     vi.advanceTimersByTime(2000)
-    expect(world.reports.at(-1)?.work).toEqual([])
-    expect(world.reports).toHaveLength(4)
+    expect(harness.reports.at(-1)?.work).toEqual([])
+    expect(harness.reports).toHaveLength(4)
   })
 
-  it('that asks often tells of its sends with the next question, or a moment later if none comes', () => {
-    const world = new ExchangeHarness()
+  it('reports sends of a host with frequent requests with the next question, or after a delay if none follows', () => {
+    const harness = new ExchangeHarness()
     for (let question = 0; question < 20; question += 1) {
-      world.place()
+      harness.place()
       vi.advanceTimersByTime(100)
     }
-    world.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
-    world.exchange.noteSend()
-    expect(world.reports).toHaveLength(0)
+    harness.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
+    harness.exchange.noteSend()
+    expect(harness.reports).toHaveLength(0)
     vi.advanceTimersByTime(249)
-    expect(world.reports).toHaveLength(0)
-    world.place()
+    expect(harness.reports).toHaveLength(0)
+    harness.place()
     vi.advanceTimersByTime(100)
-    expect(world.reports).toHaveLength(0)
-    world.exchange.noteSend()
+    expect(harness.reports).toHaveLength(0)
+    harness.exchange.noteSend()
     vi.advanceTimersByTime(250)
-    expect(world.reports).toHaveLength(1)
+    expect(harness.reports).toHaveLength(1)
   })
 
-  it('asks by the clock while a host starts, so that what waits there is let go', () => {
-    const world = new ExchangeHarness()
-    world.exchange.start()
+  it('asks at a fixed interval while a host starts, so that requests waiting there are released', () => {
+    const harness = new ExchangeHarness()
+    harness.exchange.start()
     vi.advanceTimersByTime(500)
-    expect(world.others.isRecent(performance.now())).toBe(true)
+    expect(harness.others.isRecent(performance.now())).toBe(true)
     vi.advanceTimersByTime(20_000)
-    expect(world.asked).toBeLessThan(40)
-    world.exchange.stop()
+    expect(harness.asked).toBeLessThan(40)
+    harness.exchange.stop()
   })
 
-  it('takes no answer that it cannot read, and goes on', () => {
-    const world = new ExchangeHarness()
+  it('ignores a malformed answer', () => {
+    const harness = new ExchangeHarness()
     const telemetry = new Telemetry('test')
     let answer: (totals: Uint8Array) => void = () => {}
     const exchange = new LoadExchange('h', {
       datagrams: { ask: (_address, _method, _request, onAnswer) => { answer = totals => { onAnswer(totals as never, 0) } }, tell: () => {} },
-      aggregatorAddress: () => 'board',
+      aggregatorAddress: () => 'aggregator',
       liveHosts: () => 1,
-      ownWork: () => world.own,
-      others: world.others,
-      onAnswer: () => { throw new Error('taken') }
+      ownWork: () => harness.own,
+      others: harness.others,
+      onAnswer: () => { throw new Error('a malformed answer was accepted') }
     }, telemetry)
     exchange.beforePlacing(() => {})
     answer(Buffer.from([1, 2, 3]))
-    expect(world.others.isRecent(performance.now())).toBe(false)
+    expect(harness.others.isRecent(performance.now())).toBe(false)
   })
 })
--- a/apps/entry/src/lib/load/LoadExchange.ts
+++ b/apps/entry/src/lib/load/LoadExchange.ts
@@ -1,4 +1,4 @@
-/** Tells a control host of this host's work at endpoints, and asks it for that of all hosts. */
+/** Reports this host's work at endpoints to a control host, and fetches the totals of the other hosts from it. */
 import { ANSWER_WAIT_MS, ExchangePlan } from '@eelgrassmux/routing/load/ExchangePlan'
 import { decodeLoadTotals, NameList } from '@eelgrassmux/routing/load/loadCodec'
 import type { LoadReport, LoadTotals } from '@eelgrassmux/routing/load/loadReport'
@@ -7,28 +7,28 @@
 import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** Time after the start in which a host asks by the clock, in milliseconds: what waits at its start is let go once the others' work is known. */
+/** Period after the start in which a host asks at a fixed interval, in milliseconds; requests wait at the start until the work of the other hosts is known. */
 const STARTUP_PERIOD_MS = 3000
 
-/** Interval of that, in milliseconds. */
+/** Interval between questions during the startup period, in milliseconds. */
 const STARTUP_ASK_INTERVAL_MS = 100
 
-/** Where questions come from and answers go. */
+/** Dependencies of the exchange. */
 export interface LoadExchangePorts {
   readonly datagrams: Pick<DatagramClient, 'ask' | 'tell'>
-  /** Address of the control host that adds up, as of now. */
+  /** Returns the address of the control host that adds up the work of all hosts, if known. */
   aggregatorAddress (): string | undefined
-  /** Entry hosts that exchange, as of now. */
+  /** Returns the number of live entry hosts. */
   liveHosts (): number
-  /** This host's work, as of now. */
+  /** Returns this host's current work. */
   ownWork (): HostWork
-  /** Told of the others' work. */
+  /** Records the work of the other hosts. */
   readonly others: OthersWork
-  /** Called when the others' work was heard. */
+  /** Called after the work of the other hosts was updated. */
   onAnswer (): void
 }
 
-/** Exchanges until stopped. */
+/** Exchanges load with the control host until stopped. */
 export class LoadExchange {
   readonly #plan: ExchangePlan
   readonly #malformed: LabelledCounter
@@ -37,13 +37,13 @@
   #startupTimer: NodeJS.Timeout | undefined
   #tellTimer: NodeJS.Timeout | undefined
   #tellTimerAt = Number.POSITIVE_INFINITY
-  /** Requests that wait for an answer. */
+  /** Placements that wait for an answer. */
   #waiting: Array<() => void> = []
   #waitTimer: NodeJS.Timeout | undefined
 
   /**
    * @param host - name of this host
-   * @param ports - surroundings
+   * @param ports - dependencies
    * @param telemetry - metrics
    */
   constructor (private readonly host: string, private readonly ports: LoadExchangePorts, telemetry: Telemetry) {
@@ -52,7 +52,7 @@
     telemetry.gauge('others_work_recent', '1 while the work of other hosts is known', () => ports.others.isRecent(performance.now()) ? 1 : 0)
   }
 
-  /** Begins to ask by the clock, until the host has started. */
+  /** Starts asking at a fixed interval, until the startup period is over. */
   start (): void {
     const startedAt = performance.now()
     this.#startupTimer = setInterval(() => {
@@ -61,7 +61,7 @@
     }, STARTUP_ASK_INTERVAL_MS)
   }
 
-  /** Ends exchanging; what waits goes on. */
+  /** Stops the exchange and releases all waiting placements. */
   stop (): void {
     clearInterval(this.#startupTimer)
     clearTimeout(this.#tellTimer)
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked.
+   * Places a request once the known work of the other hosts is recent enough: immediately, or after asking for it.
    *
-   * @param place - called once
+   * @param place - places the request; called exactly once
    */
   beforePlacing (place: () => void): void {
     const { asks, waits } = this.#plan.place(performance.now())
@@ -84,19 +84,19 @@
     this.#waitTimer ??= setTimeout(() => { this.#releaseWaiting() }, ANSWER_WAIT_MS)
   }
 
-  /** Call after a request was sent to an endpoint. */
+  /** Must be called after a request was sent to an endpoint. */
   noteSend (): void {
     if (this.#plan.noteSend(performance.now())) this.#tell()
     else this.#scheduleTelling()
   }
 
-  /** Call when an endpoint has less to do for this host. */
+  /** Must be called when this host's work at an endpoint has decreased. */
   noteChange (): void {
     this.#plan.noteChange(performance.now())
     this.#scheduleTelling()
   }
 
-  /** @returns whether there was anybody to ask */
+  /** @returns false if no control host is known */
   #ask (): boolean {
     const aggregator = this.ports.aggregatorAddress()
     if (aggregator === undefined) return false
@@ -151,7 +151,7 @@
     for (const place of this.#waiting.splice(0)) place()
   }
 
-  /** One timer, moved only if it would fire too late: one that fires too early looks again. */
+  /** Keeps one timer, which is moved only if it would fire too late; a timer that fires too early reschedules itself. */
   #scheduleTelling (): void {
     const { tellAt } = this.#plan
     if (tellAt === undefined || this.#tellTimerAt <= tellAt) return
--- a/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
+++ b/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a call at most once for its idempotency key: claim in the agreed log, one
- * dispatch, recorded outcome.
+ * Runs a call at most once per idempotency key: claims the key in the replicated
+ * log, dispatches the call once, and records the outcome.
  */
 import { createHash, randomUUID } from 'node:crypto'
 import { isNotStarted, type BackendError } from '@eelgrassmux/backends/BackendError'
@@ -14,53 +14,53 @@
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
 import type { ProposeError } from '@eelgrassmux/view/ControlLink'
 
-/** A call to run at most once. */
+/** Call to run at most once. */
 export interface AtMostOnceCall {
   readonly record: RecordKey
-  /** Everything that must be the same in a repeat. */
+  /** Bytes that must be identical in a repeated call with the same key. */
   readonly fingerprint: Uint8Array
   /** Longest time the dispatch may take, in milliseconds. */
   readonly timeoutMs: number
-  /** Makes the one dispatch. */
+  /** Dispatches the call; called at most once. */
   dispatch (timeoutMs: number): Promise<Result<ServiceAnswer, BackendError>>
 }
 
-/** What the task needs from around it. */
+/** Dependencies of the executor. */
 export interface AtMostOncePorts {
   propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>>
   readonly clock: Clock
   readonly outcomes: LabelledCounter
-  /** A planned stop waits for records that are still being written. */
+  /** Makes a graceful shutdown wait for records that are still being written. */
   readonly work: WorkGate
 }
 
-/** An answer, and whether it is a repeat of a stored one. */
+/** Answer, and whether it was stored by an earlier call. */
 export interface AtMostOnceAnswer {
   readonly answer: ServiceAnswer
   readonly isRepeat: boolean
 }
 
-/** Longest wait for a claim to be agreed on, in milliseconds. */
+/** Longest wait for a claim to be committed, in milliseconds. */
 const CLAIM_TIMEOUT_MS = 2000
 
-/** Wait for the outcome to be recorded before the caller is answered anyway, in milliseconds. */
+/** Longest wait for the outcome to be recorded before the caller is answered, in milliseconds. */
 const MAX_RECORD_WAIT_MS = 2000
 
-/** How long recording an outcome or a release is tried in the background, in milliseconds. */
+/** How long an outcome or a release is proposed in the background, in milliseconds. */
 const BACKGROUND_TIMEOUT_MS = 60_000
 
-/** Slack between hosts' wall clocks, in milliseconds. */
+/** Allowed difference between the wall clocks of hosts, in milliseconds. */
 const CLOCK_SLACK_MS = 2000
 
-/** Makes calls at most once. */
+/** Executes calls at most once. */
 export class AtMostOnceExecutor {
-  /** @param ports - surroundings */
+  /** @param ports - dependencies */
   constructor (private readonly ports: AtMostOncePorts) {}
 
   /**
-   * Runs a call, or repeats the stored answer of its key.
+   * Runs a call, or returns the answer stored for its key.
    *
-   * @param call - what to run
+   * @param call - call to run
    * @returns the answer, or a refusal
    */
   async run (call: AtMostOnceCall): Promise<Result<AtMostOnceAnswer, Refusal>> {
@@ -75,7 +75,7 @@
     }
     const claimed = await this.ports.propose(claim, CLAIM_TIMEOUT_MS)
     if (!claimed.ok || claimed.value.kind !== 'claim') {
-      // The claim may still be agreed on: it is withdrawn through the log and nothing is dispatched.
+      // The claim may still be committed, so it is released through the log and nothing is dispatched.
       this.#proposeInBackground({ kind: 'release', record: call.record, claimId })
       return this.#refuseUnknown('idempotency-unavailable', 'the claim could not be confirmed; whether an earlier call with this key ran is not known', 1)
     }
@@ -91,7 +91,7 @@
       this.ports.outcomes.count('ran')
       const { status, contentType, body } = answer.value
       const complete: Command = { kind: 'complete', record: call.record, claimId, answer: { status, contentType, body } }
-      // The caller gets its answer in any case; a repeat before the record is agreed on is told "unknown".
+      // The caller gets its answer in any case; a repeat that arrives before the record is committed is answered with "unknown".
       await Promise.race([this.#proposeInBackground(complete), this.ports.clock.sleep(MAX_RECORD_WAIT_MS)])
       return succeed({ answer: answer.value, isRepeat: false })
     }
@@ -123,7 +123,7 @@
     }
   }
 
-  /** This request was not dispatched, but the refusal is about the key: an earlier call with it may have run. */
+  /** Refuses a request that was not dispatched, with `run: 'unknown'` because an earlier call with its key may have run. */
   #refuseUnknown (
     reason: 'idempotency-unavailable' | 'idempotency-in-progress' | 'idempotency-outcome-unknown' | 'idempotency-key-reused',
     detail: string,
@@ -135,7 +135,7 @@
     return fail({ reason, status, detail, run: 'unknown', ...field, ...retry })
   }
 
-  /** Proposes until it is applied or the time is up. */
+  /** Proposes a command until it is applied or the timeout has passed. */
   async #proposeInBackground (command: Command): Promise<void> {
     const ticket = this.ports.work.beginFollowUp()
     const proposed = await this.ports.propose(command, BACKGROUND_TIMEOUT_MS)
--- a/apps/entry/src/lib/plain/PlainHandler.ts
+++ b/apps/entry/src/lib/plain/PlainHandler.ts
@@ -1,4 +1,4 @@
-/** Routes calls to plain services: repeats only what may be repeated. */
+/** Routes calls to plain services, and retries only calls that are safe to repeat. */
 import { isNotStarted, type BackendError } from '@eelgrassmux/backends/BackendError'
 import type { ServiceAnswer, ServiceCall } from '@eelgrassmux/backends/ServiceClient'
 import { RetryBudget } from '@eelgrassmux/policy/limits/RetryBudget'
@@ -16,22 +16,22 @@
 
 type PlainService = Extract<Service, { type: 'plain' }>
 
-/** Largest body to a plain service, in bytes. */
+/** Largest body of a call to a plain service. */
 const MAX_BODY_BYTES = 1024 * 1024
 
-/** Longest idempotency key, in characters. */
+/** Longest idempotency key, in UTF-16 code units. */
 const MAX_KEY_LENGTH = 200
 
-/** Methods that have no effect and may always be repeated. */
+/** Methods without side effects, which may always be repeated. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS'])
 
-/** Answers from this status on say that the endpoint failed. */
+/** Lowest status that counts as a failure of the endpoint. */
 const FIRST_FAILURE_STATUS = 500
 
-/** Marks an answer that was stored by an earlier call with the same key. */
+/** Response header that tells whether the answer was stored by an earlier call with the same key. */
 const REPEAT_HEADER = 'eelgrassmux-repeated'
 
-/** States how long a key is remembered, in hours. */
+/** Response header that tells how long a key is remembered, in hours. */
 const WINDOW_HEADER = 'eelgrassmux-key-window-hours'
 
 /** Serves `/services/{service}/{path}`. */
@@ -40,13 +40,13 @@
   #roundRobinCounter = 0
 
   /**
-   * @param fleet - endpoints
-   * @param executor - runs calls that may not be repeated
-   * @param configuration - configuration in force
+   * @param fleet - endpoints and their state
+   * @param executor - runs calls that must not be repeated
+   * @param configuration - returns the configuration in force
    * @param retries - counts retries by reason
-   * @param windowHours - how long keys are remembered
-   * @param stop - the planned stop
-   * @param quarantine - of calls that end endpoints
+   * @param windowHours - how long idempotency keys are remembered, in hours
+   * @param stop - graceful shutdown of this host
+   * @param quarantine - quarantine of calls that crash endpoints
    */
   constructor (
     private readonly fleet: FleetWatcher,
@@ -62,9 +62,9 @@
    * Answers a call to a plain service.
    *
    * @param request - the caller's request
-   * @param customer - who asks
-   * @param serviceName - from the path
-   * @param path - rest of the path with its query
+   * @param customer - authenticated customer
+   * @param serviceName - service name from the path
+   * @param path - rest of the path, including the query
    * @returns the endpoint's answer, or a refusal
    */
   async handle (request: Request, customer: Customer, serviceName: string, path: string): Promise<Result<Response, Refusal>> {
@@ -97,7 +97,7 @@
       const detail = `calls to ${service.name} that change something need an Idempotency-Key of 1 to ${MAX_KEY_LENGTH} characters`
       return fail(refuseUndispatched({ reason: 'idempotency-key-required', status: 400, detail, field: 'Idempotency-Key' }))
     }
-    // A repeat of a call that has an answer is not sent to any endpoint, so it isn't asked here whether it is quarantined.
+    // The quarantine is checked only before the dispatch: a repeated call with a stored answer is not sent to an endpoint.
     const answered = await this.executor.run({
       record: { customer: customer.name, service: service.name, idempotencyKey: key },
       fingerprint: Buffer.concat([Buffer.from(JSON.stringify([call.method, call.path, call.contentType ?? ''])), call.body ?? new Uint8Array()]),
@@ -109,15 +109,15 @@
         return await this.#callGuarded(guard, endpoint.name, async () => await client.callOnce({ ...call, timeoutMs }))
       }
     })
-    const held = answered.ok ? undefined : guard.refusal()
-    if (!answered.ok) return held !== undefined && answered.error.run === 'not-run' ? fail(refuse(held, new DispatchRecord())) : answered
+    const rejection = answered.ok ? undefined : guard.refusal()
+    if (!answered.ok) return rejection !== undefined && answered.error.run === 'not-run' ? fail(refuse(rejection, new DispatchRecord())) : answered
     const response = toResponse(answered.value.answer)
     response.headers.set(REPEAT_HEADER, String(answered.value.isRepeat))
     response.headers.set(WINDOW_HEADER, String(this.windowHours))
     return succeed(response)
   }
 
-  /** Retries only while no endpoint has started the call, or, for a safe method, under the budget. */
+  /** Retries while no endpoint has started the call; retries calls of safe methods also within the retry budget. */
   async #callWithRetries (service: PlainService, profile: Profile, call: ServiceCall, guard: CallGuard): Promise<Result<Response, Refusal>> {
     const dispatch = new DispatchRecord()
     const budget = this.#budget(service.name)
@@ -125,8 +125,8 @@
     const deadline = performance.now() + profile.deadlineMs
     const triedEndpoints = new Set<string>()
     for (;;) {
-      const held = guard.refusal()
-      if (held !== undefined) return fail(refuse({ ...held, status: dispatch.mayHaveRun ? 502 : held.status }, dispatch))
+      const rejection = guard.refusal()
+      if (rejection !== undefined) return fail(refuse({ ...rejection, status: dispatch.mayHaveRun ? 502 : rejection.status }, dispatch))
       const endpoint = this.#choose(service.name, triedEndpoints)
       const client = endpoint === undefined ? undefined : this.fleet.service(endpoint.name)
       if (endpoint === undefined || client === undefined) {
@@ -150,7 +150,7 @@
     }
   }
 
-  /** Notes what a call shows of itself: that its endpoint broke off under it, or that it came through. */
+  /** Sends a call, and reports to the quarantine whether it was completed or lost with its endpoint. */
   async #callGuarded (guard: CallGuard, endpoint: string, send: () => Promise<Result<ServiceAnswer, BackendError>>): Promise<Result<ServiceAnswer, BackendError>> {
     const sentAt = performance.now()
     const answer = await send()
@@ -160,7 +160,7 @@
     return answer
   }
 
-  /** Takes what an endpoint asks for that did not start a call. */
+  /** Records the reason why an endpoint did not start a call, such as a requested pause. */
   #noteRejection (endpoint: string, { reason, retryAfterMs }: Extract<BackendError, { kind: 'not-started' }>): void {
     const now = performance.now()
     if (retryAfterMs !== undefined) this.fleet.serviceTable.observePause(endpoint, retryAfterMs, now)
--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -19,7 +19,7 @@
 const MINUTE_MS = 60_000
 const WARD: Customer = { kind: 'customer', name: 'ward', credentialSha256: 'a'.repeat(64), cacheSecret: 'secret of the ward', share: 1 }
 
-/** One endpoint of one plain service behind the handler. */
+/** A handler with one endpoint of one plain service. */
 class PlainServiceHarness {
   readonly lost: LostRun[] = []
   readonly whole: string[] = []
@@ -72,51 +72,51 @@
 }
 
 describe('calls to plain services', () => {
-  let world: PlainServiceHarness
-  afterEach(async () => { await world.close() })
+  let harness: PlainServiceHarness
+  afterEach(async () => { await harness.close() })
 
   async function started (answer: RequestListener): Promise<PlainServiceHarness> {
-    world = new PlainServiceHarness()
-    await world.start(answer)
-    return world
+    harness = new PlainServiceHarness()
+    await harness.start(answer)
+    return harness
   }
 
-  const breakOff: RequestListener = request => { request.socket.destroy() }
+  const closeConnection: RequestListener = request => { request.socket.destroy() }
   const serve: RequestListener = (_request, response) => { response.end('whole') }
 
-  it('are reported with the incarnation of the endpoint that broke off under them', async () => {
-    const { lost } = await started(breakOff)
-    await world.get('/a')
+  it('are reported with the incarnation of the endpoint that closed the connection', async () => {
+    const { lost } = await started(closeConnection)
+    await harness.get('/a')
     expect(lost).toMatchObject([{ service: 'app', endpoint: 'app-0#7' }])
   })
 
-  it('are not reported if the endpoint is leaving, as it ends anyway', async () => {
+  it('are not reported if the endpoint is leaving, because it stops by itself', async () => {
     const { lost, table } = await started((request, response) => {
       table.observeLeaving('app-0')
-      breakOff(request, response)
+      closeConnection(request, response)
     })
-    await world.get('/a')
+    await harness.get('/a')
     expect(lost).toEqual([])
   })
 
-  it('are refused at once while they are quarantined, and others are not', async () => {
-    const { lost } = await started(breakOff)
-    await world.get('/a')
-    const { calls } = world
-    world.quarantineRequest(lost[0]?.fingerprint ?? '')
-    expect(await world.get('/a')).toEqual({ status: 503, reason: 'request-quarantined', run: 'not-run' })
-    expect(world.calls).toBe(calls)
-    expect((await world.get('/b')).reason).not.toBe('request-quarantined')
+  it('are refused immediately while they are quarantined, and other calls are served', async () => {
+    const { lost } = await started(closeConnection)
+    await harness.get('/a')
+    const { calls } = harness
+    harness.quarantineRequest(lost[0]?.fingerprint ?? '')
+    expect(await harness.get('/a')).toEqual({ status: 503, reason: 'request-quarantined', run: 'not-run' })
+    expect(harness.calls).toBe(calls)
+    expect((await harness.get('/b')).reason).not.toBe('request-quarantined')
   })
 
-  it('are cleared when they come through with an entry on them', async () => {
-    let answer = breakOff
+  it('are reported as completed if they succeed while they are suspected', async () => {
+    let answer = closeConnection
     const { lost, whole, quarantined } = await started((request, response) => { answer(request, response) })
-    await world.get('/a')
+    await harness.get('/a')
     const fingerprint = lost[0]?.fingerprint ?? ''
     quarantined.replace([{ fingerprint, service: 'app', state: 'suspected', quarantines: 0, leftMs: MINUTE_MS }], performance.now())
     answer = serve
-    expect((await world.get('/a')).status).toBe(200)
+    expect((await harness.get('/a')).status).toBe(200)
     expect(whole).toEqual([fingerprint])
   })
 })
--- a/apps/entry/src/lib/quarantine/CallQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.ts
@@ -1,4 +1,4 @@
-/** The quarantine for calls to endpoints that the configuration names: completions and plain services. */
+/** Quarantine for calls to configured endpoints, that is, for completions and plain services. */
 import type { EndpointTable } from '@eelgrassmux/policy/health/EndpointTable'
 import { configuredIncarnationName } from '@eelgrassmux/routing/quarantine/configuredIncarnationName'
 import type { RequestIdentity } from '@eelgrassmux/routing/quarantine/requestFingerprint'
@@ -8,38 +8,38 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** What one call has to do with the quarantine. */
+/** Checks one call against the quarantine, and reports its outcome. */
 export interface CallGuard {
-  /** @returns how to refuse the call; undefined if it may be sent */
+  /** @returns the refusal of the call; undefined if it may be sent */
   refusal (): RefusalDetails | undefined
   /**
-   * @param endpoint - with which the call was lost
-   * @param ranMs - milliseconds since it was sent there
+   * @param endpoint - endpoint that the call was lost with
+   * @param ranMs - milliseconds since the call was sent to that endpoint
    */
   noteLost (endpoint: string, ranMs: number): void
-  /** Notes that the call came through whole. */
+  /** Records that the call was completed. */
   noteWhole (): void
 }
 
-/** Hands out a guard for each call. */
+/** Creates a guard for each call. */
 export class CallQuarantine {
   /**
-   * @param quarantine - of this host
-   * @param now - monotonic milliseconds
+   * @param quarantine - quarantine of this host
+   * @param now - returns the current time in monotonic milliseconds
    */
   constructor (private readonly quarantine: RequestQuarantine, private readonly now: () => number) {}
 
   /**
-   * @param service - that is called
-   * @param table - what is known of its endpoints
-   * @param identity - the call
+   * @param service - name of the called service
+   * @param table - state of the service's endpoints
+   * @param identity - fields that identify the call
    */
   guard (service: string, table: EndpointTable, identity: RequestIdentity): CallGuard {
     const guard = new QuarantineGuard(service, identity, this.quarantine)
     return {
       refusal: () => toRefusal(guard.rejection(this.now())),
       noteLost: (endpoint, ranMs) => {
-        // One that leaves ends anyway.
+        // A leaving endpoint stops by itself, so the call did not crash it.
         if (!table.isLeaving(endpoint)) guard.noteLost(configuredIncarnationName({ endpoint, incarnation: table.incarnation(endpoint) }), ranMs)
       },
       noteWhole: () => { guard.noteWhole() }
@@ -47,10 +47,10 @@
   }
 }
 
-function toRefusal (held: QuarantineRejection | undefined): RefusalDetails | undefined {
-  if (held === undefined) return undefined
-  return { reason: 'request-quarantined', status: 503, detail: held.detail, retryAfterSeconds: Math.ceil(held.forMs / MILLISECONDS_PER_SECOND) }
+function toRefusal (rejection: QuarantineRejection | undefined): RefusalDetails | undefined {
+  if (rejection === undefined) return undefined
+  return { reason: 'request-quarantined', status: 503, detail: rejection.detail, retryAfterSeconds: Math.ceil(rejection.forMs / MILLISECONDS_PER_SECOND) }
 }
 
-/** For callers of the tasks that have no quarantine. */
+/** Guard that quarantines nothing, for simulations without a quarantine. */
 export const NO_QUARANTINE: CallGuard = { refusal: () => undefined, noteLost: () => {}, noteWhole: () => {} }
--- a/apps/entry/src/lib/quarantine/CrashReporter.ts
+++ b/apps/entry/src/lib/quarantine/CrashReporter.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the leading control host of requests that were lost with endpoints, and of suspected
- * ones that came through. What is held is told again whenever another control host leads.
+ * Reports requests that were lost with endpoints, and suspected requests that were completed,
+ * to the leading control host. Reports all recorded losses again to each new leader.
  */
 import { CrashEvidence, type LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { MOST_REPORTS_OF_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
@@ -8,24 +8,23 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** Pause in which the losses of one endpoint's end come together, in milliseconds. */
+/** Delay before a report, in milliseconds; it collects all losses of one endpoint crash. */
 const BATCH_WINDOW_MS = 20
 
-/** Pause before it is told again what was not taken, in milliseconds. */
+/** Delay before a report that was not accepted is sent again, in milliseconds. */
 const RETRY_DELAY_MS = 200
 
-/** Deadline of a call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1000
 
-/** Where reports go. */
+/** Dependencies of the reporter. */
 export interface CrashReporterPorts {
   readonly rpc: Pick<RpcClient, 'call'>
-  /** Address of the leading control host, as far as it is known. */
+  /** Returns the address of the leading control host, if known. */
   leader (): string | undefined
   readonly telemetry: Telemetry
 }
 
-/** Tells until all is told. */
+/** Sends reports until the leader has accepted them. */
 export class CrashReporter {
   readonly #evidence = new CrashEvidence()
   readonly #completed = new Set<string>()
@@ -37,20 +36,20 @@
 
   /**
    * @param host - name of this host
-   * @param ports - surroundings
+   * @param ports - dependencies
    */
   constructor (private readonly host: string, private readonly ports: CrashReporterPorts) {
     this.#reports = ports.telemetry.labelledCounter('crash_reports_total', 'Reports of requests that were lost with an endpoint, by what became of them', 'outcome')
   }
 
-  /** @param run - a request that was lost with its endpoint */
+  /** @param run - request that was lost with its endpoint */
   noteLost (run: LostRun): void {
     this.#evidence.note(run, performance.now())
     this.#hasUnreported = true
     this.#schedule(BATCH_WINDOW_MS)
   }
 
-  /** @param fingerprint - of a request with an entry, which came through whole */
+  /** @param fingerprint - fingerprint of a completed request that has a quarantine entry */
   noteWhole (fingerprint: string): void {
     this.#evidence.forget(fingerprint)
     if (this.#completed.size >= MOST_REPORTS_OF_HOST) return
@@ -59,14 +58,14 @@
     this.#schedule(BATCH_WINDOW_MS)
   }
 
-  /** Call when another control host leads: it has heard nothing yet. */
+  /** Must be called when another control host becomes the leader, which has received no reports yet. */
   leaderChanged (): void {
     if (this.#evidence.size === 0) return
     this.#hasUnreported = true
     this.#schedule(BATCH_WINDOW_MS)
   }
 
-  /** Ends telling. */
+  /** Stops reporting. */
   stop (): void {
     this.#isStopped = true
     clearTimeout(this.#timer)
@@ -93,10 +92,10 @@
     const completed = [...this.#completed]
     const answer = await this.ports.rpc.call(leader, reportCrashes, { host: this.host, losses: this.#evidence.reports(performance.now()), completed }, CALL_TIMEOUT_MS)
     this.#isReporting = false
-    const isTaken = answer.ok && answer.value.isTaken
-    if (isTaken) for (const fingerprint of completed) this.#completed.delete(fingerprint)
+    const isAccepted = answer.ok && answer.value.isTaken
+    if (isAccepted) for (const fingerprint of completed) this.#completed.delete(fingerprint)
     else this.#hasUnreported = true
-    this.#reports.count(isTaken ? 'taken' : answer.ok ? 'not-leader' : answer.error.kind)
-    if (this.#hasUnreported) this.#schedule(isTaken ? BATCH_WINDOW_MS : RETRY_DELAY_MS)
+    this.#reports.count(isAccepted ? 'taken' : answer.ok ? 'not-leader' : answer.error.kind)
+    if (this.#hasUnreported) this.#schedule(isAccepted ? BATCH_WINDOW_MS : RETRY_DELAY_MS)
   }
 }
--- a/apps/entry/src/lib/quarantine/QuarantineGuard.ts
+++ b/apps/entry/src/lib/quarantine/QuarantineGuard.ts
@@ -1,23 +1,23 @@
-/** What one request has to do with the quarantine: whether it is quarantined, and what its attempts show. */
+/** Checks one request against the quarantine, and reports the outcome of its attempts. */
 import { requestFingerprint, type RequestIdentity } from '@eelgrassmux/routing/quarantine/requestFingerprint'
 import type { RequestQuarantine } from './RequestQuarantine.js'
 
-/** Why a request is not sent. */
+/** Why a quarantined request is rejected. */
 export interface QuarantineRejection {
   readonly detail: string
-  /** Milliseconds. */
+  /** Remaining time of the quarantine, in milliseconds. */
   readonly forMs: number
 }
 
-/** Guards one request. */
+/** Guard of one request. */
 export class QuarantineGuard {
-  /** Worked out only once it is needed: most requests never need it. */
+  /** Computed on first use, because most requests never need it. */
   #fingerprint: string | undefined
 
   /**
-   * @param service - that is asked
-   * @param identity - the request
-   * @param quarantine - of this host
+   * @param service - name of the requested service
+   * @param identity - fields that identify the request
+   * @param quarantine - quarantine of this host
    */
   constructor (private readonly service: string, private readonly identity: RequestIdentity, private readonly quarantine: RequestQuarantine) {}
 
@@ -27,8 +27,8 @@
   }
 
   /**
-   * @param now - monotonic milliseconds
-   * @returns undefined if the request may be sent
+   * @param now - current time, in monotonic milliseconds
+   * @returns the rejection; undefined if the request may be sent
    */
   rejection (now: number): QuarantineRejection | undefined {
     if (this.quarantine.isEmpty) return undefined
@@ -37,16 +37,16 @@
     return { forMs, detail: `this request has crashed the endpoints that ran it and is quarantined (fingerprint ${this.fingerprint})` }
   }
 
-  /** Notes that the request came through whole. */
+  /** Records that the request was completed. */
   noteWhole (): void {
     if (!this.quarantine.isEmpty) this.quarantine.noteWhole(this.fingerprint)
   }
 
   /**
-   * Whoever was at an endpoint when it ended may be the one that ended it.
+   * Records that the request was lost with an endpoint, and so may have crashed it.
    *
-   * @param endpoint - incarnation with which the request was lost
-   * @param ranMs - milliseconds since it was sent there
+   * @param endpoint - incarnation of the endpoint
+   * @param ranMs - milliseconds since the request was sent to that endpoint
    */
   noteLost (endpoint: string, ranMs: number): void {
     this.quarantine.noteLost({ fingerprint: this.fingerprint, service: this.service, endpoint, ranMs })
--- a/apps/entry/src/lib/quarantine/RequestQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/RequestQuarantine.ts
@@ -1,51 +1,51 @@
-/** What an entry host does about requests that crash the endpoints that run them: reports them, and quarantines those that are known. */
+/** Reports requests that may have crashed endpoints, and enforces the quarantine that the control hosts have decided. */
 import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import type { LocalQuarantineEntry, QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { CrashReporter } from './CrashReporter.js'
 
-/** Entries in force, and the way of what this host sees to the control hosts. */
+/** Quarantine entries in force, and the reporter for this host's observations. */
 export class RequestQuarantine {
   #logged = new Map<string, LocalQuarantineEntry>()
 
   /**
-   * @param table - as agreed
-   * @param reporter - tells what this host sees
-   * @param telemetry - log and metrics
+   * @param table - quarantine entries agreed on by the control hosts
+   * @param reporter - reports observations to the control hosts
+   * @param telemetry - event log and metrics
    */
   constructor (private readonly table: QuarantineTable, private readonly reporter: Pick<CrashReporter, 'noteLost' | 'noteWhole'>, private readonly telemetry: Telemetry) {
     telemetry.gauge('quarantine_entries', 'Requests that are suspected, quarantined or on probation', () => table.all.length)
   }
 
-  /** Whether no request is watched: then none has to be identified. */
+  /** Whether there are no entries; requests need no fingerprint then. */
   get isEmpty (): boolean { return this.table.isEmpty }
 
   /**
-   * @param fingerprint - of a request that is to be sent
-   * @param now - monotonic milliseconds
-   * @returns milliseconds for which it is quarantined; undefined if it may be sent
+   * @param fingerprint - fingerprint of a request to be sent
+   * @param now - current time, in monotonic milliseconds
+   * @returns remaining milliseconds of its quarantine; undefined if it may be sent
    */
   quarantinedForMs (fingerprint: string, now: number): number | undefined {
     const entry = this.table.find(fingerprint)
-    // Until the control hosts have agreed that it is over, it holds.
+    // An expired entry stays in force until the control hosts have agreed to end it.
     return entry?.state === 'quarantined' ? Math.max(0, entry.endsAt - now) : undefined
   }
 
-  /** @param run - a request that was lost with its endpoint */
+  /** @param run - request that was lost with its endpoint */
   noteLost (run: LostRun): void {
     this.reporter.noteLost(run)
   }
 
-  /** @param fingerprint - of a request that came through whole */
+  /** @param fingerprint - fingerprint of a completed request */
   noteWhole (fingerprint: string): void {
     if (this.table.find(fingerprint) !== undefined) this.reporter.noteWhole(fingerprint)
   }
 
   /**
-   * Logs what has changed; call after each view.
+   * Logs changed entries; must be called after each view.
    *
-   * @param view - its revision
-   * @param now - monotonic milliseconds
+   * @param view - revision of the view
+   * @param now - current time, in monotonic milliseconds
    */
   logChanges (view: number, now: number): void {
     if (this.isEmpty && this.#logged.size === 0) return
--- a/apps/entry/src/lib/quarantine/quarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/quarantine.test.ts
@@ -14,7 +14,7 @@
 
 const MINUTE_MS = 60_000
 
-/** A host whose reports a test reads and whose entries it sets. */
+/** A host that records its reports and whose quarantine entries are set by the test. */
 class QuarantineHarness {
   readonly lost: LostRun[] = []
   readonly whole: string[] = []
@@ -34,7 +34,7 @@
     this.table.replace([{ fingerprint, service: 'app', state, quarantines: 1, leftMs: 15 * MINUTE_MS }], performance.now())
   }
 
-  /** Asks once, with endpoints that break every connection, to learn what identifies the request. */
+  /** Sends the request once to endpoints that reset every connection, and returns its reported fingerprint. */
   async fingerprintOf (path: string): Promise<string> {
     const behaviours = this.endpoints.map(({ behaviour }) => behaviour)
     for (const endpoint of this.endpoints) endpoint.behaviour = resetConnection
@@ -59,7 +59,7 @@
   }
 
   describe('reports a request that was lost with its endpoint', () => {
-    it('once for each endpoint, under the same fingerprint whatever its id', async () => {
+    it('once for each endpoint, with a fingerprint that does not depend on the request id', async () => {
       const { host, lost } = await hostWith(resetConnection, resetConnection)
       await host.ask('/safe/a')
       await host.ask('/safe/a')
@@ -67,13 +67,13 @@
       expect(new Set(lost.map(({ endpoint }) => endpoint))).toEqual(new Set(['e0', 'e1']))
     })
 
-    it('and tells different requests apart', async () => {
+    it('with different fingerprints for different requests', async () => {
       const { host, lost } = await hostWith(resetConnection)
       for (const path of ['/unsafe/a', '/unsafe/b']) await host.ask(path)
       expect(new Set(lost.map(({ fingerprint }) => fingerprint)).size).toBe(2)
     })
 
-    it('but none that was answered, rejected, or failed by the endpoint\'s own word', async () => {
+    it('but not a request that the endpoint answered with an error', async () => {
       const failing: Behaviour = (_request, response) => {
         response.writeHead(500)
         response.end()
@@ -84,13 +84,13 @@
     })
   })
 
-  describe('quarantines a request that is quarantined', () => {
-    it('at once, as not run, and says for how long', async () => {
-      const world = await hostWith(answerOk)
-      const fingerprint = await world.fingerprintOf('/unsafe/a')
-      const before = world.seen
-      world.setQuarantineState(fingerprint, 'quarantined')
-      const answer = await world.host.ask('/unsafe/a')
+  describe('rejects a quarantined request', () => {
+    it('immediately, as not run, with the remaining time', async () => {
+      const harness = await hostWith(answerOk)
+      const fingerprint = await harness.fingerprintOf('/unsafe/a')
+      const before = harness.seen
+      harness.setQuarantineState(fingerprint, 'quarantined')
+      const answer = await harness.host.ask('/unsafe/a')
       expect(answer.status).toBe(503)
       const problem = JSON.parse(answer.body) as Record<string, unknown>
       expect(problem).toMatchObject({ run: 'not-run' })
@@ -98,55 +98,55 @@
       expect(String(problem['detail'])).toContain(fingerprint)
       expect(Number(answer.retryAfter)).toBeGreaterThan(14 * 60)
       expect(Number(answer.retryAfter)).toBeLessThanOrEqual(15 * 60)
-      expect(world.seen).toBe(before)
+      expect(harness.seen).toBe(before)
     })
 
-    it('and serves every other one as before', async () => {
-      const world = await hostWith(answerOk)
-      world.setQuarantineState(await world.fingerprintOf('/unsafe/a'), 'quarantined')
-      expect((await world.host.ask('/unsafe/b')).status).toBe(200)
-      expect((await world.host.ask('/safe/a')).status).toBe(200)
+    it('and serves all other requests', async () => {
+      const harness = await hostWith(answerOk)
+      harness.setQuarantineState(await harness.fingerprintOf('/unsafe/a'), 'quarantined')
+      expect((await harness.host.ask('/unsafe/b')).status).toBe(200)
+      expect((await harness.host.ask('/safe/a')).status).toBe(200)
     })
 
-    it('also between two endpoints of one attempt', async () => {
-      const world = await hostWith(answerOk, answerOk)
-      const fingerprint = await world.fingerprintOf('/safe/a')
-      const before = world.seen
-      const judged: Behaviour = (request, response, body) => {
-        world.setQuarantineState(fingerprint, 'quarantined')
+    it('also before a retry at another endpoint', async () => {
+      const harness = await hostWith(answerOk, answerOk)
+      const fingerprint = await harness.fingerprintOf('/safe/a')
+      const before = harness.seen
+      const quarantineThenReset: Behaviour = (request, response, body) => {
+        harness.setQuarantineState(fingerprint, 'quarantined')
         resetConnection(request, response, body)
       }
-      for (const endpoint of world.endpoints) endpoint.behaviour = judged
-      const answer = await world.host.ask('/safe/a')
-      // It has run once, so nothing may say that it has not.
+      for (const endpoint of harness.endpoints) endpoint.behaviour = quarantineThenReset
+      const answer = await harness.host.ask('/safe/a')
+      // The request may have run once, so the answer may not claim that it did not.
       expect(answer.status).toBe(502)
-      expect(world.seen).toBe(before + 1)
+      expect(harness.seen).toBe(before + 1)
     })
 
-    it('also when a stream that has begun would go on elsewhere', async () => {
-      const world = await hostWith(answerOk, answerOk)
-      const fingerprint = await world.fingerprintOf('/resumable/a')
-      const before = world.seen
-      for (const endpoint of world.endpoints) {
+    it('also before a started stream is resumed at another endpoint', async () => {
+      const harness = await hostWith(answerOk, answerOk)
+      const fingerprint = await harness.fingerprintOf('/resumable/a')
+      const before = harness.seen
+      for (const endpoint of harness.endpoints) {
         endpoint.behaviour = (request, response) => {
           response.writeHead(200)
           response.write(streamEvent(1))
-          world.setQuarantineState(fingerprint, 'quarantined')
+          harness.setQuarantineState(fingerprint, 'quarantined')
           setTimeout(() => { request.socket.resetAndDestroy() }, 50)
         }
       }
-      const answer = await world.host.ask('/resumable/a')
+      const answer = await harness.host.ask('/resumable/a')
       expect(answer.isWhole).toBe(false)
-      expect(world.seen).toBe(before + 1)
+      expect(harness.seen).toBe(before + 1)
     })
 
-    it.each(['suspected', 'released'] as const)('but runs one that is only %s, and tells when it comes through', async state => {
-      const world = await hostWith(answerOk)
-      const fingerprint = await world.fingerprintOf('/unsafe/a')
-      world.setQuarantineState(fingerprint, state)
-      expect((await world.host.ask('/unsafe/a')).status).toBe(200)
-      await world.host.ask('/unsafe/b')
-      expect(world.whole).toEqual([fingerprint])
+    it.each(['suspected', 'released'] as const)('but runs a request that is only %s, and reports its completion', async state => {
+      const harness = await hostWith(answerOk)
+      const fingerprint = await harness.fingerprintOf('/unsafe/a')
+      harness.setQuarantineState(fingerprint, state)
+      expect((await harness.host.ask('/unsafe/a')).status).toBe(200)
+      await harness.host.ask('/unsafe/b')
+      expect(harness.whole).toEqual([fingerprint])
     })
   })
 })
@@ -159,13 +159,13 @@
 
   interface SentReport { readonly leader: string, readonly request: ReportCrashesRequest }
 
-  function reporterTo (leader: () => string | undefined, answer: (report: SentReport) => 'taken' | 'not-leader' | 'lost'): { readonly reporter: CrashReporter, readonly reports: SentReport[] } {
+  function reporterTo (leader: () => string | undefined, answer: (report: SentReport) => 'accepted' | 'not-leader' | 'lost'): { readonly reporter: CrashReporter, readonly reports: SentReport[] } {
     const reports: SentReport[] = []
     const call = async (address: string, _method: unknown, request: ReportCrashesRequest): Promise<unknown> => {
       const entry = { leader: address, request }
       reports.push(entry)
       const outcome = answer(entry)
-      return outcome === 'lost' ? fail({ kind: 'unreachable', address, detail: '' }) : succeed({ isTaken: outcome === 'taken' })
+      return outcome === 'lost' ? fail({ kind: 'unreachable', address, detail: '' }) : succeed({ isTaken: outcome === 'accepted' })
     }
     const rpc = { call } as unknown as Pick<RpcClient, 'call'>
     reporter = new CrashReporter('host', { rpc, leader, telemetry: new Telemetry('test') })
@@ -176,24 +176,24 @@
     while (!condition()) await sleep(10)
   }
 
-  it('gathers what is lost with one end into one report', async () => {
-    const { reporter, reports } = reporterTo(() => 'c1', () => 'taken')
+  it('collects the losses of one crash into one report', async () => {
+    const { reporter, reports } = reporterTo(() => 'c1', () => 'accepted')
     for (let request = 0; request < 5; request += 1) reporter.noteLost(run)
     await until(() => reports.length > 0)
     await sleep(300)
     expect(reports.map(({ request }) => request.losses.length)).toEqual([5])
   })
 
-  it('tells again until it was taken, by whoever leads then', async () => {
-    const { reporter, reports } = reporterTo(() => `c${reports.length}`, ({ leader }) => leader === 'c0' ? 'lost' : leader === 'c1' ? 'not-leader' : 'taken')
+  it('repeats a report to the current leader until it is accepted', async () => {
+    const { reporter, reports } = reporterTo(() => `c${reports.length}`, ({ leader }) => leader === 'c0' ? 'lost' : leader === 'c1' ? 'not-leader' : 'accepted')
     reporter.noteLost(run)
     await until(() => reports.length === 3)
     expect(reports.every(({ request }) => request.losses[0]?.endpoint === 'e1')).toBe(true)
   })
 
-  it('tells a new leader what it holds, although nothing new was lost', async () => {
+  it('repeats recorded losses to a new leader', async () => {
     let leader = 'c1'
-    const { reporter, reports } = reporterTo(() => leader, () => 'taken')
+    const { reporter, reports } = reporterTo(() => leader, () => 'accepted')
     reporter.noteLost(run)
     await until(() => reports.length === 1)
     leader = 'c2'
@@ -202,25 +202,25 @@
     expect(reports[1]).toMatchObject({ leader: 'c2', request: { losses: [{ endpoint: 'e1' }] } })
   })
 
-  it('tells nobody anything of a change of leader while it holds nothing', async () => {
-    const { reporter, reports } = reporterTo(() => 'c1', () => 'taken')
+  it('sends no report to a new leader if it has recorded no losses', async () => {
+    const { reporter, reports } = reporterTo(() => 'c1', () => 'accepted')
     reporter.leaderChanged()
     await sleep(100)
     expect(reports).toEqual([])
   })
 
-  it('tells what is lost while it is telling', async () => {
+  it('reports losses that occur during a report', async () => {
     const { reporter, reports } = reporterTo(() => 'c1', () => {
       if (reports.length === 1) reporter.noteLost(run)
-      return 'taken'
+      return 'accepted'
     })
     reporter.noteLost(run)
     await until(() => reports.length === 2)
     expect(reports.map(({ request }) => request.losses.length)).toEqual([1, 2])
   })
 
-  it('tells what came through, and holds no loss against it any more', async () => {
-    const { reporter, reports } = reporterTo(() => 'c1', () => 'taken')
+  it('reports completed requests, and forgets their losses', async () => {
+    const { reporter, reports } = reporterTo(() => 'c1', () => 'accepted')
     reporter.noteLost(run)
     reporter.noteWhole(run.fingerprint)
     await until(() => reports.length === 1)
