--- a/apps/entry/src/lib/runs/AdmissionGate.test.ts
+++ b/apps/entry/src/lib/runs/AdmissionGate.test.ts
@@ -4,7 +4,7 @@
 const request = (id: string): Parameters<AdmissionGate['request']>[0] => ({ id, customer: 'ward', share: 1, tokens: 100, waitLimitMs: 60_000 })
 
 describe('AdmissionGate', () => {
-  it('gives the place of a caller that has left to the next', async () => {
+  it('admits the next request in place of one whose caller disconnected', async () => {
     const gate = new AdmissionGate(100, 10)
     const disconnected = new AbortController()
     const stays = new AbortController().signal
--- a/apps/entry/src/lib/runs/AdmissionGate.ts
+++ b/apps/entry/src/lib/runs/AdmissionGate.ts
@@ -1,21 +1,20 @@
-/** Lets callers wait for the admission queue's decision. */
+/** Awaits the admission queue's decisions on behalf of callers. */
 import { AdmissionQueue, type AdmissionDecision, type AdmissionOutcome, type AdmissionRequest } from '@eelgrassmux/policy/limits/AdmissionQueue'
 
-/** What became of a request. */
+/** Final decision on a request. */
 export type GateDecision = Exclude<AdmissionDecision, { kind: 'queued' }>
 
-/** Interval between looks for requests that waited too long, in milliseconds. */
 const EXPIRY_CHECK_INTERVAL_MS = 20
 
-/** Owns one host's admission queue. */
+/** Owns the admission queue of one host. */
 export class AdmissionGate {
   readonly #queue: AdmissionQueue
   readonly #waiting = new Map<string, (decision: GateDecision) => void>()
   readonly #timer: NodeJS.Timeout
 
   /**
-   * @param capacityTokens - tokens in flight at first
-   * @param queueLimit - most requests that wait
+   * @param capacityTokens - initial limit of tokens in flight
+   * @param queueLimit - maximum number of waiting requests
    */
   constructor (capacityTokens: number, queueLimit: number) {
     this.#queue = new AdmissionQueue(capacityTokens, queueLimit)
@@ -26,9 +25,9 @@
   get queued (): number { return this.#queue.queued }
 
   /**
-   * @param request - who and how much
-   * @param disconnected - aborted when the caller has left; it then gives up its place in the queue
-   * @returns the decision, at once or when the queue has made it
+   * @param request - request to admit, with its customer and tokens
+   * @param disconnected - aborted when the caller disconnects, which removes the request from the queue
+   * @returns the decision, once the queue has made it
    */
   async request (request: AdmissionRequest, disconnected: AbortSignal): Promise<GateDecision> {
     const decision = this.#queue.request(request, performance.now())
@@ -43,18 +42,17 @@
     })
   }
 
-  /** @param id - request that ended or was given up */
+  /** @param id - id of a request that ended or was abandoned */
   release (id: string): void {
     this.#waiting.delete(id)
     this.#resolveWaiting(this.#queue.release(id, performance.now()))
   }
 
-  /** @param tokens - new capacity of this host */
+  /** @param tokens - new capacity of this host, in tokens */
   setCapacity (tokens: number): void {
     this.#resolveWaiting(this.#queue.setCapacity(tokens, performance.now()))
   }
 
-  /** Stops the timer. */
   stop (): void {
     clearInterval(this.#timer)
   }
--- a/apps/entry/src/lib/runs/DirectoryClient.ts
+++ b/apps/entry/src/lib/runs/DirectoryClient.ts
@@ -1,4 +1,4 @@
-/** Look-ups and writes at the owner of a prompt's directory shard. */
+/** Sends lookups and writes to the owner of a prompt's directory shard. */
 import { shardOf } from '@eelgrassmux/cache/rendezvous'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import {
@@ -7,7 +7,7 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Shard } from '@eelgrassmux/state/commands'
 
-/** Why the directory gave no answer. */
+/** Why a directory call failed. */
 export type DirectoryError =
   | { readonly kind: 'no-owner' }
   | { readonly kind: 'wrong-owner' }
@@ -16,7 +16,7 @@
 export type LookupFound = Extract<LookupResponse, { kind: 'found' }>
 export type LeasesGranted = Extract<LeaseResponse, { kind: 'leased' }>
 
-/** A write that was reserved. */
+/** Reserved write of an object. */
 export interface ReservedWrite {
   readonly name: string
   readonly keys: string[]
@@ -24,23 +24,23 @@
   readonly firstBlock: number
 }
 
-/** Deadline of a look-up; the first token waits for it. In milliseconds. */
+/** Deadline of a lookup, in milliseconds; short because the first token waits for it. */
 const LOOKUP_TIMEOUT_MS = 150
 
-/** Deadline of calls that no first token waits for, in milliseconds. */
+/** Deadline of calls that do not delay a first token, in milliseconds. */
 const WRITE_TIMEOUT_MS = 2000
 
-/** Finds the owner for each call from the view in force. */
+/** Directory client; takes the shard owners from the view in force. */
 export class DirectoryClient {
   /**
-   * @param rpc - client for the calls
-   * @param shards - owners in the view in force
+   * @param rpc - RPC client
+   * @param shards - returns the shards of the view in force
    */
   constructor (private readonly rpc: RpcClient, private readonly shards: () => readonly Shard[]) {}
 
   /**
    * @param keys - key chain of a prompt
-   * @returns what engines and stores hold of it
+   * @returns which blocks of the prompt engines and stores hold
    */
   async lookup (keys: readonly string[]): Promise<Result<LookupFound, DirectoryError>> {
     const owner = this.#owner(keys)
@@ -52,8 +52,8 @@
 
   /**
    * @param keys - key chain of a prompt
-   * @param fromBlock - first block wanted
-   * @returns leases on the stored objects that cover it from there
+   * @param fromBlock - index of the first block to lease
+   * @returns leases on the stored objects that cover the prompt from that block on
    */
   async lease (keys: readonly string[], fromBlock: number): Promise<Result<LeasesGranted, DirectoryError>> {
     const owner = this.#owner(keys)
@@ -64,7 +64,7 @@
   }
 
   /**
-   * @param request - what would be written, and where
+   * @param request - blocks to write, and the store to write them to
    * @returns the reservation, or undefined if everything is stored or being written
    */
   async reserve (
@@ -79,10 +79,10 @@
   }
 
   /**
-   * @param chain - whole key chain, which names the shard
-   * @param name - reserved name
-   * @param acknowledged - what the store acknowledged
-   * @returns whether it was published
+   * @param chain - complete key chain, which determines the shard
+   * @param name - reserved object name
+   * @param acknowledged - size, checksum and tier acknowledged by the store
+   * @returns whether the object was published
    */
   async publish (
     chain: readonly string[], name: string, acknowledged: { readonly bytes: number, readonly sha256: string, readonly tier: 'memory' | 'disk' }
@@ -94,8 +94,8 @@
   }
 
   /**
-   * @param chain - whole key chain, which names the shard
-   * @param name - reserved name that will not be written
+   * @param chain - complete key chain, which determines the shard
+   * @param name - reserved object name that will not be written
    */
   async abandon (chain: readonly string[], name: string): Promise<void> {
     const owner = this.#owner(chain)
--- a/apps/entry/src/lib/runs/ExportPacer.ts
+++ b/apps/entry/src/lib/runs/ExportPacer.ts
@@ -1,31 +1,31 @@
 /**
- * Holds exports of all hosts together to a part of each link, so that an import
- * never finds a crowd of them before it.
+ * Limits the exports of all hosts together to a fraction of each link's bandwidth,
+ * so that imports never queue behind many exports.
  *
- * Each host takes its share of that part by itself: a host counts as live until
- * its lease has ended, so the shares never add up to more than the part.
+ * Each host computes its share of that fraction locally. A host counts as live until
+ * its lease has ended, so the shares never add up to more than the fraction.
  */
 import { TokenBucket } from '@eelgrassmux/policy/limits/TokenBucket'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 
-/** Part of a link that exports may take. */
+/** Fraction of a link's bandwidth available to exports. */
 const EXPORT_LINK_FRACTION = 0.6
 
-/** Size of a burst, in objects of the size asked for. */
+/** Burst size, in objects of the requested size. */
 const BURST_OBJECTS = 2
 
-/** Pause before the bucket is looked at again, in milliseconds. */
+/** Interval between attempts to take tokens from the bucket, in milliseconds. */
 const RETRY_INTERVAL_MS = 20
 
-/** Paces this host's exports, one bucket for each store. */
+/** Paces this host's exports with one token bucket per store. */
 export class ExportPacer {
   readonly #buckets = new Map<string, TokenBucket>()
 
   /**
-   * @param clock - time
-   * @param configuration - speeds of the links
-   * @param liveEntries - entry hosts that may be alive
+   * @param clock - time source
+   * @param configuration - returns the configuration in force, with the link speeds
+   * @param liveEntries - returns the number of entry hosts that may be alive
    */
   constructor (
     private readonly clock: Clock,
@@ -34,12 +34,12 @@
   ) {}
 
   /**
-   * Waits until this host may send so much.
+   * Waits until this host may send an object of the given size.
    *
    * @param store - store name
-   * @param bytes - size of the next object
+   * @param bytes - size of the object
    * @param maxWaitMs - longest wait
-   * @returns false if the wait was too long
+   * @returns false if the longest wait has passed
    */
   async admit (store: string, bytes: number, maxWaitMs: number): Promise<boolean> {
     const deadline = this.clock.now() + maxWaitMs
--- a/apps/entry/src/lib/runs/Exporter.ts
+++ b/apps/entry/src/lib/runs/Exporter.ts
@@ -1,4 +1,4 @@
-/** Keeps the blocks of finished runs in stores when the chance of return is worth link and space. */
+/** Exports the blocks of finished runs to stores when the expected reuse outweighs the cost of the link. */
 import { blockKeys, cacheSalt, TOKENS_PER_BLOCK } from '@eelgrassmux/cache/blockKeys'
 import { DEFAULT_SHARD_SETTINGS } from '@eelgrassmux/cache/DirectoryShard'
 import { rendezvousOrder } from '@eelgrassmux/cache/rendezvous'
@@ -12,49 +12,49 @@
 import type { DirectoryClient } from './DirectoryClient.js'
 import type { ExportPacer } from './ExportPacer.js'
 
-/** A run that has ended. */
+/** Run that was completed. */
 export interface FinishedRun {
   readonly customer: Customer
   readonly model: string
   readonly profile: Profile
   readonly engine: string
   readonly version: string
-  /** Prompt and answer. */
+  /** Prompt followed by the answer. */
   readonly text: string
 }
 
-/** Longest time an export may take, in milliseconds. */
+/** Timeout of one object's export, in milliseconds. */
 const EXPORT_TIMEOUT_MS = 15_000
 
-/** How long an export is put off while the link is busy, and the pause between looks, in milliseconds. */
+/** Longest deferral of an export while the link is busy, and interval between attempts, in milliseconds. */
 const MAX_DEFERRAL_MS = 10_000
 const RETRY_INTERVAL_MS = 300
 
-/** Interval between looks at a busy link, in milliseconds. */
+/** Interval at which a busy link is checked, in milliseconds. */
 const LINK_POLL_INTERVAL_MS = 20
 
-/** Backlog on a link, as time, that counts as fully busy. In milliseconds. */
+/** Backlog at which a link counts as fully busy, as transfer time in milliseconds. */
 const BUSY_BACKLOG_MS = 60
 
-/** Tokens in the largest object that the directory reserves. */
+/** Size of the largest object that the directory reserves, in tokens. */
 const MAX_OBJECT_TOKENS = DEFAULT_SHARD_SETTINGS.blocksPerObject * TOKENS_PER_BLOCK
 
-/** Exports under way at once; imports must not wait behind a crowd of them. */
+/** Limit of concurrent exports, so that imports do not queue behind many of them. */
 const MAX_CONCURRENT_EXPORTS = 8
 
-/** Exports blocks in the background. */
+/** Exports the blocks of finished runs in the background. */
 export class Exporter {
   #activeExports = 0
 
   /**
-   * @param clock - time
+   * @param clock - time source
    * @param fleet - engines, loads and links
-   * @param directory - reserves names and publishes
-   * @param pacer - this host's share of the links
-   * @param configuration - configuration in force
-   * @param work - what a planned stop waits for
+   * @param directory - reserves and publishes objects
+   * @param pacer - enforces this host's share of the links
+   * @param configuration - returns the configuration in force
+   * @param work - tracks the work that a graceful shutdown waits for
    * @param decisions - counts decisions and outcomes
-   * @param linkBytes - counts bytes by direction
+   * @param linkBytes - counts transferred bytes by direction
    */
   constructor (
     private readonly clock: Clock,
@@ -68,10 +68,10 @@
   ) {}
 
   /**
-   * Decides on a finished run and exports it if worthwhile. While imports need the
-   * link, or many exports are under way, the decision is put off.
+   * Exports the blocks of a finished run if that is worthwhile. The decision is deferred
+   * while imports need the link or too many exports are in progress.
    *
-   * @param run - the run
+   * @param run - finished run
    */
   async exportIfWorthwhile (run: FinishedRun): Promise<void> {
     const ticket = this.work.beginFollowUp()
@@ -80,7 +80,7 @@
     ticket.end()
   }
 
-  /** @returns false if it should be tried again later */
+  /** @returns false if the export should be attempted again later */
   async #tryOnce (run: FinishedRun): Promise<boolean> {
     if (this.#activeExports >= MAX_CONCURRENT_EXPORTS) {
       this.decisions.count('too-many-under-way')
@@ -129,20 +129,20 @@
     return true
   }
 
-  /** Before each object, lets imports go first and keeps to this host's share of the link. */
+  /** Waits before each object until imports have cleared the link and this host's share of it allows the object. */
   async #waitForLink (store: string, bytes: number): Promise<boolean> {
     const deadline = this.clock.now() + MAX_DEFERRAL_MS
     while (this.#relativeBacklog(store) > 1 && this.clock.now() < deadline) await this.clock.sleep(LINK_POLL_INTERVAL_MS)
     return await this.pacer.admit(store, bytes, MAX_DEFERRAL_MS)
   }
 
-  /** Backlog of a link as a multiple of what exports may find there. */
+  /** Returns the backlog of a link relative to the backlog of a fully busy link. */
   #relativeBacklog (store: string): number {
     const link = this.fleet.links.views(this.clock.now()).get(store)
     return link === undefined ? 1 : link.backlogBytes / link.bytesPerMs / BUSY_BACKLOG_MS
   }
 
-  /** Exports the next object of the chain; returns its tokens, 0 when there is none or it failed. */
+  /** Exports the next object of the chain; returns its tokens, or 0 if there is none or the export failed. */
   async #exportNextObject (run: FinishedRun, keys: readonly string[], store: string): Promise<number> {
     const reserved = await this.directory.reserve({ customer: run.customer.name, store, keys, tokensPerBlock: TOKENS_PER_BLOCK })
     const engine = this.fleet.engine(run.engine)
@@ -165,7 +165,7 @@
     return published ? reserved.tokens : 0
   }
 
-  /** The same chain goes to the same store while that store is up, so that it is read over one link. */
+  /** Chooses the same store for the same chain while that store is available, so that imports read the chain over one link. */
   #chooseStore (keys: readonly string[]): string | undefined {
     return rendezvousOrder(keys[0] ?? '', this.fleet.availableStores(this.clock.now()))[0]
   }
--- a/apps/entry/src/lib/runs/Importer.ts
+++ b/apps/entry/src/lib/runs/Importer.ts
@@ -1,9 +1,9 @@
 /**
- * Brings stored blocks into an engine before a run.
+ * Imports stored blocks into an engine before a run.
  *
- * The objects are read under leases. The lease counts from before it was asked
- * for; an import that ends after its lease is discarded and its blocks are
- * computed instead, because the store may have freed them meanwhile.
+ * The objects are read under leases. A lease is timed from before its request was
+ * sent. An import that ends after its lease is discarded and its blocks are
+ * computed instead, because the store may have freed them in the meantime.
  */
 import { randomUUID } from 'node:crypto'
 import { TOKENS_PER_BLOCK } from '@eelgrassmux/cache/blockKeys'
@@ -16,7 +16,7 @@
 import type { DirectoryError, LeasesGranted } from './DirectoryClient.js'
 import type { PlacedRun } from './Placer.js'
 
-/** Room for an import beyond its estimate before it is given up, as a factor and in milliseconds. */
+/** An import times out after its estimated duration times the factor, plus the margin in milliseconds. */
 const TIMEOUT_FACTOR = 2
 const TIMEOUT_MARGIN_MS = 50
 
@@ -25,15 +25,15 @@
   lease (keys: readonly string[], fromBlock: number): Promise<Result<LeasesGranted, DirectoryError>>
 }
 
-/** Stages imports and learns the links' speed from them. */
+/** Stages imports, and records their transfers to estimate the link speeds. */
 export class Importer {
   /**
-   * @param clock - time
+   * @param clock - time source
    * @param directory - grants leases
-   * @param links - told of each transfer
-   * @param configuration - where the stores are
+   * @param links - records each transfer
+   * @param configuration - returns the configuration in force, with the store addresses
    * @param outcomes - counts imports by outcome
-   * @param linkBytes - counts bytes by direction
+   * @param linkBytes - counts transferred bytes by direction
    */
   constructor (
     private readonly clock: Clock,
@@ -47,10 +47,10 @@
   /**
    * Stages the imports of a placement.
    *
-   * @param engine - where the run will start
-   * @param placed - the placement
-   * @param signal - ends the import
-   * @returns id to start the run with, or undefined if the blocks must be computed
+   * @param engine - engine that will start the run
+   * @param placed - placement of the run
+   * @param signal - aborts the import
+   * @returns import id to start the run with, or undefined if the blocks must be computed
    */
   async stage (engine: EngineBackend, placed: PlacedRun, signal: AbortSignal): Promise<string | undefined> {
     const { placement, keys, stored } = placed
@@ -97,7 +97,7 @@
       return undefined
     }
     this.linkBytes.count('import', staged.value.bytes)
-    // The lease is checked now, not by a timer that a freeze could have delayed.
+    // The clock is compared with the lease here, because a frozen process could delay a timer.
     if (endedAt >= leaseEndsAt) {
       this.outcomes.count('lease-lapsed')
       void engine.discardImport(importId)
@@ -107,7 +107,7 @@
     return importId
   }
 
-  /** Giving up after about the time that computing takes bounds the loss to that time once more. */
+  /** Returns the timeout, which is at least the time to compute the blocks; a failed import then costs little more than that time. */
   #timeoutMs ({ placement }: PlacedRun): number {
     const imported = placement.reusedBlocks - placement.engine.residentBlocks
     const computeMs = imported * TOKENS_PER_BLOCK / placement.engine.prefillTokensPerMs
@@ -119,7 +119,7 @@
     for (const { object } of leases) bytesByStore.set(object.store, (bytesByStore.get(object.store) ?? 0) + object.bytes)
     for (const [store, bytes] of bytesByStore) {
       const estimatedBacklog = Math.max(0, placed.placement.importMs * (this.links.views(now).get(store)?.bytesPerMs ?? 0) - bytes)
-      // A transfer cut short moved at most its size: the sample errs on the fast side.
+      // An incomplete transfer moved at most its size, so the sample overestimates the speed.
       this.links.recordEnd(store, bytes + (complete ? estimatedBacklog : 0), elapsedMs, now)
     }
   }
--- a/apps/entry/src/lib/runs/PeerRuns.ts
+++ b/apps/entry/src/lib/runs/PeerRuns.ts
@@ -1,4 +1,4 @@
-/** Lets callers continue a run through any entry host. */
+/** Reads runs from other entry hosts, so that callers can resume a run through any host. */
 import type { FinishReason } from '@eelgrassmux/runs/AnswerAssembler'
 import { readRun, type RunEvent } from '@eelgrassmux/rpc/methods/entryMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
@@ -7,7 +7,7 @@
 import type { RunChunk } from './Run.js'
 import type { RunManager } from './RunManager.js'
 
-/** Which run is wanted, for whom, from where. */
+/** Run to read, its customer, and the offset to start at. */
 export interface PeerRunRequest {
   readonly runId: string
   readonly customer: string
@@ -16,14 +16,14 @@
 
 /** Reads runs from the entry hosts that hold them. */
 export class PeerRuns {
-  /** @param rpc - client for the calls */
+  /** @param rpc - RPC client */
   constructor (private readonly rpc: RpcClient) {}
 
   /**
-   * @param entry - address of the host that holds the run
-   * @param request - which run
-   * @param signal - aborted when the caller is gone
-   * @returns the chunks, or undefined if the host is gone or does not have it
+   * @param entry - address of the entry host that holds the run
+   * @param request - run to read
+   * @param signal - aborted when the caller disconnects
+   * @returns the chunks, or undefined if the host is unreachable or does not hold the run
    */
   async read (entry: string, request: PeerRunRequest, signal: AbortSignal): Promise<AsyncGenerator<RunChunk> | undefined> {
     const events: RunEvent[] = []
@@ -54,7 +54,7 @@
     yield chunk
     if (chunk.kind !== 'tokens') return
   }
-  // The holding host went away: an explicit error, never a silent cut.
+  // The connection to the host was lost; the caller gets an explicit error instead of a truncated stream.
   yield failedChunk('the entry host that held the run went away')
 }
 
@@ -74,9 +74,9 @@
 }
 
 /**
- * Serves this host's runs to its peers.
+ * Serves this host's runs to other entry hosts.
  *
- * @param server - where to register the method
+ * @param server - RPC server that registers the method
  * @param runs - runs of this host
  */
 export function servePeerRuns (server: RpcServer, runs: RunManager): void {
--- a/apps/entry/src/lib/runs/Placer.ts
+++ b/apps/entry/src/lib/runs/Placer.ts
@@ -1,4 +1,4 @@
-/** Finds where a prompt can run and ranks the ways by the profile's policy. */
+/** Finds the engines that can run a prompt and ranks them by the placement policy. */
 import { blockKeys, cacheSalt, TOKENS_PER_BLOCK, tokenCount } from '@eelgrassmux/cache/blockKeys'
 import { createPlacementPolicy, type PlacementPolicyName } from '@eelgrassmux/policy/placement/createPlacementPolicy'
 import type { EngineCandidate, ImportCandidate, Placement, PlacementRequest } from '@eelgrassmux/policy/placement/placementTypes'
@@ -12,20 +12,20 @@
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { DirectoryError, LookupFound } from './DirectoryClient.js'
 
-/** A prompt to place. */
+/** Prompt to place. */
 export interface PlaceRequest {
   readonly customer: Customer
   readonly model: string
   readonly profile: Profile
-  /** Prompt and the answer so far. */
+  /** Prompt followed by the answer so far. */
   readonly text: string
-  /** Only engines of this version, once the answer has tokens. */
+  /** Weight version that the engine must run; undefined while the answer has no tokens. */
   readonly version: string | undefined
-  /** Engines that failed this request already. */
+  /** Engines that already failed this request. */
   readonly excluded: ReadonlySet<string>
 }
 
-/** A way to run a request. */
+/** Placement option of a request. */
 export interface PlacedRun {
   readonly placement: Placement
   readonly salt: string
@@ -33,27 +33,27 @@
   readonly stored: LookupFound['stored']
 }
 
-/** Engines and links as placement sees them. */
+/** State of engines and links used for placement. */
 export interface PlacementFleet {
   readonly engineTable: EndpointTable
   readonly loads: EngineLoadTable
   readonly links: LinkTable
 }
 
-/** Knows what is cached where. */
+/** Looks up which engines and stores hold a prompt's blocks. */
 export interface BlockLookup {
   lookup (keys: readonly string[]): Promise<Result<LookupFound, DirectoryError>>
 }
 
-/** Ranks ways to run a prompt from this host's picture of the fleet. */
+/** Ranks placements by this host's view of the fleet. */
 export class Placer {
   /**
-   * @param clock - time, and the randomness that breaks near-ties
-   * @param fleet - endpoints, loads and links
-   * @param directory - what is cached where
-   * @param configuration - configuration in force
-   * @param policyName - which policy ranks
-   * @param lookupFailures - counts look-ups without an answer
+   * @param clock - source of time, and of the randomness that breaks near-ties
+   * @param fleet - state of endpoints, loads and links
+   * @param directory - looks up cached blocks
+   * @param configuration - returns the configuration in force
+   * @param policyName - placement policy
+   * @param lookupFailures - counts failed lookups
    */
   constructor (
     private readonly clock: Clock & { random (): number },
@@ -65,8 +65,8 @@
   ) {}
 
   /**
-   * @param request - the prompt
-   * @returns ways to run it, best first; empty if no engine may take it
+   * @param request - prompt to place
+   * @returns placements, best first; empty if no engine is eligible
    */
   async place (request: PlaceRequest): Promise<PlacedRun[]> {
     const engines = this.#candidates(request)
--- a/apps/entry/src/lib/runs/ResumptionRetryPolicy.test.ts
+++ b/apps/entry/src/lib/runs/ResumptionRetryPolicy.test.ts
@@ -1,7 +1,7 @@
 /**
- * Seen in a test: an answer of which the caller had a token was cut when the only other engine refused the rest even
- * once, as engines do while they load weights, though the caller's deadline was a minute away. Each
- * refusal counted as one of the attempts that the profile allows.
+ * Guards against answers that are cut although the caller's deadline is a minute away. The caller
+ * already has a token, and the only other engine refuses once to resume the answer, as engines do
+ * while they load weights. Each refusal used to count as one of the attempts that the profile allows.
  */
 import { describe, expect, it } from 'vitest'
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
@@ -20,7 +20,7 @@
 const REFUSED: BackendError = { kind: 'not-started', reason: 'full' }
 const LOST: BackendError = { kind: 'lost', detail: 'reset' }
 
-/** A clock that a sleep moves on at once. */
+/** Clock that a sleep advances immediately. */
 class SteppedClock implements Clock {
   #now = 0
   now (): number { return this.#now }
@@ -35,7 +35,7 @@
 const token = (offset: number): RunStreamItem => succeed<RunMessage>({ kind: 'tokens', offset, tokens: [`t${offset}`], version: VERSION })
 const end = (length: number): RunStreamItem => succeed<RunMessage>({ kind: 'end', length, finishReason: 'stop', version: VERSION, promptTokens: 1, cachedTokens: 0 })
 
-/** Engines of which the first dies after a token, and the other refuses the rest so often before it takes it. */
+/** Two engines: the first fails after one token, and the other refuses to resume a given number of times before it accepts. */
 class Engines {
   readonly clock = new SteppedClock()
   readonly run = new Run('run', 'ward', this.clock)
@@ -94,15 +94,15 @@
   }
 }
 
-describe('an answer whose engine has died after a token', () => {
-  it.each([0, 1, 3, 5])('goes on at an engine that refuses the rest %i times first', async refusals => {
+describe('an answer whose engine failed after one token', () => {
+  it.each([0, 1, 3, 5])('is resumed by an engine that refuses it %i times first', async refusals => {
     const engines = new Engines(refusals)
     await engines.execute()
     expect(engines.run.end).toMatchObject({ kind: 'complete' })
     expect(engines.run.tokens).toEqual(['t0', 't1'])
   })
 
-  it('ends after some seconds if no engine takes the rest, and asks none in a tight loop', async () => {
+  it('fails after some seconds if every engine refuses it, without retrying in a tight loop', async () => {
     const engines = new Engines(Number.POSITIVE_INFINITY)
     await engines.execute()
     expect(engines.run.end).toMatchObject({ kind: 'failed', refusal: { run: 'unknown' } })
--- a/apps/entry/src/lib/runs/ResumptionRetryPolicy.ts
+++ b/apps/entry/src/lib/runs/ResumptionRetryPolicy.ts
@@ -1,42 +1,42 @@
-/** How long an answer of which the caller has a part waits for engines that refuse the rest of it. */
+/** Limits how long and how often a partly delivered answer is retried while engines refuse to resume it. */
 import type { Clock } from '@eelgrassmux/schema/Clock'
 
-/** Longest time without a token, in milliseconds: the caller can't come back for the rest. */
+/** Longest time without a new token, in milliseconds; long because the caller can't request the rest of the answer again. */
 const MAX_STALL_MS = 8000
 
-/** Pause before engines are looked for again when there is none, in milliseconds; doubles up to the longest. */
+/** Delay before the next placement when no engine is available, in milliseconds; doubles from the initial to the maximum delay. */
 const INITIAL_DELAY_MS = 100
 const MAX_DELAY_MS = 1000
 
-/** Most refusals of the rest of one answer. */
+/** Limit of refusals per answer. */
 const MAX_REFUSALS = 30
 
-/** Patience of one run. */
+/** Retry policy for resuming one run. */
 export class ResumptionRetryPolicy {
   #lastTokenAt = 0
   #refusals = 0
   #delayMs = INITIAL_DELAY_MS
 
-  /** @param clock - time */
+  /** @param clock - time source */
   constructor (private readonly clock: Clock) {}
 
-  /** Monotonic milliseconds at which it ends. */
+  /** Time after which the run is no longer retried, in monotonic milliseconds. */
   get deadline (): number { return this.#lastTokenAt + MAX_STALL_MS }
-  /** Refusals that it has borne. */
+  /** Refusals that do not count as attempts. */
   get refusals (): number { return this.#refusals }
 
-  /** Call when the answer has gone on. */
+  /** Must be called when the answer has new tokens. */
   noteTokens (): void {
     this.#lastTokenAt = this.clock.now()
     this.#delayMs = INITIAL_DELAY_MS
   }
 
-  /** Bears one more refusal, if there is patience left for it. */
+  /** Excuses one more refusal, if it is within the limit and the deadline. */
   noteRefusal (): void {
     if (this.#refusals < MAX_REFUSALS && this.clock.now() < this.deadline) this.#refusals += 1
   }
 
-  /** @returns milliseconds to wait now that no engine is left */
+  /** @returns milliseconds to wait before the next placement when no engine is available */
   nextDelayMs (): number {
     const delayMs = this.#delayMs
     this.#delayMs = Math.min(MAX_DELAY_MS, delayMs * 2)
--- a/apps/entry/src/lib/runs/Run.test.ts
+++ b/apps/entry/src/lib/runs/Run.test.ts
@@ -17,7 +17,7 @@
 const COMPLETE = { kind: 'complete', finishReason: 'length', promptTokens: 1, cachedTokens: 0 } as const
 
 describe('Run', () => {
-  it('gives every reader the whole answer from its offset, before and after the end', async () => {
+  it('delivers the complete answer from the offset of each reader, before and after the end', async () => {
     const { run } = newRun()
     const chunks: RunChunk[] = []
     const early = (async () => { for await (const chunk of run.read(0, new AbortController().signal)) chunks.push(chunk) })()
@@ -33,21 +33,21 @@
     expect(run.wasReadToEnd).toBe(true)
   })
 
-  it('makes the engine wait for a slow reader, and goes on when the reader has caught up or left', async () => {
+  it('applies backpressure for a slow reader, and continues when the reader detaches', async () => {
     const { run } = newRun()
     const reader = run.attach(0, () => {})
     run.push(Array.from({ length: 3000 }, () => 't'), 'v1')
     expect(run.needsBackpressure).toBe(true)
-    let hasRoom = false
-    const room = run.waitForReaders(new AbortController().signal).then(() => { hasRoom = true })
+    let isReleased = false
+    const waiting = run.waitForReaders(new AbortController().signal).then(() => { isReleased = true })
     await Promise.resolve()
-    expect(hasRoom).toBe(false)
+    expect(isReleased).toBe(false)
     reader.detach()
-    await room
+    await waiting
     expect(run.needsBackpressure).toBe(false)
   })
 
-  it('counts the time that nobody reads', () => {
+  it('measures the time without readers', () => {
     const { run, clock } = newRun()
     clock.time = 100
     expect(run.unreadMs(100)).toBe(100)
--- a/apps/entry/src/lib/runs/Run.ts
+++ b/apps/entry/src/lib/runs/Run.ts
@@ -1,4 +1,4 @@
-/** One answer in the making: kept whole, read by any number of readers from any offset. */
+/** Answer that is being generated: buffered completely, and read by any number of readers from any offset. */
 import { DispatchRecord, type Refusal } from '@eelgrassmux/schema/Refusal'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 import type { FinishReason } from '@eelgrassmux/runs/AnswerAssembler'
@@ -8,25 +8,25 @@
   | { readonly kind: 'complete', readonly finishReason: FinishReason, readonly promptTokens: number, readonly cachedTokens: number }
   | { readonly kind: 'failed', readonly refusal: Refusal }
 
-/** A chunk of the answer for a reader. */
+/** Chunk of the answer, or its end. */
 export type RunChunk =
   | { readonly kind: 'tokens', readonly offset: number, readonly tokens: readonly string[] }
   | RunEnd
 
-/** One reader of a run. */
+/** Handle of one reader. */
 export interface RunReader {
   /**
-   * @param position - offset behind the last token taken
-   * @param isEnd - whether the end was taken too
+   * @param position - offset after the last token read
+   * @param isEnd - whether the end was read as well
    */
   advance (position: number, isEnd: boolean): void
   detach (): void
 }
 
-/** Tokens a reader may lag behind before the run waits for it. */
+/** Tokens that the furthest reader may lag behind before the run waits. */
 const MAX_READER_LAG_TOKENS = 2048
 
-/** Buffer and readers of one run. */
+/** Buffers the tokens of one run and tracks its readers. */
 export class Run {
   readonly dispatch = new DispatchRecord()
   readonly startedAt: number
@@ -40,9 +40,9 @@
   #version: string | undefined
 
   /**
-   * @param id - run id, known to the caller
-   * @param customer - whose run it is
-   * @param clock - time
+   * @param id - run id, which the caller knows
+   * @param customer - name of the customer that owns the run
+   * @param clock - time source
    */
   constructor (readonly id: string, readonly customer: string, private readonly clock: Clock) {
     this.startedAt = clock.now()
@@ -52,26 +52,26 @@
   get length (): number { return this.#tokens.length }
   get end (): RunEnd | undefined { return this.#end }
   get readers (): number { return this.#readers }
-  /** Whether some reader has taken everything, the end included. */
+  /** Whether some reader has read everything, including the end. */
   get wasReadToEnd (): boolean { return this.#wasReadToEnd }
-  /** Weight version of the answer, once it has a token. */
+  /** Weight version of the answer; undefined while it has no tokens. */
   get version (): string | undefined { return this.#version }
   /** All tokens so far. */
   get tokens (): readonly string[] { return this.#tokens }
 
   /**
-   * @param now - monotonic milliseconds
-   * @returns how long nobody has read the run, in milliseconds
+   * @param now - current time, in monotonic milliseconds
+   * @returns time for which the run has had no reader, in milliseconds
    */
   unreadMs (now: number): number {
     return this.#unreadSince === undefined ? 0 : now - this.#unreadSince
   }
 
   /**
-   * Adds tokens.
+   * Appends tokens.
    *
-   * @param tokens - the next tokens of the answer
-   * @param version - weight version they came from
+   * @param tokens - next tokens of the answer
+   * @param version - weight version that generated the tokens
    */
   push (tokens: readonly string[], version: string): void {
     this.#version ??= version
@@ -79,21 +79,21 @@
     this.#notifyReaders()
   }
 
-  /** @param end - how the run ended; the first end counts */
+  /** @param end - how the run ended; ignored if the run has already ended */
   finish (end: RunEnd): void {
     this.#end ??= end
     this.#notifyReaders()
   }
 
-  /** Whether the furthest reader lags so far that the run should wait for it. */
+  /** Whether even the furthest reader lags so much that the run should wait. */
   get needsBackpressure (): boolean {
     return this.#readers > 0 && this.#tokens.length - this.#furthestOffset > MAX_READER_LAG_TOKENS
   }
 
   /**
-   * Waits while the furthest reader lags too far, so that a slow caller slows its engine.
+   * Waits while even the furthest reader lags too much, so that a slow caller slows down its engine.
    *
-   * @param signal - ends the wait
+   * @param signal - aborts the wait
    */
   async waitForReaders (signal: AbortSignal): Promise<void> {
     while (this.needsBackpressure && !signal.aborted) await this.#nextChange(signal)
@@ -102,7 +102,7 @@
   /**
    * Adds a reader.
    *
-   * @param offset - first token it wants
+   * @param offset - offset of the first token to read
    * @param wake - called after each change of the run
    * @returns the reader's handle
    */
@@ -129,8 +129,8 @@
   }
 
   /**
-   * @param position - first token wanted
-   * @returns what there is from there on, or undefined if nothing yet
+   * @param position - offset of the first token
+   * @returns the tokens from that offset on, or the end; undefined if there is nothing to read yet
    */
   chunkFrom (position: number): RunChunk | undefined {
     if (position < this.#tokens.length) return { kind: 'tokens', offset: position, tokens: this.#tokens.slice(position) }
@@ -140,8 +140,8 @@
   /**
    * Reads the answer from an offset to its end.
    *
-   * @param offset - first token wanted
-   * @param signal - aborted when the reader is gone
+   * @param offset - offset of the first token
+   * @param signal - aborted when the reader disconnects
    */
   async * read (offset: number, signal: AbortSignal): AsyncGenerator<RunChunk> {
     const reader = this.attach(offset, () => {})
@@ -166,7 +166,7 @@
   /**
    * Waits for the first token or the end.
    *
-   * @param signal - ends the wait
+   * @param signal - aborts the wait
    */
   async waitForStart (signal: AbortSignal): Promise<void> {
     while (this.#tokens.length === 0 && this.#end === undefined && !signal.aborted) await this.#nextChange(signal)
--- a/apps/entry/src/lib/runs/RunManager.ts
+++ b/apps/entry/src/lib/runs/RunManager.ts
@@ -1,4 +1,4 @@
-/** Admits runs, keeps them for callers that come back, and ends those nobody reads. */
+/** Admits runs, keeps them for callers that reconnect, and cancels runs that nobody reads. */
 import type { WorkGate, WorkTicket } from '@eelgrassmux/daemon/WorkGate'
 import { RetryBudget } from '@eelgrassmux/policy/limits/RetryBudget'
 import { RouteDurations } from '@eelgrassmux/routing/admission/RouteDurations'
@@ -13,13 +13,13 @@
 import { heldTokens } from './heldTokens.js'
 import { RunTask, type RunPorts, type RunRequest } from './RunTask.js'
 
-/** Limits of the manager. Durations are in milliseconds. */
+/** Settings of the run manager. */
 export interface RunManagerSettings {
-  /** This host's address for its peers; part of each run id. */
+  /** Address of this host for its peers; part of each run id. */
   readonly peerAddress: string
-  /** How long a run goes on, or is kept, while nobody reads it. */
+  /** How long a run continues, or is kept, without a reader, in milliseconds. */
   readonly resumeGraceMs: number
-  /** Records the time to a first token, in milliseconds. */
+  /** Records the time to the first token. */
   readonly firstToken: (milliseconds: number) => void
 }
 
@@ -27,14 +27,13 @@
   readonly customer: string
   readonly run: Run
   readonly task: RunTask
-  /** A planned stop waits until the answer was fetched, or its time for that is over. */
+  /** Makes a graceful shutdown wait until the answer was read to its end or is no longer kept. */
   readonly ticket: WorkTicket
 }
 
-/** Interval between sweeps of unread runs, in milliseconds. */
 const SWEEP_INTERVAL_MS = 250
 
-/** Longest time to a first token that is recorded, in milliseconds. */
+/** Longest time to the first token that is recorded, in milliseconds. */
 const MAX_FIRST_TOKEN_MS = 120_000
 
 /** Owns all runs of this host. */
@@ -47,18 +46,18 @@
   #underWay = 0
 
   /**
-   * @param settings - limits
-   * @param gate - admission
-   * @param work - what a planned stop waits for
-   * @param plannedStop - the planned stop
-   * @param quarantine - of requests that end engines
-   * @param ports - what runs need, but for the budget, which is one for each service, and the guard, which is one for each run
+   * @param settings - settings
+   * @param gate - admission gate
+   * @param work - tracks the work that a graceful shutdown waits for
+   * @param shutdown - graceful shutdown of this host
+   * @param quarantine - quarantine of requests that crash engines
+   * @param ports - dependencies of runs, except the retry budget, which exists per service, and the guard, which exists per run
    */
   constructor (
     private readonly settings: RunManagerSettings,
     private readonly gate: AdmissionGate,
     private readonly work: WorkGate,
-    private readonly plannedStop: GracefulShutdown,
+    private readonly shutdown: GracefulShutdown,
     private readonly quarantine: CallQuarantine,
     private readonly ports: Omit<RunPorts, 'budget' | 'guard'>
   ) {
@@ -67,24 +66,24 @@
 
   /** Runs that have not ended. */
   get underWay (): number { return this.#underWay }
-  /** Runs kept, ended ones included. */
+  /** Runs that are kept, including ended ones. */
   get kept (): number { return this.#runs.size }
-  /** Mean tokens a request holds, lately. */
+  /** Moving average of the tokens that a request holds. */
   get meanRequestTokens (): number { return this.#meanRequestTokens }
 
   /**
    * Admits a request and starts its run.
    *
-   * @param service - service name, for the retry budget
-   * @param request - what was asked
-   * @param disconnected - aborted when the caller has left
-   * @returns the run, or why it was not admitted
+   * @param service - service name, which selects the retry budget
+   * @param request - request of the caller
+   * @param disconnected - aborted when the caller disconnects
+   * @returns the run, or the refusal if it was not admitted
    */
   async start (service: string, request: RunRequest, disconnected: AbortSignal): Promise<Result<Run, Refusal>> {
     const run = new Run(createRunId(this.settings.peerAddress), request.customer.name, this.ports.clock)
     const guard = this.#guard(service, request)
-    const held = guard.refusal()
-    if (held !== undefined) return fail(refuse(held, run.dispatch))
+    const quarantined = guard.refusal()
+    if (quarantined !== undefined) return fail(refuse(quarantined, run.dispatch))
     const tokens = heldTokens(request)
     this.#meanRequestTokens += (tokens - this.#meanRequestTokens) * (this.#meanRequestTokens === 0 ? 1 : 0.05)
     const decision = await this.gate.request({
@@ -102,9 +101,9 @@
         retryAfterSeconds: Math.max(1, Math.ceil(decision.retryAfterMs / 1000 * (1 + Math.random() / 2)))
       }, run.dispatch))
     }
-    // Asked after the wait: a run may have queued since before the stop.
+    // Checked after the wait, because the shutdown may have begun while the run was queued.
     const { maxTokens } = request
-    const refusal = refuseWhileStopping(this.plannedStop, { remainingMs: request.profile.deadlineMs, expectedMs: this.#durations.expectedMs(service, maxTokens) })
+    const refusal = refuseWhileStopping(this.shutdown, { remainingMs: request.profile.deadlineMs, expectedMs: this.#durations.expectedMs(service, maxTokens) })
     if (refusal !== undefined) {
       this.gate.release(run.id)
       return fail(refusal)
@@ -123,17 +122,17 @@
 
   /**
    * @param id - run id
-   * @param customer - customer of the credential that asks
-   * @returns the run, if it is here and this customer's
+   * @param customer - name of the authenticated customer
+   * @returns the run, if this host holds it and it belongs to the customer
    */
   find (id: string, customer: string): Run | undefined {
     return this.#runs.find(id, customer)?.run
   }
 
   /**
-   * Logs what has not ended.
+   * Logs the runs that have not ended.
    *
-   * @param log - takes the id of each run
+   * @param log - called with the id of each run
    */
   logUnderWay (log: (runId: string) => void): void {
     for (const { run } of this.#runs.values()) {
@@ -141,7 +140,6 @@
     }
   }
 
-  /** Stops the sweeper. */
   stop (): void {
     clearInterval(this.#sweeper)
   }
--- a/apps/entry/src/lib/runs/RunTask.ts
+++ b/apps/entry/src/lib/runs/RunTask.ts
@@ -1,7 +1,7 @@
 /**
- * Carries one run to its end: places it, imports, streams, and goes on elsewhere
- * when an engine fails. A model run has no effect outside, so it may be repeated
- * under the retry budget; tokens that were handed on are never repeated.
+ * Executes one run: places it, imports blocks, streams the answer, and resumes on
+ * another engine when one fails. A model run has no side effects, so it may be
+ * retried within the retry budget; delivered tokens are never sent again.
  */
 import { isNotStarted, type BackendError } from '@eelgrassmux/backends/BackendError'
 import type { RunStreamItem, EngineBackend } from '@eelgrassmux/backends/EngineClient'
@@ -21,7 +21,7 @@
 import { ResumptionRetryPolicy } from './ResumptionRetryPolicy.js'
 import type { Run } from './Run.js'
 
-/** What a caller asked for. */
+/** Request of a caller. */
 export interface RunRequest {
   readonly customer: Customer
   readonly model: string
@@ -30,53 +30,53 @@
   readonly maxTokens: number
 }
 
-/** Engines as a run sees them. */
+/** Engines with their state and load. */
 export interface EngineFleet {
   readonly engineTable: EndpointTable
   readonly loads: EngineLoadTable
   engine (name: string): EngineBackend | undefined
 }
 
-/** Ranks ways to run a prompt. */
+/** Ranks the placements of a prompt. */
 export interface RunPlacer {
   place (request: PlaceRequest): Promise<PlacedRun[]>
 }
 
-/** Brings stored blocks into an engine. */
+/** Imports stored blocks into an engine. */
 export interface BlockImporter {
   stage (engine: EngineBackend, placed: PlacedRun, signal: AbortSignal): Promise<string | undefined>
 }
 
-/** Decides what is kept of a finished run. */
+/** Exports the blocks of finished runs. */
 export interface BlockExporter {
   exportIfWorthwhile (run: FinishedRun): Promise<void>
 }
 
-/** What a run needs from around it. */
+/** Dependencies of a run. */
 export interface RunPorts {
   readonly clock: Clock
   readonly fleet: EngineFleet
   readonly placer: RunPlacer
   readonly importer: BlockImporter
   readonly exporter: BlockExporter
-  /** Tells other hosts of a dispatch. */
+  /** Notifies other entry hosts of a dispatch. */
   announceDispatch (engine: string, tokens: number): void
   readonly budget: RetryBudget
-  /** Tells whether this request ended engines before. */
+  /** Tells whether this request is quarantined because it crashed engines. */
   readonly guard: CallGuard
   readonly retries: LabelledCounter
-  /** Counts prompt tokens: `computed` or `reused`. */
+  /** Counts prompt tokens by kind, `computed` or `reused`. */
   readonly promptTokens: LabelledCounter
 }
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 type AttemptOutcome =
   | { readonly kind: 'complete', readonly end: Extract<RunMessage, { kind: 'end' }> }
   | { readonly kind: 'retry', readonly reason: RetryReason }
-  /** The engine contradicted tokens that the caller has: nothing can make the answer whole. */
+  /** The engine contradicted tokens that the caller already has, so the answer can't be completed. */
   | { readonly kind: 'contradiction' }
 
-/** A stream that an engine has started. */
+/** Stream that an engine has started. */
 interface StartedStream {
   readonly placed: PlacedRun
   readonly engine: EngineBackend
@@ -87,19 +87,19 @@
   first?: Promise<IteratorResult<RunStreamItem>>
 }
 
-/** Pause before engines are looked for again when there is none, in milliseconds. */
+/** Delay before the next placement when no engine is available, in milliseconds. */
 const NO_ENGINE_RETRY_DELAY_MS = 100
 
-/** Longest wait for any engine, in milliseconds. */
+/** Longest wait for an available engine, in milliseconds. */
 const MAX_NO_ENGINE_WAIT_MS = 2000
 
-/** Longest silence of a stream before it is read again from the gap, in milliseconds. */
+/** Timeout for resuming a broken stream on its engine, in milliseconds. */
 const RESUME_TIMEOUT_MS = 3000
 
-/** Seconds after which a caller may try again when there is no better estimate. */
+/** Default retry delay told to callers when there is no better estimate. */
 const RETRY_AFTER_SECONDS = 1
 
-/** Drives one run. */
+/** Executes one run. */
 export class RunTask {
   readonly #abort = new AbortController()
   readonly #deadline: number
@@ -110,21 +110,21 @@
   #lastRetry: RetryReason | undefined
 
   /**
-   * @param run - where the answer goes
-   * @param request - what was asked
-   * @param ports - surroundings
+   * @param run - run that receives the answer
+   * @param request - request of the caller
+   * @param ports - dependencies
    */
   constructor (private readonly run: Run, private readonly request: RunRequest, private readonly ports: RunPorts) {
     this.#deadline = run.startedAt + request.profile.deadlineMs
     this.#resumptionRetries = new ResumptionRetryPolicy(ports.clock)
   }
 
-  /** Ends the run early and frees its engine. */
+  /** Cancels the run and frees its engine. */
   cancel (): void {
     this.#abort.abort()
   }
 
-  /** Carries the run to its end; never rejects for reasons that lie outside the program. */
+  /** Executes the run to its end; failures of engines or the network never reject the promise. */
   async execute (): Promise<void> {
     this.ports.budget.recordRequest()
     for (;;) {
@@ -149,9 +149,9 @@
     const waitDeadline = this.#hasTokens ? this.#resumptionRetries.deadline : this.ports.clock.now() + MAX_NO_ENGINE_WAIT_MS
     for (;;) {
       if (this.#abort.signal.aborted) return this.#fail({ reason: 'endpoint-failed', status: 499, detail: 'the caller left' })
-      const held = this.ports.guard.refusal()
-      // A status that promises that nothing ran needs the proof.
-      if (held !== undefined) return this.#fail({ ...held, status: this.run.dispatch.mayHaveRun ? 502 : held.status })
+      const quarantined = this.ports.guard.refusal()
+      // 503 promises that nothing ran, so it is sent only if that is certain.
+      if (quarantined !== undefined) return this.#fail({ ...quarantined, status: this.run.dispatch.mayHaveRun ? 502 : quarantined.status })
       if (this.ports.clock.now() >= this.#deadline) return this.#fail({ reason: 'deadline-passed', status: 504, detail: 'the deadline of the profile has passed' })
       const ranked = await this.ports.placer.place({
         customer: this.request.customer,
@@ -163,7 +163,7 @@
       })
       const best = ranked[0]
       if (best !== undefined) return this.#checkFirstTokenLimit(best)
-      // Engines that failed once may have recovered; better them than none.
+      // Failed engines may have recovered, so they are tried again when no other engine is left.
       this.#excluded.clear()
       if (this.ports.clock.now() >= waitDeadline) {
         const detail = this.run.version === undefined ? 'no engine of the model can take the request' : `no engine runs version ${this.run.version} any more`
@@ -226,7 +226,7 @@
     if (error.kind === 'not-started') {
       if (error.reason === 'leaving') this.ports.fleet.engineTable.observeLeaving(engine)
       if (error.retryAfterMs !== undefined) this.ports.fleet.engineTable.observePause(engine, error.retryAfterMs, this.ports.clock.now())
-      // An unknown import only means that the blocks must be computed: the same engine may do that.
+      // After an unknown import the same engine can still run the request by computing the blocks.
       if (error.reason !== 'unknown-import') this.#excluded.add(engine)
       return { kind: 'retry', reason: error.reason === 'version-mismatch' ? 'version-mismatch' : 'engine-refused' }
     }
@@ -239,7 +239,7 @@
     if (!this.#abort.signal.aborted) this.ports.guard.noteLost(engine, this.ports.clock.now() - startedAt)
   }
 
-  /** Starts a second engine when the first token is late and the profile asks for it; the loser is cancelled. */
+  /** Starts a second engine if the profile allows hedging and the first token is late; the slower stream is cancelled. */
   async #maybeHedge (primary: StartedStream): Promise<StartedStream> {
     const { hedgeAfterMs } = this.request.profile
     if (hedgeAfterMs === 0 || this.run.length > 0) return primary
@@ -298,7 +298,7 @@
     }
   }
 
-  /** Reads until the answer is whole or the stream breaks. */
+  /** Reads until the answer is complete or the stream breaks. */
   async #readItems (stream: StartedStream, assembler: AnswerAssembler): Promise<AttemptOutcome | 'broken'> {
     const { name } = stream.placed.placement.engine
     let end: Extract<RunMessage, { kind: 'end' }> | undefined
@@ -307,7 +307,7 @@
       if (next === 'stalled' || next.done === true || !next.value.ok) return 'broken'
       const message = next.value.value
       if (message.version !== assembler.version) {
-        // Not a token of another version may reach the caller.
+        // Tokens of another weight version must never reach the caller.
         this.#cancelStream(stream)
         this.#excluded.add(name)
         return { kind: 'retry', reason: 'version-mismatch' }
@@ -344,7 +344,7 @@
     return await stream.engine.resumeRun(stream.engineRunId, offset, Math.min(RESUME_TIMEOUT_MS, this.#remainingMs()), this.#abort.signal)
   }
 
-  // --- Ends ---
+  // --- Completion ---
 
   #complete (placed: PlacedRun, end: Extract<RunMessage, { kind: 'end' }>): void {
     const cachedTokens = Math.min(end.cachedTokens, end.promptTokens)
@@ -365,10 +365,10 @@
   #mayRetry (reason: RetryReason): boolean {
     this.#lastRetry = reason
     const isSafe = reason === 'engine-refused' || reason === 'connect-failed' || reason === 'version-mismatch'
-    // Engines that refuse the rest of an answer have not run it, and may take it a moment later.
+    // An engine that refused to resume the answer has not run it, and may accept it soon.
     if (isSafe && this.#hasTokens) this.#resumptionRetries.noteRefusal()
     const isWithinProfile = this.#attempts - this.#resumptionRetries.refusals <= this.request.profile.retries
-    // A refusal by a full or leaving engine costs nothing; only work that may be done twice spends the budget.
+    // Only retries of work that may already have run spend the budget; refusals by full or leaving engines cost nothing.
     if (isWithinProfile && (isSafe || this.ports.budget.tryRetry())) {
       this.ports.retries.count(reason)
       return true
@@ -393,7 +393,7 @@
   }
 }
 
-/** Spreads the return of refused callers over half the estimate again. */
+/** Converts to seconds, with up to 50 % jitter that spreads the retries of refused callers. */
 function secondsWithJitter (milliseconds: number): number {
   return Math.max(1, Math.ceil(milliseconds / 1000 * (1 + Math.random() / 2)))
 }
--- a/apps/entry/src/lib/runs/heldTokens.ts
+++ b/apps/entry/src/lib/runs/heldTokens.ts
@@ -2,10 +2,10 @@
 import type { RunRequest } from './RunTask.js'
 
 /**
- * Tokens that a request holds while it is in flight.
+ * Returns the tokens that a request holds while it is in flight.
  *
- * @param request - what was asked
- * @returns prompt and longest answer, in tokens
+ * @param request - request of the caller
+ * @returns tokens of the prompt plus the maximum length of the answer
  */
 export function heldTokens (request: RunRequest): number {
   return tokenCount(request.prompt) + request.maxTokens
