--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -165,7 +165,7 @@
     releaseWaiting: () => {},
     closeIdleConnections: () => { callers.closeIdleConnections() },
     logUnderWay: () => { logUnderWay('awaited-by-stop') },
-    // No other host can continue a run, so it runs until the process exits and its caller sees an incomplete answer.
+    // No other host can continue a run, so the run goes on until the process exits and its caller sees an incomplete answer.
     cutUnderWay: () => { logUnderWay('cut-by-stop') }
   }
 
--- a/apps/entry/src/lib/GracefulShutdown.test.ts
+++ b/apps/entry/src/lib/GracefulShutdown.test.ts
@@ -1,9 +1,10 @@
 /**
  * Guards against streams that break off when the platform kills a stopping host, eight seconds
- * after its SIGTERM. Under a rolling restart callers kept their connections, and with more than
- * half of the hosts of a data centre stopping the balancer sent new connections to all of them.
- * The quiet period never came, and up to five seconds after the signal the host accepted requests
- * that could not finish before the kill. The first test reproduces this with constant requests.
+ * after its SIGTERM. When all hosts were stopped in turn under load, callers kept their
+ * connections, and with more than half of the hosts of a data centre stopping at once the
+ * balancer sent new connections to all of them again. The quiet period never came, and up to
+ * five seconds after the signal the host accepted requests that could not finish before the
+ * kill. The first test reproduces this with constant requests.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { connect, type Socket } from 'node:net'
--- a/apps/entry/src/lib/GracefulShutdown.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -113,8 +113,8 @@
    * @returns once no work is in flight and none will start
    */
   async drain (server: DrainableServer): Promise<void> {
-    const cut = new Promise<void>(resolve => { this.#finishAbort = resolve })
-    await Promise.race([this.#finish(server), cut])
+    const aborted = new Promise<void>(resolve => { this.#finishAbort = resolve })
+    await Promise.race([this.#finish(server), aborted])
     clearTimeout(this.#abortTimer)
     this.#log('ended')
   }
--- a/apps/entry/src/lib/callers/writeRun.ts
+++ b/apps/entry/src/lib/callers/writeRun.ts
@@ -3,7 +3,7 @@
  *
  * Tokens go from the run to the socket without an intermediate stream. With 200
  * concurrent streams the decoding steps of all of them arrive at once, and each
- * layer would delay the first token of the last caller.
+ * additional layer would delay the first token of the last caller.
  */
 import type { ServerResponse } from 'node:http'
 import type { Run } from '../runs/Run.js'
--- a/apps/entry/src/lib/runs/DirectoryClient.ts
+++ b/apps/entry/src/lib/runs/DirectoryClient.ts
@@ -24,7 +24,7 @@
   readonly firstBlock: number
 }
 
-/** Deadline of a lookup, in milliseconds; short because the first token waits for it. */
+/** Deadline of a lookup, in milliseconds; the first token waits for the lookup. */
 const LOOKUP_TIMEOUT_MS = 150
 
 /** Deadline of calls that do not delay a first token, in milliseconds. */
--- a/apps/entry/src/lib/runs/Importer.ts
+++ b/apps/entry/src/lib/runs/Importer.ts
@@ -16,7 +16,7 @@
 import type { DirectoryError, LeasesGranted } from './DirectoryClient.js'
 import type { PlacedRun } from './Placer.js'
 
-/** An import times out after its estimated duration times the factor, plus the margin in milliseconds. */
+/** An import times out after its estimated duration times the factor, or after the time to compute its blocks if that is longer, plus the margin in milliseconds. */
 const TIMEOUT_FACTOR = 2
 const TIMEOUT_MARGIN_MS = 50
 
--- a/apps/entry/src/lib/runs/ResumptionRetryPolicy.ts
+++ b/apps/entry/src/lib/runs/ResumptionRetryPolicy.ts
@@ -1,7 +1,7 @@
 /** Limits how long and how often a partly delivered answer is retried while engines refuse to resume it. */
 import type { Clock } from '@eelgrassmux/schema/Clock'
 
-/** Longest time without a new token, in milliseconds; long because the caller can't request the rest of the answer again. */
+/** Longest time without a new token, in milliseconds; once the run has failed, the caller can't request the rest of the answer. */
 const MAX_STALL_MS = 8000
 
 /** Delay before the next placement when no engine is available, in milliseconds; doubles from the initial to the maximum delay. */
--- a/apps/entry/src/lib/runs/RunManager.ts
+++ b/apps/entry/src/lib/runs/RunManager.ts
@@ -46,7 +46,7 @@
   #underWay = 0
 
   /**
-   * @param settings - settings
+   * @param settings - address of this host, limits and metric
    * @param gate - admission gate
    * @param work - tracks the work that a graceful shutdown waits for
    * @param shutdown - graceful shutdown of this host
