--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -6,7 +6,7 @@
 import { dataCentresSetting } from '@eelgrassmux/daemon/dataCentresSetting'
 import { addressListSetting, boundSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
 import { composeMechanisms, mechanismSchema } from '@eelgrassmux/routing/mechanisms/mechanisms'
-import { OlderWeights } from '@eelgrassmux/routing/prompts/OlderWeights'
+import { OutdatedWeightsDeadlines } from '@eelgrassmux/routing/prompts/OutdatedWeightsDeadlines'
 import { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
@@ -103,7 +103,7 @@
   const mayAct = (): boolean => settings.staleView === 'serve' ? link.site !== undefined : link.isReady()
   const crashReporter = new CrashReporter(address, { rpc, leader: () => link.leader, telemetry })
   const quarantine = new RequestQuarantine(link.quarantine, crashReporter, telemetry)
-  const olderWeights = new OlderWeights(settings.weightsBoundMs)
+  const olderWeights = new OutdatedWeightsDeadlines(settings.weightsBoundMs)
   const server = new RoutedServer({
     fleet,
     codec: platform.codec,
@@ -114,7 +114,7 @@
     regions: new Map(Object.entries(settings.dataCentres)),
     budget: { ratio: settings.retryRatio, slack: settings.retrySlack },
     liveHosts: () => link.liveEntries,
-    leftMsOn: (model, version) => olderWeights.leftMs(model, version, performance.now()),
+    leftMsOn: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
     mayAct,
     // Without a current confirmation from the control hosts, stored parts may have been freed already.
--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -4,7 +4,7 @@
 import { ServiceClient } from '@eelgrassmux/backends/ServiceClient'
 import { EndpointTable } from '@eelgrassmux/policy/health/EndpointTable'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import type { LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { ConfigurationDocument, Customer } from '@eelgrassmux/schema/configuration'
@@ -21,7 +21,7 @@
 
 /** A handler with one endpoint of one plain service. */
 class PlainServiceHarness {
-  readonly lost: LostRun[] = []
+  readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly quarantined = new QuarantineTable()
   readonly table = new EndpointTable()
@@ -48,7 +48,7 @@
     this.table.observeReport('app-0', { leaving: false, incarnation: 7 }, performance.now())
     const fleet = { serviceTable: this.table, service: () => this.#client } as unknown as FleetWatcher
     const telemetry = new Telemetry('test')
-    const reporter = { noteLost: (run: LostRun) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
+    const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     const quarantine = new CallQuarantine(new RequestQuarantine(this.quarantined, reporter, telemetry), () => performance.now())
     const stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
     this.handler = new PlainHandler(fleet, {} as AtMostOnceExecutor, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
--- a/apps/entry/src/lib/quarantine/CrashReporter.ts
+++ b/apps/entry/src/lib/quarantine/CrashReporter.ts
@@ -2,8 +2,8 @@
  * Reports requests that were lost with endpoints, and suspected requests that were completed,
  * to the leading control host. Reports all recorded losses again to each new leader.
  */
-import { CrashEvidence, type LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
-import { MOST_REPORTS_OF_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
+import { CrashEvidence, type LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import { MAX_REPORTS_PER_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
 import { reportCrashes } from '@eelgrassmux/rpc/methods/quarantineMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -43,8 +43,8 @@
   }
 
   /** @param run - request that was lost with its endpoint */
-  noteLost (run: LostRun): void {
-    this.#evidence.note(run, performance.now())
+  noteLost (run: LostRequest): void {
+    this.#evidence.record(run, performance.now())
     this.#hasUnreported = true
     this.#schedule(BATCH_WINDOW_MS)
   }
@@ -52,7 +52,7 @@
   /** @param fingerprint - fingerprint of a completed request that has a quarantine entry */
   noteWhole (fingerprint: string): void {
     this.#evidence.forget(fingerprint)
-    if (this.#completed.size >= MOST_REPORTS_OF_HOST) return
+    if (this.#completed.size >= MAX_REPORTS_PER_HOST) return
     this.#completed.add(fingerprint)
     this.#hasUnreported = true
     this.#schedule(BATCH_WINDOW_MS)
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -63,7 +63,7 @@
   /** @param request - what to send */
   send (request: EndpointRequest): void {
     this.choice.endpoint.begin(this.choice.reading.tokensToRead, this.choice.tokensHeld, performance.now())
-    this.fleet.storeLinks.begin(this.choice.reading.transfers)
+    this.fleet.storeLinks.beginTransfers(this.choice.reading.transfers)
     this.fleet.noteWork('sent')
     this.#cancel = this.connection.send(request, {
       sending: () => {
@@ -98,7 +98,7 @@
     if (!this.#isReading) return
     this.#isReading = false
     this.choice.endpoint.firstEvent(this.choice.reading.tokensToRead)
-    this.fleet.storeLinks.end(this.choice.reading.transfers)
+    this.fleet.storeLinks.endTransfers(this.choice.reading.transfers)
     this.fleet.noteWork('eased')
   }
 
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -277,7 +277,7 @@
     exchange: CallerExchange, fields: CallerFields, index: SiteIndex, route: Route, customer: SiteCustomer | undefined,
     body: Buffer | undefined, arrivedAt: number
   ): void {
-    const service = index.services.get(index.drawService(route, Math.random()))
+    const service = index.services.get(index.selectService(route, Math.random()))
     if (service === undefined) {
       this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, ASK_AGAIN_SECONDS)
       return
--- a/packages/routing/src/lib/endpoints/ColdAllowance.test.ts
+++ b/packages/routing/src/lib/endpoints/ColdAllowance.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
 import { COLD_WINDOW_MS, ColdAllowance } from './ColdAllowance.js'
 import type { EndpointAsk, HoldReason } from './endpointAsk.js'
@@ -90,7 +90,7 @@
 describe('chooseEndpoint with cold endpoints', () => {
   const ask = (overrides: Partial<EndpointAsk> = {}): EndpointAsk => ({ excluded: new Set(), dataCentre: 'north', others: undefined, ...overrides })
   const choose = (endpoints: readonly EndpointState[], asked: EndpointAsk, now = 0): string => {
-    const choice = chooseEndpoint(endpoints, asked, new PromptMemory(), now, 0)
+    const choice = chooseEndpoint(endpoints, asked, new PromptResidencyTracker(), now, 0)
     return typeof choice === 'string' ? choice : choice.endpoint.id
   }
 
@@ -124,10 +124,10 @@
   it('uses the other data centres only, however busy they are', () => {
     const busy = south()
     for (let sent = 0; sent < 50; sent += 1) busy.begin(0, 0, 0)
-    expect(chooseEndpoint([north(), busy], ask(['north']), new PromptMemory(), 0, 0)).toMatchObject({ endpoint: busy })
+    expect(chooseEndpoint([north(), busy], ask(['north']), new PromptResidencyTracker(), 0, 0)).toMatchObject({ endpoint: busy })
   })
 
   it('has none when all are evacuated, and says why', () => {
-    expect(chooseEndpoint([north(), south()], ask(['north', 'south']), new PromptMemory(), 0, 0)).toBe('all-evacuated')
+    expect(chooseEndpoint([north(), south()], ask(['north', 'south']), new PromptResidencyTracker(), 0, 0)).toBe('all-evacuated')
   })
 })
--- a/packages/routing/src/lib/endpoints/candidates.ts
+++ b/packages/routing/src/lib/endpoints/candidates.ts
@@ -1,5 +1,5 @@
 /** Who may take a request. */
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
 import type { AllHeldBack, EndpointAsk, HoldReason, NoEndpointReason, PromptAsk } from './endpointAsk.js'
 import type { EndpointState } from './EndpointState.js'
 import { ejectionReason, isAbsent, sharedFailureShare } from './sharedObservations.js'
@@ -7,7 +7,7 @@
 /** An endpoint with what other hosts have told of it. */
 export interface Candidate {
   readonly endpoint: EndpointState
-  readonly others: WorkFigures
+  readonly others: LoadFigures
   readonly failureShare: number
 }
 
@@ -55,7 +55,7 @@
 }
 
 function asCandidate (endpoint: EndpointState, ask: EndpointAsk, now: number): Candidate {
-  const others = ask.others?.at(endpoint.incarnation) ?? NO_WORK
+  const others = ask.others?.forEndpoint(endpoint.incarnation) ?? NO_ENDPOINT_LOAD
   return { endpoint, others, failureShare: sharedFailureShare(endpoint, others, now) }
 }
 
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.ts
@@ -9,7 +9,7 @@
  */
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { sharedPartOf } from '../prompts/promptDescription.js'
-import type { PromptHolders, PromptMemory } from '../prompts/PromptMemory.js'
+import type { PromptHolders, PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { candidatesFor, type Candidate } from './candidates.js'
 import type { EndpointAsk, EndpointChoice, NoEndpointReason, PromptAsk } from './endpointAsk.js'
 import type { EndpointState } from './EndpointState.js'
@@ -30,7 +30,7 @@
  * @returns the choice, or why there is none
  */
 export function chooseEndpoint (
-  endpoints: readonly EndpointState[], ask: EndpointAsk, memory: PromptMemory, now: number, random: number
+  endpoints: readonly EndpointState[], ask: EndpointAsk, memory: PromptResidencyTracker, now: number, random: number
 ): EndpointChoice | NoEndpointReason {
   const candidates = candidatesFor(endpoints, ask, now)
   if (typeof candidates === 'string') return candidates
@@ -64,7 +64,7 @@
 
 /** Looked up once for each version of the weights, whatever the number of engines. */
 function holdersFor (
-  endpoint: EndpointState, prompt: PromptAsk | undefined, memory: PromptMemory, known: Map<number, PromptHolders>, now: number
+  endpoint: EndpointState, prompt: PromptAsk | undefined, memory: PromptResidencyTracker, known: Map<number, PromptHolders>, now: number
 ): PromptHolders | undefined {
   if (prompt === undefined) return undefined
   const version = endpoint.version(prompt.description.model) ?? 0
--- a/packages/routing/src/lib/endpoints/endpointAsk.ts
+++ b/packages/routing/src/lib/endpoints/endpointAsk.ts
@@ -1,5 +1,5 @@
 /** What is asked when an endpoint is chosen, and what comes of it. */
-import type { OthersWork } from '../load/OthersWork.js'
+import type { PeerLoad } from '../load/PeerLoad.js'
 import type { RegionBound } from '../places/RegionBound.js'
 import type { PromptDescription } from '../prompts/promptDescription.js'
 import type { StoreLinks } from '../stores/StoreLinks.js'
@@ -15,7 +15,7 @@
   /** Data centre of this host; bytes between data centres cost. */
   readonly dataCentre: string
   /** What the other entry hosts have under way; undefined while that is not known. */
-  readonly others: OthersWork | undefined
+  readonly others: PeerLoad | undefined
   /** Whether this host has an idle connection to an endpoint; a new one costs the endpoint time. */
   hasConnection? (endpoint: EndpointState): boolean
   /** Data centres whose endpoints get no new work; none unless given. */
--- a/packages/routing/src/lib/endpoints/estimateEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/estimateEndpoint.ts
@@ -1,6 +1,6 @@
 /** What a request would take at an endpoint. */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
-import type { WorkFigures } from '../load/loadReport.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { Candidate } from './candidates.js'
 import type { EndpointAsk, EndpointChoice, PromptAsk } from './endpointAsk.js'
 import type { EndpointState } from './EndpointState.js'
@@ -67,7 +67,7 @@
   return { endpoint, version, reading, tokensHeld, estimatedMs, costMs, waitMs, memoryWaitMs, workMs, load, memoryShare: share }
 }
 
-function plainMs (endpoint: EndpointState, ask: EndpointAsk, others: WorkFigures, now: number): number {
+function plainMs (endpoint: EndpointState, ask: EndpointAsk, others: LoadFigures, now: number): number {
   const { slots } = endpoint.occupancy(now)
   const requests = requestsAt(endpoint, ask, others, now)
   const serviceMs = endpoint.latencyMs ?? PLAIN_MS
@@ -76,10 +76,10 @@
 }
 
 /** Requests there by all hosts' word, or by the endpoint's last one while the hosts' is not known. */
-function requestsAt (endpoint: EndpointState, ask: EndpointAsk, others: WorkFigures, now: number): number {
+function requestsAt (endpoint: EndpointState, ask: EndpointAsk, others: LoadFigures, now: number): number {
   return ask.others === undefined ? endpoint.occupancy(now).total : endpoint.inFlight + others.inFlight
 }
 
-function memoryShare (endpoint: EndpointState, others: WorkFigures, prompt: PromptAsk, tokensHeld: number): number {
+function memoryShare (endpoint: EndpointState, others: LoadFigures, prompt: PromptAsk, tokensHeld: number): number {
   return prompt.memoryTokens === 0 ? 0 : (endpoint.heldTokens + others.heldTokens + tokensHeld) / prompt.memoryTokens
 }
--- a/packages/routing/src/lib/endpoints/planReading.ts
+++ b/packages/routing/src/lib/endpoints/planReading.ts
@@ -6,7 +6,7 @@
  * engine, and other transfers wait behind it. So parts are fetched only while that costs
  * less than reading them, with a price on work that was done once already and on being late.
  */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
 import type { PromptPart } from '../prompts/promptDescription.js'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import type { PromptAsk } from './endpointAsk.js'
