--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the tasks of an entry host for routed requests together. */
+/** Wires up the components of an entry host for routed requests. */
 import { z } from 'zod'
 import type { EarlyListener } from '@eelgrassmux/daemon/EarlyListener'
 import type { RunningDaemon } from '@eelgrassmux/daemon/runDaemon'
@@ -13,7 +13,7 @@
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { ControlLink } from '@eelgrassmux/view/ControlLink'
 import { LoadExchange } from './load/LoadExchange.js'
-import { PlannedStop } from './PlannedStop.js'
+import { GracefulShutdown } from './GracefulShutdown.js'
 import { CrashReporter } from './quarantine/CrashReporter.js'
 import { RequestQuarantine } from './quarantine/RequestQuarantine.js'
 import type { RequestCodec } from './routed/RequestCodec.js'
@@ -36,33 +36,33 @@
   retrySlack: z.coerce.number().min(0).max(100_000).default(20).describe('repeats on top, in any window of some seconds, over all entry hosts')
 }
 
-/** Settings of an entry host for routed requests, checked. */
+/** Validated settings of an entry host for routed requests. */
 export type RoutedSettings = z.infer<z.ZodObject<typeof routedSettingsShape>>
 
-/** What a platform brings. */
+/** Platform-specific parts of an entry host. */
 export interface RoutedPlatform {
   readonly codec: RequestCodec
-  /** The callers' port, if it was opened before the program was loaded. */
-  readonly early?: EarlyListener | undefined
-  /** Opens what else the platform calls on an entry host. */
-  openEdges (isReady: () => boolean): Promise<{ close (): Promise<void> }>
+  /** Listener on the callers' port, if it was opened before the program was loaded. */
+  readonly earlyListener?: EarlyListener | undefined
+  /** Opens the other servers that the platform calls on an entry host. */
+  openPlatformServers (isReady: () => boolean): Promise<{ close (): Promise<void> }>
 }
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Lateness of a timer that says that callers may have left unnoticed, in milliseconds; usual lateness is a few. */
-const LAGGING_MS = 40
+/** Event-loop lag above which callers may have disconnected unnoticed, in milliseconds; the usual lag is a few milliseconds. */
+const EVENT_LOOP_LAG_LIMIT_MS = 40
 
 /**
  * Starts an entry host for routed requests.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @param telemetry - log and metrics
- * @param platform - words and edges
+ * @param platform - codec and servers of the platform
  */
-export async function startRouted (settings: RoutedSettings, telemetry: Telemetry, platform: RoutedPlatform): Promise<RunningDaemon> {
+export async function startRoutedDaemon (settings: RoutedSettings, telemetry: Telemetry, platform: RoutedPlatform): Promise<RunningDaemon> {
   const work = new WorkGate()
-  const stop = new PlannedStop(work, {
+  const stop = new GracefulShutdown(work, {
     balancerLagMs: settings.balancerLagMs,
     graceMs: settings.stopGraceSeconds * MILLISECONDS_PER_SECOND
   }, telemetry)
@@ -89,7 +89,7 @@
   })
   const loads = new LoadExchange(address, {
     datagrams,
-    board: () => link.leader,
+    aggregatorAddress: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
     others: fleet.others,
@@ -117,18 +117,18 @@
     leftMsOn: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
     mayAct,
-    // Parts that nobody vouches for may have been freed meanwhile.
+    // Without a current confirmation from the control hosts, stored parts may have been freed already.
     storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
     storeClockMs: now => stored.storeClockMs(now),
     beforePlacing: place => { loads.beforePlacing(place) },
-    isLagging: () => link.lagMs > LAGGING_MS
+    isLagging: () => link.lagMs > EVENT_LOOP_LAG_LIMIT_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
-  const port = await server.listen(settings.host, settings.port, platform.early)
+  const port = await server.listen(settings.host, settings.port, platform.earlyListener)
   const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
-  const edges = await platform.openEdges(isReady)
+  const platformServers = await platform.openPlatformServers(isReady)
 
   let siteVersion = -1
-  const putInForce = (site: Site | undefined): void => {
+  const applySite = (site: Site | undefined): void => {
     if (site === undefined || site.version === siteVersion) return
     siteVersion = site.version
     server.configure(site)
@@ -141,7 +141,7 @@
     quarantine.logChanges(link.viewRevision, performance.now())
     fleet.update(link.endpoints)
     fleet.limits.evacuate(link.evacuated, performance.now())
-    putInForce(link.site)
+    applySite(link.site)
     server.releaseWaiting()
   })
   link.start()
@@ -164,7 +164,7 @@
       link.stop()
       loads.stop()
       crashReporter.stop()
-      await edges.close()
+      await platformServers.close()
       rpc.close()
       datagrams.close()
     }
--- a/apps/entry/src/lib/fleet/FleetWatcher.ts
+++ b/apps/entry/src/lib/fleet/FleetWatcher.ts
@@ -1,4 +1,4 @@
-/** Keeps this host's picture of endpoints and stores: liveness, load, links. */
+/** Tracks liveness, load and link speeds of endpoints and stores. */
 import { EngineClient } from '@eelgrassmux/backends/EngineClient'
 import { MembershipClient } from '@eelgrassmux/backends/MembershipClient'
 import { ServiceClient } from '@eelgrassmux/backends/ServiceClient'
@@ -9,11 +9,11 @@
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { EngineEndpoint, PlainEndpoint, Store } from '@eelgrassmux/schema/configuration'
 
-/** Interval between reports of each back end, in milliseconds. */
-const POLL_MS = 250
+/** Interval at which each endpoint and store is polled, in milliseconds. */
+const POLL_INTERVAL_MS = 250
 
-/** Interval between readings of the platform's list, in milliseconds. */
-const LIST_MS = 500
+/** Interval at which the platform's membership list is read, in milliseconds. */
+const MEMBERSHIP_POLL_INTERVAL_MS = 500
 
 interface Watched<Client> {
   readonly client: Client
@@ -21,63 +21,63 @@
   readonly address: string
 }
 
-/** Owns the connections to all back ends. */
+/** Polls all endpoints and stores, and owns the connections to them. */
 export class FleetWatcher {
   readonly engineTable = new EndpointTable()
-  /** Endpoints of plain services, which have pools and ejection bounds of their own. */
+  /** Endpoints of plain services; they have separate pools and ejection limits. */
   readonly serviceTable = new EndpointTable(DEFAULT_ENDPOINT_SETTINGS)
   readonly loads = new EngineLoadTable()
   readonly links = new LinkTable()
   readonly #engines = new Map<string, Watched<EngineClient>>()
   readonly #services = new Map<string, Watched<ServiceClient>>()
   readonly #stores = new Map<string, Watched<StoreClient>>()
-  readonly #storesUp = new Map<string, number>()
+  readonly #storesLastSeenAt = new Map<string, number>()
   readonly #membership: MembershipClient | undefined
   #listTimer: NodeJS.Timeout | undefined
 
-  /** @param membershipAddress - the platform's list, if there is one */
+  /** @param membershipAddress - address of the platform's membership list, if there is one */
   constructor (membershipAddress: string | undefined) {
     this.#membership = membershipAddress === undefined ? undefined : new MembershipClient(membershipAddress)
   }
 
-  /** Starts to read the platform's list. */
+  /** Starts reading the platform's membership list. */
   start (): void {
-    this.#listTimer = setInterval(() => { void this.#readList() }, LIST_MS)
+    this.#listTimer = setInterval(() => { void this.#readList() }, MEMBERSHIP_POLL_INTERVAL_MS)
     void this.#readList()
   }
 
-  /** @param configuration - configuration that is now in force */
+  /** @param configuration - new configuration in force */
   configure (configuration: ConfigurationIndex): void {
     this.engineTable.retain(new Set(configuration.engines.keys()))
     this.serviceTable.retain(new Set(configuration.plainEndpoints.keys()))
     this.links.retain(new Set(configuration.stores.keys()))
-    this.#sync(this.#engines, configuration.engines, endpoint => this.#watchEngine(endpoint))
-    this.#sync(this.#services, configuration.plainEndpoints, endpoint => this.#watchService(endpoint))
-    this.#sync(this.#stores, configuration.stores, store => this.#watchStore(store))
+    this.#reconcile(this.#engines, configuration.engines, endpoint => this.#watchEngine(endpoint))
+    this.#reconcile(this.#services, configuration.plainEndpoints, endpoint => this.#watchService(endpoint))
+    this.#reconcile(this.#stores, configuration.stores, store => this.#watchStore(store))
     for (const store of configuration.stores.values()) this.links.configure(store.name, store.linkBytesPerSecond)
     void this.#readList()
   }
 
   /**
-   * @param configuration - configuration that is now in force
-   * @param dataCentres - whose endpoints get no new work
+   * @param configuration - new configuration in force
+   * @param dataCentres - evacuated data centres, whose endpoints get no new work
    */
   evacuate (configuration: ConfigurationIndex, dataCentres: ReadonlySet<string>): void {
-    this.engineTable.evacuate(namesIn(configuration.engines, dataCentres))
-    this.serviceTable.evacuate(namesIn(configuration.plainEndpoints, dataCentres))
+    this.engineTable.evacuate(endpointNamesIn(configuration.engines, dataCentres))
+    this.serviceTable.evacuate(endpointNamesIn(configuration.plainEndpoints, dataCentres))
   }
 
   /**
-   * @param name - engine
-   * @returns its client
+   * @param name - engine name
+   * @returns the engine's client, if the engine is configured
    */
   engine (name: string): EngineClient | undefined {
     return this.#engines.get(name)?.client
   }
 
   /**
-   * @param name - endpoint of a plain service
-   * @returns its client
+   * @param name - endpoint name
+   * @returns the endpoint's client, if the endpoint is configured
    */
   service (name: string): ServiceClient | undefined {
     return this.#services.get(name)?.client
@@ -85,11 +85,11 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns stores that answered lately, with the share of their capacity in use
+   * @returns names of the stores that answered recently
    */
-  storesUp (now: number): string[] {
-    const lately = now - DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
-    return [...this.#storesUp].filter(([, at]) => at > lately).map(([store]) => store)
+  availableStores (now: number): string[] {
+    const oldest = now - DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
+    return [...this.#storesLastSeenAt].filter(([, at]) => at > oldest).map(([store]) => store)
   }
 
   /** Stops all polling and closes all connections. */
@@ -102,7 +102,7 @@
     await this.#membership?.close()
   }
 
-  #sync<Document extends { readonly name: string, readonly address: string }, Client extends { close (): Promise<void> }> (
+  #reconcile<Document extends { readonly name: string, readonly address: string }, Client extends { close (): Promise<void> }> (
     watched: Map<string, Watched<Client>>, documents: ReadonlyMap<string, Document>, watch: (document: Document) => Watched<Client>
   ): void {
     for (const [name, present] of watched) {
@@ -126,7 +126,7 @@
       this.engineTable.observeReport(name, { leaving: state === 'leaving', incarnation }, now)
       this.loads.observe(name, report.value, now)
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   #watchService ({ name, address }: PlainEndpoint): Watched<ServiceClient> {
@@ -137,7 +137,7 @@
       const { state, incarnation } = health.value
       this.serviceTable.observeReport(name, { leaving: state === 'leaving', incarnation }, performance.now())
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   #watchStore ({ name, address }: Store): Watched<StoreClient> {
@@ -146,29 +146,29 @@
       const load = await client.load()
       if (!load.ok) return
       const now = performance.now()
-      this.#storesUp.set(name, now)
+      this.#storesLastSeenAt.set(name, now)
       this.links.observeBacklog(name, load.value.backlogBytes, now)
     }
-    return { client, address, timer: every(POLL_MS, poll) }
+    return { client, address, timer: pollEvery(POLL_INTERVAL_MS, poll) }
   }
 
   async #readList (): Promise<void> {
     const list = await this.#membership?.list()
-    // A list that can't be read, or has stopped, changes nothing: it is no evidence of life.
+    // An unreadable list changes nothing: it says nothing about the liveness of endpoints.
     if (list?.ok !== true) return
     this.engineTable.observeList(list.value.members)
     this.serviceTable.observeList(list.value.members)
   }
 }
 
-function namesIn (endpoints: ReadonlyMap<string, { readonly dataCentre: string }>, dataCentres: ReadonlySet<string>): Set<string> {
+function endpointNamesIn (endpoints: ReadonlyMap<string, { readonly dataCentre: string }>, dataCentres: ReadonlySet<string>): Set<string> {
   return new Set([...endpoints].filter(([, { dataCentre }]) => dataCentres.has(dataCentre)).map(([name]) => name))
 }
 
-/** Polls now and then at an interval; a slow poll is not overtaken by the next. */
-function every (intervalMs: number, poll: () => Promise<void>): NodeJS.Timeout {
+/** Polls immediately and then at an interval; skips a poll while the previous one is still running. */
+function pollEvery (intervalMs: number, poll: () => Promise<void>): NodeJS.Timeout {
   let busy = false
-  const turn = async (): Promise<void> => {
+  const runPoll = async (): Promise<void> => {
     if (busy) return
     busy = true
     try {
@@ -177,6 +177,6 @@
       busy = false
     }
   }
-  void turn()
-  return setInterval(() => { void turn() }, intervalMs)
+  void runPoll()
+  return setInterval(() => { void runPoll() }, intervalMs)
 }
--- a/apps/entry/src/lib/plain/AtMostOnce.ts
+++ b/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a call at most once for its idempotency key: claim in the agreed log, one
- * dispatch, recorded outcome.
+ * Runs a call at most once per idempotency key: claims the key in the replicated
+ * log, dispatches the call once, and records the outcome.
  */
 import { createHash, randomUUID } from 'node:crypto'
 import { isNotStarted, type BackendError } from '@eelgrassmux/backends/BackendError'
@@ -14,56 +14,56 @@
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
 import type { ProposeError } from '@eelgrassmux/view/ControlLink'
 
-/** A call to run at most once. */
-export interface OnceCall {
+/** Call to run at most once. */
+export interface AtMostOnceCall {
   readonly record: RecordKey
-  /** Everything that must be the same in a repeat. */
+  /** Bytes that must be identical in a repeated call with the same key. */
   readonly fingerprint: Uint8Array
   /** Longest time the dispatch may take, in milliseconds. */
   readonly timeoutMs: number
-  /** Makes the one dispatch. */
+  /** Dispatches the call; called at most once. */
   dispatch (timeoutMs: number): Promise<Result<ServiceAnswer, BackendError>>
 }
 
-/** What the task needs from around it. */
-export interface OncePorts {
+/** Dependencies of the executor. */
+export interface AtMostOncePorts {
   propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>>
   readonly clock: Clock
   readonly outcomes: LabelledCounter
-  /** A planned stop waits for records that are still being written. */
+  /** Makes a graceful shutdown wait for records that are still being written. */
   readonly work: WorkGate
 }
 
-/** An answer, and whether it is a repeat of a stored one. */
-export interface OnceAnswer {
+/** Answer, and whether it was stored by an earlier call. */
+export interface AtMostOnceAnswer {
   readonly answer: ServiceAnswer
   readonly isRepeat: boolean
 }
 
-/** Longest wait for a claim to be agreed on, in milliseconds. */
-const CLAIM_MS = 2000
+/** Longest wait for a claim to be committed, in milliseconds. */
+const CLAIM_TIMEOUT_MS = 2000
 
-/** Wait for the outcome to be recorded before the caller is answered anyway, in milliseconds. */
-const RECORD_WAIT_MS = 2000
+/** Longest wait for the outcome to be recorded before the caller is answered, in milliseconds. */
+const MAX_RECORD_WAIT_MS = 2000
 
-/** How long recording an outcome or a release is tried in the background, in milliseconds. */
-const BACKGROUND_MS = 60_000
+/** How long an outcome or a release is proposed in the background, in milliseconds. */
+const BACKGROUND_TIMEOUT_MS = 60_000
 
-/** Slack between hosts' wall clocks, in milliseconds. */
+/** Allowed difference between the wall clocks of hosts, in milliseconds. */
 const CLOCK_SLACK_MS = 2000
 
-/** Makes calls at most once. */
-export class AtMostOnce {
-  /** @param ports - surroundings */
-  constructor (private readonly ports: OncePorts) {}
+/** Executes calls at most once. */
+export class AtMostOnceExecutor {
+  /** @param ports - dependencies */
+  constructor (private readonly ports: AtMostOncePorts) {}
 
   /**
-   * Runs a call, or repeats the stored answer of its key.
+   * Runs a call, or returns the answer stored for its key.
    *
-   * @param call - what to run
+   * @param call - call to run
    * @returns the answer, or a refusal
    */
-  async run (call: OnceCall): Promise<Result<OnceAnswer, Refusal>> {
+  async run (call: AtMostOnceCall): Promise<Result<AtMostOnceAnswer, Refusal>> {
     const dispatch = new DispatchRecord()
     const claimId = randomUUID()
     const claim: Command = {
@@ -71,12 +71,12 @@
       record: call.record,
       bodySha256: createHash('sha256').update(call.fingerprint).digest('hex'),
       claimId,
-      deadlineAt: this.ports.clock.wallClock() + CLAIM_MS + call.timeoutMs + CLOCK_SLACK_MS
+      deadlineAt: this.ports.clock.wallClock() + CLAIM_TIMEOUT_MS + call.timeoutMs + CLOCK_SLACK_MS
     }
-    const claimed = await this.ports.propose(claim, CLAIM_MS)
+    const claimed = await this.ports.propose(claim, CLAIM_TIMEOUT_MS)
     if (!claimed.ok || claimed.value.kind !== 'claim') {
-      // The claim may still be agreed on: it is withdrawn through the log and nothing is dispatched.
-      this.#inBackground({ kind: 'release', record: call.record, claimId })
+      // The claim may still be committed, so it is released through the log and nothing is dispatched.
+      this.#proposeInBackground({ kind: 'release', record: call.record, claimId })
       return this.#refuseUnknown('idempotency-unavailable', 'the claim could not be confirmed; whether an earlier call with this key ran is not known', 1)
     }
     const { result } = claimed.value
@@ -84,28 +84,28 @@
     return this.#answerClaim(result)
   }
 
-  async #dispatch (call: OnceCall, claimId: string, dispatch: DispatchRecord): Promise<Result<OnceAnswer, Refusal>> {
+  async #dispatch (call: AtMostOnceCall, claimId: string, dispatch: DispatchRecord): Promise<Result<AtMostOnceAnswer, Refusal>> {
     dispatch.markDispatched()
     const answer = await call.dispatch(call.timeoutMs)
     if (answer.ok) {
       this.ports.outcomes.count('ran')
       const { status, contentType, body } = answer.value
       const complete: Command = { kind: 'complete', record: call.record, claimId, answer: { status, contentType, body } }
-      // The caller gets its answer in any case; a repeat before the record is agreed on is told "unknown".
-      await Promise.race([this.#inBackground(complete), this.ports.clock.sleep(RECORD_WAIT_MS)])
+      // The caller gets its answer in any case; a repeat that arrives before the record is committed is answered with "unknown".
+      await Promise.race([this.#proposeInBackground(complete), this.ports.clock.sleep(MAX_RECORD_WAIT_MS)])
       return succeed({ answer: answer.value, isRepeat: false })
     }
     if (isNotStarted(answer.error)) {
       dispatch.markNotStarted()
       this.ports.outcomes.count('not-started')
-      await Promise.race([this.#inBackground({ kind: 'release', record: call.record, claimId }), this.ports.clock.sleep(RECORD_WAIT_MS)])
+      await Promise.race([this.#proposeInBackground({ kind: 'release', record: call.record, claimId }), this.ports.clock.sleep(MAX_RECORD_WAIT_MS)])
       return fail(refuse({ reason: 'endpoint-refused', status: 503, detail: 'the endpoint did not start the call', retryAfterSeconds: 1 }, dispatch))
     }
     this.ports.outcomes.count('outcome-unknown')
     return fail(refuse({ reason: 'endpoint-failed', status: 502, detail: `no answer from the endpoint: ${answer.error.kind}; it may have run the call` }, dispatch))
   }
 
-  #answerClaim (result: Exclude<ClaimResult, { kind: 'claimed' }>): Result<OnceAnswer, Refusal> {
+  #answerClaim (result: Exclude<ClaimResult, { kind: 'claimed' }>): Result<AtMostOnceAnswer, Refusal> {
     this.ports.outcomes.count(result.kind)
     switch (result.kind) {
       case 'answered': return succeed({ answer: result.answer, isRepeat: true })
@@ -123,7 +123,7 @@
     }
   }
 
-  /** This request was not dispatched, but the refusal is about the key: an earlier call with it may have run. */
+  /** Refuses a request that was not dispatched, with `run: 'unknown'` because an earlier call with its key may have run. */
   #refuseUnknown (
     reason: 'idempotency-unavailable' | 'idempotency-in-progress' | 'idempotency-outcome-unknown' | 'idempotency-key-reused',
     detail: string,
@@ -135,10 +135,10 @@
     return fail({ reason, status, detail, run: 'unknown', ...field, ...retry })
   }
 
-  /** Proposes until it is applied or the time is up. */
-  async #inBackground (command: Command): Promise<void> {
+  /** Proposes a command until it is applied or the timeout has passed. */
+  async #proposeInBackground (command: Command): Promise<void> {
     const ticket = this.ports.work.beginFollowUp()
-    const proposed = await this.ports.propose(command, BACKGROUND_MS)
+    const proposed = await this.ports.propose(command, BACKGROUND_TIMEOUT_MS)
     if (!proposed.ok) this.ports.outcomes.count(`${command.kind}-not-recorded`)
     ticket.end()
   }
--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -10,8 +10,8 @@
 import type { ConfigurationDocument, Customer } from '@eelgrassmux/schema/configuration'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { FleetWatcher } from '../fleet/FleetWatcher.js'
-import { PlannedStop } from '../PlannedStop.js'
-import type { AtMostOnce } from '../plain/AtMostOnce.js'
+import { GracefulShutdown } from '../GracefulShutdown.js'
+import type { AtMostOnceExecutor } from '../plain/AtMostOnceExecutor.js'
 import { PlainHandler } from '../plain/PlainHandler.js'
 import { CallQuarantine } from './CallQuarantine.js'
 import { RequestQuarantine } from './RequestQuarantine.js'
@@ -19,8 +19,8 @@
 const MINUTE_MS = 60_000
 const WARD: Customer = { kind: 'customer', name: 'ward', credentialSha256: 'a'.repeat(64), cacheSecret: 'secret of the ward', share: 1 }
 
-/** One endpoint of one plain service behind the handler. */
-class World {
+/** A handler with one endpoint of one plain service. */
+class PlainServiceHarness {
   readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly quarantined = new QuarantineTable()
@@ -50,8 +50,8 @@
     const telemetry = new Telemetry('test')
     const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     const quarantine = new CallQuarantine(new RequestQuarantine(this.quarantined, reporter, telemetry), () => performance.now())
-    const stop = new PlannedStop(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
-    this.handler = new PlainHandler(fleet, {} as AtMostOnce, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
+    const stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
+    this.handler = new PlainHandler(fleet, {} as AtMostOnceExecutor, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
   }
 
   async get (path: string): Promise<{ readonly status: number, readonly reason: string | undefined, readonly run: string | undefined }> {
@@ -60,7 +60,7 @@
     return answer.ok ? { status: answer.value.status, reason: undefined, run: undefined } : { status: answer.error.status, reason: answer.error.reason, run: answer.error.run }
   }
 
-  hold (fingerprint: string): void {
+  quarantineRequest (fingerprint: string): void {
     this.quarantined.replace([{ fingerprint, service: 'app', state: 'quarantined', quarantines: 1, leftMs: MINUTE_MS }], performance.now())
   }
 
@@ -72,51 +72,51 @@
 }
 
 describe('calls to plain services', () => {
-  let world: World
-  afterEach(async () => { await world.close() })
+  let harness: PlainServiceHarness
+  afterEach(async () => { await harness.close() })
 
-  async function started (answer: RequestListener): Promise<World> {
-    world = new World()
-    await world.start(answer)
-    return world
+  async function started (answer: RequestListener): Promise<PlainServiceHarness> {
+    harness = new PlainServiceHarness()
+    await harness.start(answer)
+    return harness
   }
 
-  const breakOff: RequestListener = request => { request.socket.destroy() }
+  const closeConnection: RequestListener = request => { request.socket.destroy() }
   const serve: RequestListener = (_request, response) => { response.end('whole') }
 
-  it('are reported with the incarnation of the endpoint that broke off under them', async () => {
-    const { lost } = await started(breakOff)
-    await world.get('/a')
+  it('are reported with the incarnation of the endpoint that closed the connection', async () => {
+    const { lost } = await started(closeConnection)
+    await harness.get('/a')
     expect(lost).toMatchObject([{ service: 'app', endpoint: 'app-0#7' }])
   })
 
-  it('are not reported if the endpoint is leaving, as it ends anyway', async () => {
+  it('are not reported if the endpoint is leaving, because it stops by itself', async () => {
     const { lost, table } = await started((request, response) => {
       table.observeLeaving('app-0')
-      breakOff(request, response)
+      closeConnection(request, response)
     })
-    await world.get('/a')
+    await harness.get('/a')
     expect(lost).toEqual([])
   })
 
-  it('are refused at once while they are quarantined, and others are not', async () => {
-    const { lost } = await started(breakOff)
-    await world.get('/a')
-    const { calls } = world
-    world.hold(lost[0]?.fingerprint ?? '')
-    expect(await world.get('/a')).toEqual({ status: 503, reason: 'request-quarantined', run: 'not-run' })
-    expect(world.calls).toBe(calls)
-    expect((await world.get('/b')).reason).not.toBe('request-quarantined')
+  it('are refused immediately while they are quarantined, and other calls are served', async () => {
+    const { lost } = await started(closeConnection)
+    await harness.get('/a')
+    const { calls } = harness
+    harness.quarantineRequest(lost[0]?.fingerprint ?? '')
+    expect(await harness.get('/a')).toEqual({ status: 503, reason: 'request-quarantined', run: 'not-run' })
+    expect(harness.calls).toBe(calls)
+    expect((await harness.get('/b')).reason).not.toBe('request-quarantined')
   })
 
-  it('are cleared when they come through with an entry on them', async () => {
-    let answer = breakOff
+  it('are reported as completed if they succeed while they are suspected', async () => {
+    let answer = closeConnection
     const { lost, whole, quarantined } = await started((request, response) => { answer(request, response) })
-    await world.get('/a')
+    await harness.get('/a')
     const fingerprint = lost[0]?.fingerprint ?? ''
     quarantined.replace([{ fingerprint, service: 'app', state: 'suspected', quarantines: 0, leftMs: MINUTE_MS }], performance.now())
     answer = serve
-    expect((await world.get('/a')).status).toBe(200)
+    expect((await harness.get('/a')).status).toBe(200)
     expect(whole).toEqual([fingerprint])
   })
 })
--- a/apps/entry/src/lib/runs/AdmissionGate.test.ts
+++ b/apps/entry/src/lib/runs/AdmissionGate.test.ts
@@ -4,14 +4,14 @@
 const request = (id: string): Parameters<AdmissionGate['request']>[0] => ({ id, customer: 'ward', share: 1, tokens: 100, waitLimitMs: 60_000 })
 
 describe('AdmissionGate', () => {
-  it('gives the place of a caller that has left to the next', async () => {
+  it('admits the next request in place of one whose caller disconnected', async () => {
     const gate = new AdmissionGate(100, 10)
-    const gone = new AbortController()
+    const disconnected = new AbortController()
     const stays = new AbortController().signal
     expect((await gate.request(request('1'), stays)).kind).toBe('admitted')
-    const leaving = gate.request(request('2'), gone.signal)
+    const leaving = gate.request(request('2'), disconnected.signal)
     const next = gate.request(request('3'), stays)
-    gone.abort()
+    disconnected.abort()
     expect((await leaving).kind).toBe('refused')
     expect(gate.queued).toBe(1)
     gate.release('1')
--- a/apps/entry/src/lib/runs/DirectoryClient.ts
+++ b/apps/entry/src/lib/runs/DirectoryClient.ts
@@ -1,4 +1,4 @@
-/** Look-ups and writes at the owner of a prompt's directory shard. */
+/** Sends lookups and writes to the owner of a prompt's directory shard. */
 import { shardOf } from '@eelgrassmux/cache/rendezvous'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import {
@@ -7,7 +7,7 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Shard } from '@eelgrassmux/state/commands'
 
-/** Why the directory gave no answer. */
+/** Why a directory call failed. */
 export type DirectoryError =
   | { readonly kind: 'no-owner' }
   | { readonly kind: 'wrong-owner' }
@@ -16,7 +16,7 @@
 export type LookupFound = Extract<LookupResponse, { kind: 'found' }>
 export type LeasesGranted = Extract<LeaseResponse, { kind: 'leased' }>
 
-/** A write that was reserved. */
+/** Reserved write of an object. */
 export interface ReservedWrite {
   readonly name: string
   readonly keys: string[]
@@ -24,47 +24,47 @@
   readonly firstBlock: number
 }
 
-/** Deadline of a look-up; the first token waits for it. In milliseconds. */
-const LOOKUP_MS = 150
+/** Deadline of a lookup, in milliseconds; the first token waits for the lookup. */
+const LOOKUP_TIMEOUT_MS = 150
 
-/** Deadline of calls that no first token waits for, in milliseconds. */
-const WRITE_MS = 2000
+/** Deadline of calls that do not delay a first token, in milliseconds. */
+const WRITE_TIMEOUT_MS = 2000
 
-/** Finds the owner for each call from the view in force. */
+/** Directory client; takes the shard owners from the view in force. */
 export class DirectoryClient {
   /**
-   * @param rpc - client for the calls
-   * @param shards - owners in the view in force
+   * @param rpc - RPC client
+   * @param shards - returns the shards of the view in force
    */
   constructor (private readonly rpc: RpcClient, private readonly shards: () => readonly Shard[]) {}
 
   /**
    * @param keys - key chain of a prompt
-   * @returns what engines and stores hold of it
+   * @returns which blocks of the prompt engines and stores hold
    */
   async lookup (keys: readonly string[]): Promise<Result<LookupFound, DirectoryError>> {
     const owner = this.#owner(keys)
     if (owner === undefined) return fail({ kind: 'no-owner' })
-    const answer = await this.rpc.call(owner.address, lookupBlocks, { ...owner.header, keys: [...keys] }, LOOKUP_MS)
+    const answer = await this.rpc.call(owner.address, lookupBlocks, { ...owner.header, keys: [...keys] }, LOOKUP_TIMEOUT_MS)
     if (!answer.ok) return fail({ kind: 'silent' })
     return answer.value.kind === 'found' ? succeed(answer.value) : fail({ kind: 'wrong-owner' })
   }
 
   /**
    * @param keys - key chain of a prompt
-   * @param fromBlock - first block wanted
-   * @returns leases on the stored objects that cover it from there
+   * @param fromBlock - index of the first block to lease
+   * @returns leases on the stored objects that cover the prompt from that block on
    */
   async lease (keys: readonly string[], fromBlock: number): Promise<Result<LeasesGranted, DirectoryError>> {
     const owner = this.#owner(keys)
     if (owner === undefined) return fail({ kind: 'no-owner' })
-    const answer = await this.rpc.call(owner.address, leaseObjects, { ...owner.header, keys: [...keys], fromBlock }, LOOKUP_MS)
+    const answer = await this.rpc.call(owner.address, leaseObjects, { ...owner.header, keys: [...keys], fromBlock }, LOOKUP_TIMEOUT_MS)
     if (!answer.ok) return fail({ kind: 'silent' })
     return answer.value.kind === 'leased' ? succeed(answer.value) : fail({ kind: 'wrong-owner' })
   }
 
   /**
-   * @param request - what would be written, and where
+   * @param request - blocks to write, and the store to write them to
    * @returns the reservation, or undefined if everything is stored or being written
    */
   async reserve (
@@ -74,32 +74,32 @@
     if (owner === undefined) return undefined
     const { customer, store, keys, tokensPerBlock } = request
     const body = { ...owner.header, customer, store, keys: [...keys], tokensPerBlock }
-    const answer = await this.rpc.call(owner.address, reserveWrite, body, WRITE_MS)
+    const answer = await this.rpc.call(owner.address, reserveWrite, body, WRITE_TIMEOUT_MS)
     return answer.ok && answer.value.kind === 'reserved' ? answer.value : undefined
   }
 
   /**
-   * @param chain - whole key chain, which names the shard
-   * @param name - reserved name
-   * @param acknowledged - what the store acknowledged
-   * @returns whether it was published
+   * @param chain - complete key chain, which determines the shard
+   * @param name - reserved object name
+   * @param acknowledged - size, checksum and tier acknowledged by the store
+   * @returns whether the object was published
    */
   async publish (
     chain: readonly string[], name: string, acknowledged: { readonly bytes: number, readonly sha256: string, readonly tier: 'memory' | 'disk' }
   ): Promise<boolean> {
     const owner = this.#owner(chain)
     if (owner === undefined) return false
-    const answer = await this.rpc.call(owner.address, publishWrite, { ...owner.header, name, ...acknowledged }, WRITE_MS)
+    const answer = await this.rpc.call(owner.address, publishWrite, { ...owner.header, name, ...acknowledged }, WRITE_TIMEOUT_MS)
     return answer.ok && answer.value.kind === 'published'
   }
 
   /**
-   * @param chain - whole key chain, which names the shard
-   * @param name - reserved name that will not be written
+   * @param chain - complete key chain, which determines the shard
+   * @param name - reserved object name that will not be written
    */
   async abandon (chain: readonly string[], name: string): Promise<void> {
     const owner = this.#owner(chain)
-    if (owner !== undefined) await this.rpc.call(owner.address, abandonWrite, { ...owner.header, name }, WRITE_MS)
+    if (owner !== undefined) await this.rpc.call(owner.address, abandonWrite, { ...owner.header, name }, WRITE_TIMEOUT_MS)
   }
 
   #owner (keys: readonly string[]): { address: string, header: { shard: number, epoch: number } } | undefined {
