--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -41,9 +41,9 @@
 
     it('tells of its own work at the present incarnation only', () => {
       const { fleet, incarnations: [former, present] } = fleetAfter(1000, 2000)
-      former?.begin(10, 10, 0)
+      former?.beginRequest(10, 10, 0)
       expect(fleet.ownWork()).toEqual({ work: [], links: [] })
-      present?.begin(20, 30, 0)
+      present?.beginRequest(20, 30, 0)
       expect(fleet.ownWork().work).toMatchObject([{ endpoint: present?.incarnation, inFlight: 1, pendingTokens: 20, heldTokens: 30 }])
     })
   })
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -1,14 +1,14 @@
 /** Endpoints of routed requests: what is known of each, and this host's connections to it. */
 import { chooseEndpoint } from '@eelgrassmux/routing/endpoints/chooseEndpoint'
-import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
-import { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
-import type { EndpointAsk, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
+import { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
+import type { EndpointQuery, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { EngineModel } from '@eelgrassmux/routing/endpoints/EngineModel'
 import { isUnresponsive } from '@eelgrassmux/routing/endpoints/sharedObservations'
 import { EndpointPool } from '@eelgrassmux/routing/endpoints/EndpointPool'
 import type { Slowness } from '@eelgrassmux/routing/endpoints/Slowness'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { EjectionWatch, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionWatch'
+import { EjectionTracker, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionTracker'
 import type { HostWork, OthersWork } from '@eelgrassmux/routing/load/OthersWork'
 import { composeMechanisms, type RoutingMechanisms } from '@eelgrassmux/routing/mechanisms/mechanisms'
 import { PromptMemory } from '@eelgrassmux/routing/prompts/PromptMemory'
@@ -58,7 +58,7 @@
   readonly #routes = new Map<string, Slowness>()
   readonly #engines = new Map<string, EngineModel>()
   readonly #opened: LabelledCounter
-  readonly #ejections = new EjectionWatch()
+  readonly #ejections = new EjectionTracker()
   readonly #estimateError: (milliseconds: number) => void
   #workListener: (change: WorkChange) => void = () => {}
   #ejectionsLookedAt = Number.NEGATIVE_INFINITY
@@ -78,7 +78,7 @@
     host = ''
   ) {
     this.#pool = new EndpointPool(mechanisms.slowness)
-    this.limits = new EndpointLimits(new ColdAllowance(host, liveHosts), new RateShare(host, liveHosts), () => this.#pool.all, telemetry)
+    this.limits = new EndpointLimits(new ColdEndpointLimiter(host, liveHosts), new SharedRateLimiter(host, liveHosts), () => this.#pool.all, telemetry)
     this.others = mechanisms.others
     this.storeLinks = mechanisms.storeLinks(liveHosts)
     this.#opened = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
@@ -154,7 +154,7 @@
     if (now - this.#ejectionsLookedAt < EJECTION_LOOK_MS) return
     this.#ejectionsLookedAt = now
     for (const service of this.#pool.services) {
-      for (const change of this.#ejections.look(this.#pool.ofService(service), this.others, now)) this.#logEjection(change)
+      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.others, now)) this.#logEjection(change)
     }
   }
 
@@ -202,7 +202,7 @@
    * @param service - service name
    * @param ask - what is asked
    */
-  choose (service: string, ask: Pick<EndpointAsk, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
+  choose (service: string, ask: Pick<EndpointQuery, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
     const others = this.others.isRecent(now) ? this.others : undefined
     const hasConnection = (endpoint: EndpointState): boolean => this.#connections.get(endpoint.incarnation)?.hasIdle === true
@@ -212,7 +212,7 @@
       others,
       hasConnection,
       evacuated: this.limits.evacuated,
-      holdBack: endpoint => this.limits.hold(endpoint, now)?.reason,
+      holdBackReason: endpoint => this.limits.hold(endpoint, now)?.reason,
       homeEndpoint: this.mechanisms.homeEndpoint
     }, this.memory, now, Math.random())
   }
@@ -248,7 +248,7 @@
   /** @returns this host's work at each endpoint that has any, or of which there is something to tell, and on links */
   ownWork (): HostWork {
     const now = performance.now()
-    const work = this.#pool.all.filter(endpoint => endpoint.hasWork(now))
+    const work = this.#pool.all.filter(endpoint => endpoint.hasAnythingToReport(now))
       .map(endpoint => ({ endpoint: endpoint.incarnation, ...endpoint.work(now) }))
       .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= LEAST_REPORTED_OUTCOMES)
     return { work, links: this.storeLinks.ownWork(now), ...this.#ownLimits(now) }
@@ -295,7 +295,7 @@
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
     // A connection to a host that is gone without a word would take one more request with it.
-    if (endpoint.health.isOutOfReach(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
+    if (endpoint.health.isUnreachable(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
     this.telemetry.stateChanged('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
     })
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -3,8 +3,8 @@
  * on, and goes on elsewhere where that is allowed. The bytes of request and
  * answer are not looked into, but for the numbers of a resumable stream's events.
  */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { refuse, type RefusalReason } from '@eelgrassmux/schema/Refusal'
 import type { DecisionEvent, DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { stopDecisions } from '@eelgrassmux/telemetry/events/stopDecisions'
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -137,7 +137,7 @@
       return
     }
     const { endpoint } = choice
-    endpoint.begin(0, 0, now)
+    endpoint.beginRequest(0, 0, now)
     this.#arrivalsOf(endpoint.id).push({ host: host.name, at: now })
     this.#pending.push({ host, endpoint, sentAt: now, hasHead: false, hasEnded: false })
   }
@@ -164,13 +164,13 @@
     host.fleet.limits.observeAnswer(endpoint, head, now)
     if (!head.fields.isNotExecuted) return
     learnFromFailure(host.fleet, endpoint, 'rejected', head)
-    endpoint.end(0)
+    endpoint.endRequest(0)
     pending.hasEnded = true
     this.rejected += 1
   }
 
   #end (pending: PendingAnswer): void {
-    pending.endpoint.end(0)
+    pending.endpoint.endRequest(0)
     pending.host.fleet.observe(pending.endpoint, 'success')
     pending.hasEnded = true
   }
--- a/packages/routing/src/lib/admission/admitStream.test.ts
+++ b/packages/routing/src/lib/admission/admitStream.test.ts
@@ -36,7 +36,7 @@
 
   it('refuses at once what no caller waits for, and says when to come back', () => {
     const admission = admit(0, 4000, 9000)
-    expect(admission).toEqual({ kind: 'refuse', cause: 'wait', returnAfterMs: 2800 })
+    expect(admission).toEqual({ kind: 'refuse', cause: 'wait', retryAfterMs: 2800 })
   })
 
   it('refuses what can\'t begin before its time is over', () => {
@@ -48,7 +48,7 @@
   it('get no further large request, which waits until its objective has passed and is then refused', () => {
     expect(admit(0, 100, 9000, { own: 0.1, all: 0.95 }).kind).toBe('wait')
     expect(admit(500, 100, 9000, { own: 0.1, all: 0.95 }).kind).toBe('wait')
-    expect(admit(700, 100, 9000, { own: 0.1, all: 0.95 })).toEqual({ kind: 'refuse', cause: 'engine-memory', returnAfterMs: 600 })
+    expect(admit(700, 100, 9000, { own: 0.1, all: 0.95 })).toEqual({ kind: 'refuse', cause: 'engine-memory', retryAfterMs: 600 })
   })
 
   it('get small requests all the same', () => {
--- a/packages/routing/src/lib/endpoints/EjectionWatch.test.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
@@ -2,7 +2,7 @@
 import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
 import { OthersWork } from '../load/OthersWork.js'
 import { EndpointState } from './EndpointState.js'
-import { EjectionWatch } from './EjectionWatch.js'
+import { EjectionTracker } from './EjectionTracker.js'
 
 const endpoint = (id: string): EndpointState => new EndpointState({
   id, service: 'pool', address: '10.0.0.1:1', dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: []
@@ -17,16 +17,16 @@
 
 describe('EjectionWatch', () => {
   it('tells each change once, with its reason, and the return', () => {
-    const watch = new EjectionWatch()
+    const watch = new EjectionTracker()
     const endpoints = [endpoint('a'), endpoint('b')]
     const dark = othersWith({ inFlight: 4, lastByteAgoMs: 800, waitedMs: 900 })
-    expect(watch.look(endpoints, othersWith({ inFlight: 4, lastByteAgoMs: 10, waitedMs: 900 }), 0)).toEqual([])
-    expect(watch.look(endpoints, dark, 0).map(({ endpoint, reason }) => [endpoint.id, reason])).toEqual([['a', 'silent-to-all']])
-    expect(watch.look(endpoints, dark, 0)).toEqual([])
-    expect(watch.look(endpoints, othersWith({ avoiders: 3 }), 0).map(({ reason }) => reason)).toEqual(['avoided-by-others'])
-    expect(watch.look(endpoints, othersWith({ outcomes: 40, failures: 36 }), 0).map(({ reason }) => reason)).toEqual(['failing'])
+    expect(watch.detectChanges(endpoints, othersWith({ inFlight: 4, lastByteAgoMs: 10, waitedMs: 900 }), 0)).toEqual([])
+    expect(watch.detectChanges(endpoints, dark, 0).map(({ endpoint, reason }) => [endpoint.id, reason])).toEqual([['a', 'silent-to-all']])
+    expect(watch.detectChanges(endpoints, dark, 0)).toEqual([])
+    expect(watch.detectChanges(endpoints, othersWith({ avoiders: 3 }), 0).map(({ reason }) => reason)).toEqual(['avoided-by-others'])
+    expect(watch.detectChanges(endpoints, othersWith({ outcomes: 40, failures: 36 }), 0).map(({ reason }) => reason)).toEqual(['failing'])
     expect(watch.size).toBe(1)
-    expect(watch.look(endpoints, othersWith({}), 0).map(({ reason }) => reason)).toEqual([undefined])
+    expect(watch.detectChanges(endpoints, othersWith({}), 0).map(({ reason }) => reason)).toEqual([undefined])
     expect(watch.size).toBe(0)
   })
 })
--- a/packages/routing/src/lib/endpoints/EjectionWatch.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.ts
@@ -15,7 +15,7 @@
 }
 
 /** Remembers which endpoints are ejected. */
-export class EjectionWatch {
+export class EjectionTracker {
   readonly #reasons = new Map<string, EjectionReason>()
 
   /**
@@ -26,7 +26,7 @@
    * @param now - monotonic milliseconds
    * @returns what has changed since the last look
    */
-  look (endpoints: readonly EndpointState[], others: OthersWork, now: number): EjectionChange[] {
+  detectChanges (endpoints: readonly EndpointState[], others: OthersWork, now: number): EjectionChange[] {
     const observed = endpoints.map(endpoint => {
       const figures = others.at(endpoint.incarnation)
       return { endpoint, others: figures, failureShare: sharedFailureShare(endpoint, figures, now) }
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
@@ -7,7 +7,7 @@
 import { StoreLinks } from '../stores/StoreLinks.js'
 import type { StorePlan } from '../stores/StoredPartsIndex.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
-import type { EndpointAsk, EndpointChoice, PromptAsk } from './endpointAsk.js'
+import type { EndpointQuery, EndpointChoice, PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
 
@@ -25,7 +25,7 @@
 
 const NOTHING_STORED: StorePlan = { fetches: [], saves: [], storedTokens: 0 }
 
-function promptAsk (overrides: Partial<PromptAsk> = {}): PromptAsk {
+function promptAsk (overrides: Partial<PromptQuery> = {}): PromptQuery {
   return {
     description: {
       model: MODEL,
@@ -34,8 +34,8 @@
       parts: [{ id: 'common', tokens: 500 }, { id: 'trip', tokens: 8600 }, { id: 'own', tokens: 2900 }]
     },
     desiredVersion: 1,
-    leftToObjectiveMs: 600,
-    leftMsOn: () => Number.POSITIVE_INFINITY,
+    objectiveRemainingMs: 600,
+    remainingMsOn: () => Number.POSITIVE_INFINITY,
     requiredVersion: undefined,
     engine: new EngineModel(),
     memoryTokens: 110_000,
@@ -47,7 +47,7 @@
   }
 }
 
-function ask (prompt?: PromptAsk, overrides: Partial<EndpointAsk> = {}): EndpointAsk {
+function ask (prompt?: PromptQuery, overrides: Partial<EndpointQuery> = {}): EndpointQuery {
   return { excluded: new Set(), dataCentre: 'north', others: undefined, ...(prompt === undefined ? {} : { prompt }), ...overrides }
 }
 
@@ -69,7 +69,7 @@
     it('leave a home whose queue costs more than reading elsewhere', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
-      fleet.find(engine => engine.id === home)?.begin(60_000, 60_000, 0)
+      fleet.find(engine => engine.id === home)?.beginRequest(60_000, 60_000, 0)
       expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
@@ -86,7 +86,7 @@
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 590_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const choice = chosen(chooseEndpoint(engines(8), ask(promptAsk({ stored: () => stored })), new PromptMemory(), 0, 0))
-      expect(choice.reading.tokensToRead).toBe(2900)
+      expect(choice.prefill.tokensToRead).toBe(2900)
     })
 
     it('prefer an engine beside the store while its link is what they wait for', () => {
@@ -142,14 +142,14 @@
     })
 
     it('are not used any more when it would begin on them too late', () => {
-      expect(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2, leftMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
-      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, leftMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
+      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
     })
 
     // Guards against a stream that is resumed at another engine long after its weights were to be used no more.
     it('hold a stream that goes on elsewhere to the same time, and it goes on under no others', () => {
       const goesOn = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
-        chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, requiredVersion: 1, leftMsOn: () => leftMs })), new PromptMemory(), 0, 0)
+        chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptMemory(), 0, 0)
       expect(goesOn(0)).toBe('none-of-version')
       expect(chosen(goesOn(60_000)).version).toBe(1)
     })
@@ -176,7 +176,7 @@
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const dark = fleet.find(engine => engine.id === home)
-      dark?.begin(0, 0, 0)
+      dark?.beginRequest(0, 0, 0)
       expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 100, 0)).endpoint.id).toBe(home)
       expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 1500, 0)).endpoint.id).not.toBe(home)
       dark?.observeBytes(1500)
@@ -209,14 +209,14 @@
       expect(chooses({ inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }, engines(1))).toBe('e0')
       const dark = { inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }
       const busy = [new EndpointState(listed('e0')), new EndpointState(listed('e1'))]
-      for (let request = 0; request < 20; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ ...dark, lastByteAgoMs: 20 }, busy)).toBe('e0')
       expect(chooses(dark, busy)).toBe('e1')
     })
 
     it('does not take an endpoint for silent that has only just got its work', () => {
       const busy = engines(2)
-      for (let request = 0; request < 20; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ inFlight: 9, lastByteAgoMs: 60_000, waitedMs: 300 }, busy)).toBe('e0')
     })
 
@@ -230,7 +230,7 @@
 
     it('keeps it from one that fails half of what all hosts send there', () => {
       const busy = engines(2)
-      for (let request = 0; request < 60; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 60; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ outcomes: 40, failures: 5 }, busy)).toBe('e0')
       expect(chooses({ outcomes: 40, failures: 36 }, busy)).toBe('e1')
     })
@@ -241,7 +241,7 @@
       const fleet = engines(2)
       const hasConnection = (endpoint: EndpointState): boolean => endpoint.id === 'e1'
       expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
-      for (let request = 0; request < 8; request += 1) fleet[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 8; request += 1) fleet[1]?.beginRequest(0, 0, 0)
       expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e0')
     })
   })
--- a/packages/routing/src/lib/endpoints/planReading.test.ts
+++ b/packages/routing/src/lib/endpoints/planReading.test.ts
@@ -2,11 +2,11 @@
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import { PromptMemory } from '../prompts/PromptMemory.js'
 import { StoreLinks, type StoreTransfer } from '../stores/StoreLinks.js'
-import type { PromptAsk } from './endpointAsk.js'
+import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
 import { planReading } from './planReading.js'
-import type { PromptReading } from './promptReading.js'
+import type { PrefillPlan } from './prefillPlan.js'
 
 const fast: StoreService = { type: 'store', name: 'fast', address: '10.0.0.1:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 400_000, firstByteMs: 1, isManaged: true }
 const other: StoreService = { ...fast, name: 'other', address: '10.0.0.2:1' }
@@ -23,12 +23,12 @@
 
 function plan (
   fetches: ReadonlyArray<StoreService | undefined>, links: StoreLinks, memory = new PromptMemory(), chain = parts, leftToObjectiveMs = 600
-): PromptReading {
-  const prompt: PromptAsk = {
+): PrefillPlan {
+  const prompt: PromptQuery = {
     description: { model: 'm', promptTokens: chain.reduce((sum, part) => sum + part.tokens, 0), outputTokens: 20, parts: chain },
     desiredVersion: 1,
-    leftToObjectiveMs,
-    leftMsOn: () => Number.POSITIVE_INFINITY,
+    objectiveRemainingMs: leftToObjectiveMs,
+    remainingMsOn: () => Number.POSITIVE_INFINITY,
     requiredVersion: undefined,
     engine: new EngineModel(),
     memoryTokens: 49_000,
--- a/packages/routing/src/lib/places/RegionBound.test.ts
+++ b/packages/routing/src/lib/places/RegionBound.test.ts
@@ -38,7 +38,7 @@
 
   it('goes to an endpoint there, however far and busy it is', () => {
     const far = new EndpointState(listed('far', 'hall-c'))
-    for (let sent = 0; sent < 30; sent += 1) far.begin(0, 0, 0)
+    for (let sent = 0; sent < 30; sent += 1) far.beginRequest(0, 0, 0)
     expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], ask, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
   })
 
