--- a/packages/routing/src/lib/admission/RecentQuantile.ts
+++ b/packages/routing/src/lib/admission/RecentQuantile.ts
@@ -1,7 +1,7 @@
 /** Quantiles of the newest values of a figure, for figures that are looked up rarely. */
 
 /** Values that are kept: enough for a ninth tenth, and a few seconds of a busy route. */
-const KEPT = 64
+const WINDOW_SIZE = 64
 
 /** The newest values. */
 export class RecentQuantile {
@@ -11,14 +11,14 @@
   /** @param value - newest value; the oldest gives way */
   add (value: number): void {
     this.#values[this.#next] = value
-    this.#next = (this.#next + 1) % KEPT
+    this.#next = (this.#next + 1) % WINDOW_SIZE
   }
 
   /**
    * @param share - share of the values that shall lie at or below the result, from 0 to 1
    * @returns 0 if there are no values
    */
-  at (share: number): number {
+  quantile (share: number): number {
     const ordered = [...this.#values].sort((one, other) => one - other)
     return ordered[Math.min(ordered.length - 1, Math.floor(ordered.length * share))] ?? 0
   }
--- a/packages/routing/src/lib/admission/RouteDurations.ts
+++ b/packages/routing/src/lib/admission/RouteDurations.ts
@@ -8,7 +8,7 @@
 import { RecentQuantile } from './RecentQuantile.js'
 
 /** Share of requests that take less than the estimate. */
-const SHARE = 0.9
+const QUANTILE = 0.9
 
 /** Durations of the requests of one host. */
 export class RouteDurations {
@@ -37,6 +37,6 @@
   expectedMs (route: string, outputTokens: number): number | undefined {
     const durations = this.#routes.get(route)
     if (durations === undefined) return undefined
-    return durations.start.at(SHARE) + durations.perToken.at(SHARE) * Math.max(1, outputTokens)
+    return durations.start.quantile(QUANTILE) + durations.perToken.quantile(QUANTILE) * Math.max(1, outputTokens)
   }
 }
--- a/packages/routing/src/lib/admission/admitStream.test.ts
+++ b/packages/routing/src/lib/admission/admitStream.test.ts
@@ -65,19 +65,19 @@
 })
 
 describe('engines that have much to read', () => {
-  const situation = { waitedMs: 0, remainingMs: 9000, ownMemoryShare: 0.1, memoryShare: 0.5, tokensToRead: 2900, tokensAhead: 30_000 }
+  const context = { waitedMs: 0, remainingMs: 9000, ownMemoryShare: 0.1, memoryShare: 0.5, tokensToRead: 2900, tokensAhead: 30_000 }
 
   it('get no further long request while that can still be on time', () => {
-    expect(admitStream(DIGEST, { ...situation, estimatedMs: 300 }).kind).toBe('wait')
-    expect(admitStream(DIGEST, { ...situation, estimatedMs: 300, tokensAhead: 8000 }).kind).toBe('send')
+    expect(admitStream(DIGEST, { ...context, estimatedMs: 300 }).kind).toBe('wait')
+    expect(admitStream(DIGEST, { ...context, estimatedMs: 300, tokensAhead: 8000 }).kind).toBe('send')
   })
 
   it('get it before it would be late', () => {
-    expect(admitStream(DIGEST, { ...situation, waitedMs: 200, estimatedMs: 300 }).kind).toBe('send')
+    expect(admitStream(DIGEST, { ...context, waitedMs: 200, estimatedMs: 300 }).kind).toBe('send')
   })
 
   it('get short requests at once', () => {
-    expect(admitStream(DIGEST, { ...situation, estimatedMs: 300, tokensToRead: 600 }).kind).toBe('send')
+    expect(admitStream(DIGEST, { ...context, estimatedMs: 300, tokensToRead: 600 }).kind).toBe('send')
   })
 })
 
--- a/packages/routing/src/lib/admission/admitStream.ts
+++ b/packages/routing/src/lib/admission/admitStream.ts
@@ -21,7 +21,7 @@
   | { readonly kind: 'refuse', readonly cause: 'engine-memory' | 'wait', readonly retryAfterMs: number }
 
 /** What is known of a stream and of the best engine for it. */
-export interface StreamSituation {
+export interface StreamContext {
   /** Milliseconds since the request arrived. */
   readonly waitedMs: number
   /** Milliseconds until its first event, from now. */
@@ -39,32 +39,32 @@
 }
 
 /** Callers leave a stream after the longest of these: a fixed gap, and multiples of its objective and its longest pause. */
-const CALLER_GAP_MS = 2000
-const CALLER_OBJECTIVES = 4
-const CALLER_PAUSES = 8
+const MIN_CALLER_PATIENCE_MS = 2000
+const PATIENCE_PER_OBJECTIVE = 4
+const PATIENCE_PER_PAUSE = 8
 
 /** Estimates are right to about this factor at the 75th percentile (runs on heavy days); what may still be awaited is sent. */
-const DOUBT = 1.3
+const ESTIMATE_TOLERANCE = 1.3
 
 /**
  * @param route - route of the request
  * @returns milliseconds without an event after which its caller leaves
  */
 export function callerPatienceMs (route: Route): number {
-  return Math.max(CALLER_GAP_MS, route.targetLatencyMs * CALLER_OBJECTIVES, route.longestPauseMs * CALLER_PAUSES)
+  return Math.max(MIN_CALLER_PATIENCE_MS, route.targetLatencyMs * PATIENCE_PER_OBJECTIVE, route.longestPauseMs * PATIENCE_PER_PAUSE)
 }
 
 /**
  * A request that needs more than this share of an engine's memory waits for room.
  * Smaller ones always find it: engines put the large ones off for them.
  */
-const LARGE_SHARE = 0.05
+const LARGE_MEMORY_SHARE = 0.05
 
 /** A request of which more tokens have to be read waits until its engine has read most of what is ahead; in tokens. */
-const LONG_READ = 1500
+const LONG_PREFILL_TOKENS = 1500
 
 /** Share of the objective within which a long request may wait for that. */
-const READ_WAIT_SHARE = 0.8
+const PREFILL_WAIT_SHARE = 0.8
 
 /** Bounds of what is sent. */
 export interface AdmissionLimits {
@@ -95,35 +95,35 @@
 export const ADMISSION_LIMITS: AdmissionLimits = { memoryShare: 0.85, tokensAhead: 12_000, lateTokensAhead: 3000, lateMemoryShare: 0.6 }
 
 /** Share of the time for which a caller still waits that a late request may give way to others. */
-const GIVE_WAY_SHARE = 0.6
+const DEFERRAL_SHARE = 0.6
 
 /**
  * @param route - route of the request
- * @param situation - what is known
+ * @param context - what is known
  * @param limits - bounds of what is sent
  */
-export function admitStream (route: Route, situation: StreamSituation, limits = ADMISSION_LIMITS): StreamAdmission {
-  const { waitedMs, estimatedMs, remainingMs, ownMemoryShare, memoryShare } = situation
+export function admitStream (route: Route, context: StreamContext, limits = ADMISSION_LIMITS): StreamAdmission {
+  const { waitedMs, estimatedMs, remainingMs, ownMemoryShare, memoryShare } = context
   const firstEventMs = waitedMs + estimatedMs
-  const awaitedMs = Math.min(callerPatienceMs(route) - waitedMs, remainingMs)
-  const isLate = firstEventMs > route.targetLatencyMs * DOUBT
-  const needsRoom = ownMemoryShare > LARGE_SHARE && memoryShare > limits.memoryShare
+  const patienceLeftMs = Math.min(callerPatienceMs(route) - waitedMs, remainingMs)
+  const isLate = firstEventMs > route.targetLatencyMs * ESTIMATE_TOLERANCE
+  const needsRoom = ownMemoryShare > LARGE_MEMORY_SHARE && memoryShare > limits.memoryShare
   // Alone on an engine it will never find more room than it has.
   const isAlone = memoryShare <= ownMemoryShare
   if (needsRoom && !isAlone) {
     return waitedMs < route.targetLatencyMs ? { kind: 'wait' } : { kind: 'refuse', cause: 'engine-memory', retryAfterMs: route.targetLatencyMs }
   }
-  const isLongRead = situation.tokensToRead > LONG_READ && situation.tokensAhead > limits.tokensAhead
-  if (isLongRead && firstEventMs < route.targetLatencyMs * READ_WAIT_SHARE) return { kind: 'wait' }
-  if (isLate && isDeferred(situation, awaitedMs, limits)) return { kind: 'wait' }
-  if (estimatedMs > awaitedMs * DOUBT) return { kind: 'refuse', cause: 'wait', retryAfterMs: estimatedMs - awaitedMs / 2 }
+  const exceedsPrefillBacklog = context.tokensToRead > LONG_PREFILL_TOKENS && context.tokensAhead > limits.tokensAhead
+  if (exceedsPrefillBacklog && firstEventMs < route.targetLatencyMs * PREFILL_WAIT_SHARE) return { kind: 'wait' }
+  if (isLate && isDeferred(context, patienceLeftMs, limits)) return { kind: 'wait' }
+  if (estimatedMs > patienceLeftMs * ESTIMATE_TOLERANCE) return { kind: 'refuse', cause: 'wait', retryAfterMs: estimatedMs - patienceLeftMs / 2 }
   return { kind: 'send', isExpectedLate: isLate }
 }
 
 /** A long request that is late waits while its engine has other work, as long as its caller will still be there. */
-function isDeferred (situation: StreamSituation, awaitedMs: number, limits: AdmissionLimits): boolean {
-  const { waitedMs, estimatedMs, tokensToRead, tokensAhead, memoryShare, ownMemoryShare } = situation
-  if (tokensToRead <= LONG_READ || memoryShare <= ownMemoryShare) return false
+function isDeferred (context: StreamContext, patienceLeftMs: number, limits: AdmissionLimits): boolean {
+  const { waitedMs, estimatedMs, tokensToRead, tokensAhead, memoryShare, ownMemoryShare } = context
+  if (tokensToRead <= LONG_PREFILL_TOKENS || memoryShare <= ownMemoryShare) return false
   const isEngineBusy = tokensAhead > limits.lateTokensAhead || memoryShare > limits.lateMemoryShare
-  return isEngineBusy && waitedMs + estimatedMs * DOUBT < (waitedMs + awaitedMs) * GIVE_WAY_SHARE
+  return isEngineBusy && waitedMs + estimatedMs * ESTIMATE_TOLERANCE < (waitedMs + patienceLeftMs) * DEFERRAL_SHARE
 }
--- a/packages/routing/src/lib/admission/retryAfter.ts
+++ b/packages/routing/src/lib/admission/retryAfter.ts
@@ -7,10 +7,10 @@
  */
 
 /** Share of the time left up to which callers honour a pause. */
-const HONOURED_SHARE = 1 / 3
+const MAX_SHARE_OF_REMAINING = 1 / 3
 
 /** Bounds of the spread, in milliseconds: a place frees within tenths of a second. */
-const SPREAD_MS = { least: 200, most: 1000 }
+const JITTER_MS = { least: 200, most: 1000 }
 
 /**
  * @param wantedMs - pause after which a place is expected, in milliseconds
@@ -19,7 +19,7 @@
  * @returns milliseconds after which to return
  */
 export function retryAfterMs (wantedMs: number, remainingMs: number, random: number): number {
-  const honouredMs = Math.max(0, remainingMs) * HONOURED_SHARE
-  const spreadMs = SPREAD_MS.least + random * (SPREAD_MS.most - SPREAD_MS.least)
-  return Math.min(honouredMs, Math.max(wantedMs, 0) + spreadMs)
+  const maxMs = Math.max(0, remainingMs) * MAX_SHARE_OF_REMAINING
+  const jitterMs = JITTER_MS.least + random * (JITTER_MS.most - JITTER_MS.least)
+  return Math.min(maxMs, Math.max(wantedMs, 0) + jitterMs)
 }
--- a/packages/routing/src/lib/attempts/RetryAllowance.ts
+++ b/packages/routing/src/lib/attempts/RetryAllowance.ts
@@ -19,7 +19,7 @@
  * Part of the budget that is used. The rest covers hosts that start anew within
  * a window with a part of their own, and repeats that are on their way when a window ends.
  */
-const USED_SHARE = 0.75
+const USABLE_SHARE = 0.75
 
 /** Allowance of one service on one host. */
 export class RetryAllowance {
@@ -34,8 +34,8 @@
    * @param liveHosts - entry hosts that may be alive
    */
   recordRequest (liveHosts: number): void {
-    const burst = Math.max(1, this.terms.slack * USED_SHARE / Math.max(1, liveHosts))
-    this.#tokens = Math.min(burst, this.#tokens + this.terms.ratio * USED_SHARE)
+    const burst = Math.max(1, this.terms.slack * USABLE_SHARE / Math.max(1, liveHosts))
+    this.#tokens = Math.min(burst, this.#tokens + this.terms.ratio * USABLE_SHARE)
   }
 
   /** @returns whether one more repeat may be sent; it then counts as spent */
--- a/packages/routing/src/lib/attempts/attempts.test.ts
+++ b/packages/routing/src/lib/attempts/attempts.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
-import { decideRetry, type AttemptSituation } from './decideRetry.js'
+import { decideRetry, type AttemptContext } from './decideRetry.js'
 import { RetryAllowance } from './RetryAllowance.js'
 
-function situation (overrides: Partial<AttemptSituation>): AttemptSituation {
+function failedAttempt (overrides: Partial<AttemptContext>): AttemptContext {
   return { kind: 'safe', isResumable: false, failure: 'lost', runs: 1, sends: 1, maxRuns: 2, remainingMs: 500, hasPartialAnswer: false, ...overrides }
 }
 
@@ -10,41 +10,41 @@
   describe('a request that may run once', () => {
     it.each(['unsafe', 'stream'] as const)('is never repeated after it may have run (%s)', kind => {
       for (const failure of ['lost', 'failed', 'broken-stream'] as const) {
-        expect(decideRetry(situation({ kind, failure }))).toEqual({ kind: 'give-up' })
+        expect(decideRetry(failedAttempt({ kind, failure }))).toEqual({ kind: 'give-up' })
       }
     })
 
     it.each(['unsafe', 'stream'] as const)('goes on when it certainly did not run (%s)', kind => {
       for (const failure of ['rejected', 'misdirected'] as const) {
-        expect(decideRetry(situation({ kind, failure, runs: 0, maxRuns: 1 }))).toEqual({ kind: 'repeat', spendsBudget: true })
+        expect(decideRetry(failedAttempt({ kind, failure, runs: 0, maxRuns: 1 }))).toEqual({ kind: 'repeat', spendsBudget: true })
       }
     })
   })
 
   describe('a request that may run again', () => {
     it('is repeated under the budget, up to the operator\'s number of runs', () => {
-      expect(decideRetry(situation({}))).toEqual({ kind: 'repeat', spendsBudget: true })
-      expect(decideRetry(situation({ runs: 2 }))).toEqual({ kind: 'give-up' })
+      expect(decideRetry(failedAttempt({}))).toEqual({ kind: 'repeat', spendsBudget: true })
+      expect(decideRetry(failedAttempt({ runs: 2 }))).toEqual({ kind: 'give-up' })
     })
 
     it('includes streams that may be resumed', () => {
-      expect(decideRetry(situation({ kind: 'stream', isResumable: true, failure: 'broken-stream' })).kind).toBe('repeat')
+      expect(decideRetry(failedAttempt({ kind: 'stream', isResumable: true, failure: 'broken-stream' })).kind).toBe('repeat')
     })
   })
 
   it('spends no budget where no byte was sent', () => {
-    expect(decideRetry(situation({ kind: 'unsafe', failure: 'not-connected', runs: 0 }))).toEqual({ kind: 'repeat', spendsBudget: false })
+    expect(decideRetry(failedAttempt({ kind: 'unsafe', failure: 'not-connected', runs: 0 }))).toEqual({ kind: 'repeat', spendsBudget: false })
   })
 
   it('gives up when no time is left or the whole service is full', () => {
-    expect(decideRetry(situation({ remainingMs: 5 })).kind).toBe('give-up')
-    expect(decideRetry(situation({ failure: 'rejected', sends: 4 })).kind).toBe('give-up')
+    expect(decideRetry(failedAttempt({ remainingMs: 5 })).kind).toBe('give-up')
+    expect(decideRetry(failedAttempt({ failure: 'rejected', sends: 4 })).kind).toBe('give-up')
   })
 
   it('asks more endpoints, but not without end, once the caller has part of the answer', () => {
     const begun = { kind: 'stream', isResumable: true, failure: 'rejected', hasPartialAnswer: true } as const
-    expect(decideRetry(situation({ ...begun, sends: 9 })).kind).toBe('repeat')
-    expect(decideRetry(situation({ ...begun, sends: 10 })).kind).toBe('give-up')
+    expect(decideRetry(failedAttempt({ ...begun, sends: 9 })).kind).toBe('repeat')
+    expect(decideRetry(failedAttempt({ ...begun, sends: 10 })).kind).toBe('give-up')
   })
 })
 
--- a/packages/routing/src/lib/attempts/decideRetry.ts
+++ b/packages/routing/src/lib/attempts/decideRetry.ts
@@ -22,7 +22,7 @@
   | 'broken-stream'
 
 /** What is known when an attempt has ended. */
-export interface AttemptSituation {
+export interface AttemptContext {
   readonly kind: RouteKind
   readonly isResumable: boolean
   readonly failure: AttemptFailure
@@ -43,28 +43,28 @@
   | { readonly kind: 'repeat', readonly spendsBudget: boolean }
 
 /** Most sends of one request; after so many rejections the whole service is full, and the caller had better come back. */
-const MAXIMUM_SENDS = 4
+const MAX_SENDS = 4
 
 /** Most sends of a request whose caller has part of the answer and can't come back for the rest. */
-const MAXIMUM_SENDS_ONCE_BEGUN = 10
+const MAX_SENDS_AFTER_PARTIAL_ANSWER = 10
 
 /** Time below which no further attempt can bring an answer, in milliseconds: a send, the shortest work, and the way back. */
-const LEAST_REMAINING_MS = 15
+const MIN_REMAINING_MS = 15
 
 /**
- * @param situation - what is known
+ * @param context - what is known
  * @returns what to do
  */
-export function decideRetry (situation: AttemptSituation): RetryDecision {
-  const { failure, sends, runs, maxRuns: maximumRuns, remainingMs, hasPartialAnswer: hasBegun } = situation
-  if (remainingMs < LEAST_REMAINING_MS || sends >= (hasBegun ? MAXIMUM_SENDS_ONCE_BEGUN : MAXIMUM_SENDS)) return { kind: 'give-up' }
+export function decideRetry (context: AttemptContext): RetryDecision {
+  const { failure, sends, runs, maxRuns, remainingMs, hasPartialAnswer } = context
+  if (remainingMs < MIN_REMAINING_MS || sends >= (hasPartialAnswer ? MAX_SENDS_AFTER_PARTIAL_ANSWER : MAX_SENDS)) return { kind: 'give-up' }
   if (failure === 'not-connected') return { kind: 'repeat', spendsBudget: false }
   if (failure === 'rejected' || failure === 'misdirected') return { kind: 'repeat', spendsBudget: true }
-  if (!mayRunAgain(situation) || runs >= maximumRuns) return { kind: 'give-up' }
+  if (!mayRunAgain(context) || runs >= maxRuns) return { kind: 'give-up' }
   return { kind: 'repeat', spendsBudget: true }
 }
 
 /** Whether a second run does no harm: it has no effect outside, and no event reaches the caller twice. */
-function mayRunAgain ({ kind, isResumable }: AttemptSituation): boolean {
+function mayRunAgain ({ kind, isResumable }: AttemptContext): boolean {
   return kind === 'safe' || (kind === 'stream' && isResumable)
 }
--- a/packages/routing/src/lib/endpoints/ColdEndpointLimiter.test.ts
+++ b/packages/routing/src/lib/endpoints/ColdEndpointLimiter.test.ts
@@ -88,9 +88,9 @@
 const holdCold = (now: number) => (endpoint: EndpointState): HoldBackReason | undefined => endpoint.isCold(now) ? 'cold' : undefined
 
 describe('chooseEndpoint with cold endpoints', () => {
-  const ask = (overrides: Partial<EndpointQuery> = {}): EndpointQuery => ({ excluded: new Set(), dataCentre: 'north', others: undefined, ...overrides })
-  const choose = (endpoints: readonly EndpointState[], asked: EndpointQuery, now = 0): string => {
-    const choice = chooseEndpoint(endpoints, asked, new PromptMemory(), now, 0)
+  const queryWith = (overrides: Partial<EndpointQuery> = {}): EndpointQuery => ({ excluded: new Set(), dataCentre: 'north', others: undefined, ...overrides })
+  const choose = (endpoints: readonly EndpointState[], query: EndpointQuery, now = 0): string => {
+    const choice = chooseEndpoint(endpoints, query, new PromptMemory(), now, 0)
     return typeof choice === 'string' ? choice : choice.endpoint.id
   }
 
@@ -98,36 +98,36 @@
     const warm = new EndpointState(listed('warm'))
     for (let sent = 0; sent < 20; sent += 1) warm.beginRequest(0, 0, 0)
     const cold = new EndpointState(listed('cold', { isCold: true }))
-    expect(choose([warm, cold], ask({ holdBackReason: holdCold(0) }))).toBe('warm')
-    expect(choose([warm, cold], ask())).toBe('cold')
+    expect(choose([warm, cold], queryWith({ holdBackReason: holdCold(0) }))).toBe('warm')
+    expect(choose([warm, cold], queryWith())).toBe('cold')
   })
 
   it('says so when all are cold and none may be used', () => {
-    expect(choose([new EndpointState(listed('cold', { isCold: true }))], ask({ holdBackReason: holdCold(0) }))).toBe('all-cold')
+    expect(choose([new EndpointState(listed('cold', { isCold: true }))], queryWith({ holdBackReason: holdCold(0) }))).toBe('all-cold')
   })
 
   it('takes one that was out of reach for cold until the list has had time to tell', () => {
     const returned = new EndpointState(listed('returned'))
     returned.health.observe('unreachable', 0)
-    expect(choose([returned], ask({ holdBackReason: holdCold(100) }), 100)).toBe('all-cold')
+    expect(choose([returned], queryWith({ holdBackReason: holdCold(100) }), 100)).toBe('all-cold')
     expect(returned.health.isPaused(700)).toBe(false)
-    expect(choose([returned], ask({ holdBackReason: holdCold(700) }), 700)).toBe('all-cold')
-    expect(choose([returned], ask({ holdBackReason: holdCold(100 + ASSUMED_COLD_MS + 1) }), 100 + ASSUMED_COLD_MS + 1)).toBe('returned')
+    expect(choose([returned], queryWith({ holdBackReason: holdCold(700) }), 700)).toBe('all-cold')
+    expect(choose([returned], queryWith({ holdBackReason: holdCold(100 + ASSUMED_COLD_MS + 1) }), 100 + ASSUMED_COLD_MS + 1)).toBe('returned')
   })
 })
 
 describe('chooseEndpoint during an evacuation', () => {
   const north = (): EndpointState => new EndpointState(listed('n'))
   const south = (): EndpointState => new EndpointState(listed('s', { dataCentre: 'south' }))
-  const ask = (evacuated: readonly string[]): EndpointQuery => ({ excluded: new Set(), dataCentre: 'north', others: undefined, evacuated: new Set(evacuated) })
+  const queryWith = (evacuated: readonly string[]): EndpointQuery => ({ excluded: new Set(), dataCentre: 'north', others: undefined, evacuated: new Set(evacuated) })
 
   it('uses the other data centres only, however busy they are', () => {
     const busy = south()
     for (let sent = 0; sent < 50; sent += 1) busy.beginRequest(0, 0, 0)
-    expect(chooseEndpoint([north(), busy], ask(['north']), new PromptMemory(), 0, 0)).toMatchObject({ endpoint: busy })
+    expect(chooseEndpoint([north(), busy], queryWith(['north']), new PromptMemory(), 0, 0)).toMatchObject({ endpoint: busy })
   })
 
   it('has none when all are evacuated, and says why', () => {
-    expect(chooseEndpoint([north(), south()], ask(['north', 'south']), new PromptMemory(), 0, 0)).toBe('all-evacuated')
+    expect(chooseEndpoint([north(), south()], queryWith(['north', 'south']), new PromptMemory(), 0, 0)).toBe('all-evacuated')
   })
 })
--- a/packages/routing/src/lib/endpoints/ColdEndpointLimiter.ts
+++ b/packages/routing/src/lib/endpoints/ColdEndpointLimiter.ts
@@ -1,36 +1,37 @@
 /**
- * This host's part of the requests that a cold endpoint may get.
+ * Limits the requests that this host sends to a cold endpoint.
  *
- * Answers the load of a data centre whose endpoints come back together: to every host they look
- * idle, and 81 hosts that each send a few at once end them again. The bound holds for the sum
- * over all hosts, which neither know each other nor share a clock. So each host draws, from its
- * own name and the endpoint's, whether it may send there at all while the endpoint is cold, and
- * keeps a strict rate if so. Nothing is exchanged. A host that knows too few of the others, is
- * frozen and goes on, or has just started adds at most its own few requests.
+ * When the endpoints of a data centre come back together, they look idle to every host, and 81
+ * hosts that each send a few requests at once overload them again. The limit holds for the sum
+ * over all hosts, which need not know each other or share a clock. Each host hashes its own name
+ * with that of the endpoint to find out whether it may send there while the endpoint is cold, and
+ * then keeps to a strict rate. The hosts exchange nothing. A host that knows too few of the
+ * others, resumes after a freeze or has just started exceeds the limit by at most its own few
+ * requests.
  */
 import type { EndpointState } from './EndpointState.js'
-import { hostDraw } from './hostDraw.js'
+import { hostHashFraction } from './hostHashFraction.js'
 
 /**
- * Part of the stated rate that hosts use between them where each may send one request a second
- * at most: how many of them the draw takes varies, and the bound holds for the sum.
+ * Share of the stated rate that hosts use together when each may send at most one request a
+ * second. The number of hosts that the hash selects varies, and the limit holds for their sum.
  */
-const DRAWN_SHARE = 0.6
+const SELECTED_SHARE = 0.6
 
-/** Window in which a host keeps its part, in milliseconds: a second, and what requests take to arrive. */
+/** Window in which a host keeps to its share, in milliseconds: one second plus the time that requests take to arrive. */
 export const COLD_WINDOW_MS = 1100
 
-/** Decides without any exchange. */
+/** Limits sends to cold endpoints without any exchange between hosts. */
 export class ColdEndpointLimiter {
   /**
-   * @param host - name of this host, unlike those of all others
-   * @param liveHosts - entry hosts that may be alive, as of now
+   * @param host - unique name of this host
+   * @param liveHosts - returns the number of entry hosts that may be alive now
    */
   constructor (private readonly host: string, private readonly liveHosts: () => number) {}
 
   /**
    * @param endpoint - a cold endpoint
-   * @param requestsPerSecond - that it takes from all hosts together while it is cold
+   * @param requestsPerSecond - rate that the endpoint accepts from all hosts together while it is cold
    * @param now - monotonic milliseconds
    * @returns whether this host may send it one more request now
    */
@@ -40,8 +41,8 @@
 
   #requestsInWindow (incarnation: string, requestsPerSecond: number): number {
     const hosts = Math.max(1, this.liveHosts())
-    const each = Math.floor(requestsPerSecond / hosts)
-    if (each >= 1) return each
-    return hostDraw(this.host, incarnation) < DRAWN_SHARE * requestsPerSecond / hosts ? 1 : 0
+    const perHost = Math.floor(requestsPerSecond / hosts)
+    if (perHost >= 1) return perHost
+    return hostHashFraction(this.host, incarnation) < SELECTED_SHARE * requestsPerSecond / hosts ? 1 : 0
   }
 }
--- a/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
@@ -17,16 +17,16 @@
 
 describe('EjectionWatch', () => {
   it('tells each change once, with its reason, and the return', () => {
-    const watch = new EjectionTracker()
+    const tracker = new EjectionTracker()
     const endpoints = [endpoint('a'), endpoint('b')]
-    const dark = othersWith({ inFlight: 4, lastByteAgoMs: 800, waitedMs: 900 })
-    expect(watch.detectChanges(endpoints, othersWith({ inFlight: 4, lastByteAgoMs: 10, waitedMs: 900 }), 0)).toEqual([])
-    expect(watch.detectChanges(endpoints, dark, 0).map(({ endpoint, reason }) => [endpoint.id, reason])).toEqual([['a', 'silent-to-all']])
-    expect(watch.detectChanges(endpoints, dark, 0)).toEqual([])
-    expect(watch.detectChanges(endpoints, othersWith({ avoiders: 3 }), 0).map(({ reason }) => reason)).toEqual(['avoided-by-others'])
-    expect(watch.detectChanges(endpoints, othersWith({ outcomes: 40, failures: 36 }), 0).map(({ reason }) => reason)).toEqual(['failing'])
-    expect(watch.size).toBe(1)
-    expect(watch.detectChanges(endpoints, othersWith({}), 0).map(({ reason }) => reason)).toEqual([undefined])
-    expect(watch.size).toBe(0)
+    const silent = othersWith({ inFlight: 4, lastByteAgoMs: 800, waitedMs: 900 })
+    expect(tracker.detectChanges(endpoints, othersWith({ inFlight: 4, lastByteAgoMs: 10, waitedMs: 900 }), 0)).toEqual([])
+    expect(tracker.detectChanges(endpoints, silent, 0).map(({ endpoint, reason }) => [endpoint.id, reason])).toEqual([['a', 'silent-to-all']])
+    expect(tracker.detectChanges(endpoints, silent, 0)).toEqual([])
+    expect(tracker.detectChanges(endpoints, othersWith({ avoiders: 3 }), 0).map(({ reason }) => reason)).toEqual(['avoided-by-others'])
+    expect(tracker.detectChanges(endpoints, othersWith({ outcomes: 40, failures: 36 }), 0).map(({ reason }) => reason)).toEqual(['failing'])
+    expect(tracker.size).toBe(1)
+    expect(tracker.detectChanges(endpoints, othersWith({}), 0).map(({ reason }) => reason)).toEqual([undefined])
+    expect(tracker.size).toBe(0)
   })
 })
--- a/packages/routing/src/lib/endpoints/EjectionTracker.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.ts
@@ -1,30 +1,30 @@
-/** Notices when what all hosts have seen turns this host away from an endpoint, or back to it. */
+/** Tracks which endpoints this host avoids because of what all hosts have observed. */
 import type { OthersWork } from '../load/OthersWork.js'
 import type { WorkFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 import { sharedFailureShare, ejectionReason, type EjectionReason } from './sharedObservations.js'
 
-/** A change of belief, with what decided it. */
+/** An endpoint that was ejected or readmitted, with the figures that decided it. */
 export interface EjectionChange {
   readonly endpoint: EndpointState
-  /** Undefined when the endpoint gets work again. */
+  /** Undefined when the endpoint is readmitted. */
   readonly reason: EjectionReason | undefined
   readonly others: WorkFigures
   readonly failureShare: number
   readonly meanShare: number
 }
 
-/** Remembers which endpoints are ejected. */
+/** Remembers the ejected endpoints and why they were ejected. */
 export class EjectionTracker {
   readonly #reasons = new Map<string, EjectionReason>()
 
   /**
-   * Looks at the endpoints of one service.
+   * Compares the endpoints of one service with their state at the previous call.
    *
-   * @param endpoints - all of the service
-   * @param others - what the other hosts have told
+   * @param endpoints - all endpoints of the service
+   * @param others - work and observations that the other hosts have reported
    * @param now - monotonic milliseconds
-   * @returns what has changed since the last look
+   * @returns endpoints that were ejected or readmitted since the previous call, or whose reason changed
    */
   detectChanges (endpoints: readonly EndpointState[], others: OthersWork, now: number): EjectionChange[] {
     const observed = endpoints.map(endpoint => {
@@ -44,11 +44,11 @@
     return changes
   }
 
-  /** @param incarnation - one that is gone */
+  /** @param incarnation - incarnation that is no longer listed */
   forget (incarnation: string): void {
     this.#reasons.delete(incarnation)
   }
 
-  /** Endpoints that are ejected now. */
+  /** Number of endpoints that are ejected now. */
   get size (): number { return this.#reasons.size }
 }
--- a/packages/routing/src/lib/endpoints/EndpointHealth.test.ts
+++ b/packages/routing/src/lib/endpoints/EndpointHealth.test.ts
@@ -47,8 +47,8 @@
   it('count among the outcomes that hosts tell each other, for a second or two', () => {
     const health = new EndpointHealth()
     for (let number = 0; number < 4; number += 1) health.observeRejection(0)
-    expect(health.recent(0)).toEqual({ outcomes: 4, failures: 4 })
-    expect(health.recent(4000).failures).toBeLessThan(0.5)
+    expect(health.recentOutcomes(0)).toEqual({ outcomes: 4, failures: 4 })
+    expect(health.recentOutcomes(4000).failures).toBeLessThan(0.5)
   })
 
   it('neither pause the endpoint for this host nor weigh on what ran there', () => {
@@ -57,6 +57,6 @@
     health.observe('success', 10)
     expect(health.isPaused(10)).toBe(false)
     expect(health.failureShare).toBe(0)
-    expect(health.recent(60_000).failures).toBeCloseTo(0)
+    expect(health.recentOutcomes(60_000).failures).toBeCloseTo(0)
   })
 })
--- a/packages/routing/src/lib/endpoints/EndpointHealth.ts
+++ b/packages/routing/src/lib/endpoints/EndpointHealth.ts
@@ -1,40 +1,40 @@
-/** Health of one endpoint, learnt from what requests to it show. */
+/** Health of one endpoint, derived from the outcomes of requests to it. */
 
-/** How a request to an endpoint ended, as far as the endpoint is to blame. */
+/** How a request to an endpoint ended, as far as the endpoint is responsible. */
 export type RequestOutcome = 'success' | 'failure' | 'unreachable' | 'unanswered'
 
-/** First pause without new work after an endpoint was found unreachable, in milliseconds; a restart takes about a second. */
+/** First pause after an endpoint was found unreachable, in milliseconds; a restart takes about a second. */
 const UNREACHABLE_PAUSE_MS = 500
 
 /** First pause after an endpoint failed many requests, in milliseconds. */
 const FAILING_PAUSE_MS = 1500
 
-/** Longest pause, in milliseconds; the list names endpoints that are gone within seconds. */
-const LONGEST_PAUSE_MS = 5000
+/** Longest pause, in milliseconds; an endpoint that is gone leaves the list within seconds. */
+const MAX_PAUSE_MS = 5000
 
-/** Weight of the newest outcome in the failure share; a dozen outcomes make up two thirds of it. */
+/** Weight of the newest outcome in the failure share; the last dozen outcomes have two thirds of the weight. */
 const SMOOTHING = 0.08
 
 /**
- * Failure share, beyond that of the endpoint's peers, above which it pauses. The
- * users' sheets have routes of which 14 in 100 requests fail wherever they run; a
- * faulty endpoint fails 40 and more. Chance alone moves a share by 0.07.
+ * Failure share above that of the endpoint's peers from which the endpoint is paused.
+ * The users' sheets have routes on which 14 in 100 requests fail at any endpoint; a
+ * faulty endpoint fails 40 and more. Random variation moves a share by 0.07.
  */
 const EXCESS_FAILING_SHARE = 0.32
 
-/** Time in which an outcome loses two thirds of its weight in what hosts tell each other, in milliseconds: faults last for some seconds. */
-const RECENT_MS = 4000
+/** Time constant with which outcomes decay in the reports between hosts, in milliseconds; faults last for some seconds. */
+const OUTCOME_DECAY_MS = 4000
 
-/** The same for rejections, in milliseconds: an endpoint that was full or busy takes work again within a second or two. */
-const RECENT_REJECTION_MS = 1500
+/** Time constant with which rejections decay, in milliseconds: a full or busy endpoint accepts work again within a second or two. */
+const REJECTION_DECAY_MS = 1500
 
-/** Outcomes of late; older ones count less. */
+/** Counts of recent outcomes, in which older ones weigh less. */
 export interface RecentOutcomes {
   readonly outcomes: number
   readonly failures: number
 }
 
-/** Of an endpoint where no request has ended yet. */
+/** Counts for an endpoint at which no request has ended yet. */
 const NO_OUTCOMES: RecentOutcomes = { outcomes: 0, failures: 0 }
 
 /** Mutable health of one endpoint. */
@@ -42,18 +42,18 @@
   #failureShare = 0
   #pausedUntil = Number.NEGATIVE_INFINITY
   #pauses = 0
-  #isOutOfReach = false
+  #isUnreachable = false
   #recent = NO_OUTCOMES
   #recentAt = 0
   #rejections = 0
   #rejectedAt = 0
 
-  /** Share of recent requests that failed. */
+  /** Exponentially smoothed share of requests that failed. */
   get failureShare (): number { return this.#failureShare }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether it should get no new work if others can take it
+   * @returns whether the endpoint should get no new work while others can take it
    */
   isPaused (now: number): boolean {
     return now < this.#pausedUntil
@@ -61,49 +61,49 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether it pauses because it could not be reached or did not answer
+   * @returns whether the endpoint is paused because it could not be reached or did not answer
    */
   isUnreachable (now: number): boolean {
-    return this.#isOutOfReach && this.isPaused(now)
+    return this.#isUnreachable && this.isPaused(now)
   }
 
-  /** Whether any request has ended there. */
+  /** Whether any request has ended or been rejected at the endpoint. */
   get hasOutcomes (): boolean { return this.#recent.outcomes > 0 || this.#rejections > 0 }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns outcomes of late at this host, rejections among the failures
+   * @returns recent outcomes that this host observed; rejections count as failures
    */
-  recent (now: number): RecentOutcomes {
+  recentOutcomes (now: number): RecentOutcomes {
     if (!this.hasOutcomes) return NO_OUTCOMES
-    const { outcomes, failures } = this.#recentRuns(now)
-    const rejections = this.#recentRejections(now)
+    const { outcomes, failures } = this.#decayedOutcomes(now)
+    const rejections = this.#decayedRejections(now)
     return { outcomes: outcomes + rejections, failures: failures + rejections }
   }
 
   /**
-   * Takes a rejection. It says nothing of what the endpoint runs, but one that rejects much more than its peers has
-   * nothing to run and would seem the least busy of all.
+   * Records a rejection. It doesn't count towards the failure share of this host, but it is reported to other hosts:
+   * an endpoint that rejects much more than its peers runs nothing and would seem the least busy of all.
    *
    * @param now - monotonic milliseconds
    */
   observeRejection (now: number): void {
-    this.#rejections = this.#recentRejections(now) + 1
+    this.#rejections = this.#decayedRejections(now) + 1
     this.#rejectedAt = now
   }
 
   /**
-   * Takes the outcome of a request.
+   * Records the outcome of a request.
    *
    * @param outcome - how it ended
    * @param now - monotonic milliseconds
    * @param peersFailureShare - mean failure share of the other endpoints of the service
-   * @returns whether the endpoint was paused by it
+   * @returns whether this outcome paused the endpoint
    */
   observe (outcome: RequestOutcome, now: number, peersFailureShare = 0): boolean {
     const sample = outcome === 'success' ? 0 : 1
     this.#failureShare += (sample - this.#failureShare) * SMOOTHING
-    const { outcomes, failures } = this.#recentRuns(now)
+    const { outcomes, failures } = this.#decayedOutcomes(now)
     this.#recent = { outcomes: outcomes + 1, failures: failures + sample }
     this.#recentAt = now
     if (outcome === 'success') {
@@ -111,24 +111,24 @@
       return false
     }
     if (this.isPaused(now)) return false
-    this.#isOutOfReach = outcome !== 'failure'
+    this.#isUnreachable = outcome !== 'failure'
     if (outcome === 'unreachable') return this.#pause(UNREACHABLE_PAUSE_MS, now)
     if (outcome === 'unanswered') return this.#pause(FAILING_PAUSE_MS, now)
     if (this.#failureShare - peersFailureShare < EXCESS_FAILING_SHARE) return false
     return this.#pause(FAILING_PAUSE_MS, now)
   }
 
-  #recentRuns (now: number): RecentOutcomes {
-    const kept = Math.exp(-(now - this.#recentAt) / RECENT_MS)
+  #decayedOutcomes (now: number): RecentOutcomes {
+    const kept = Math.exp(-(now - this.#recentAt) / OUTCOME_DECAY_MS)
     return { outcomes: this.#recent.outcomes * kept, failures: this.#recent.failures * kept }
   }
 
-  #recentRejections (now: number): number {
-    return this.#rejections * Math.exp(-(now - this.#rejectedAt) / RECENT_REJECTION_MS)
+  #decayedRejections (now: number): number {
+    return this.#rejections * Math.exp(-(now - this.#rejectedAt) / REJECTION_DECAY_MS)
   }
 
   #pause (firstMs: number, now: number): boolean {
-    this.#pausedUntil = now + Math.min(LONGEST_PAUSE_MS, firstMs * 2 ** this.#pauses)
+    this.#pausedUntil = now + Math.min(MAX_PAUSE_MS, firstMs * 2 ** this.#pauses)
     this.#pauses += 1
     return true
   }
--- a/packages/routing/src/lib/endpoints/EndpointState.ts
+++ b/packages/routing/src/lib/endpoints/EndpointState.ts
@@ -1,4 +1,4 @@
-/** What one entry host knows of one endpoint. */
+/** State that one entry host keeps about one endpoint. */
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { LONG_AGO_MS, type WorkFigures } from '../load/loadReport.js'
 import { EndpointHealth } from './EndpointHealth.js'
@@ -8,92 +8,92 @@
 import { Slowness } from './Slowness.js'
 import { StatedRateLimit } from './StatedRateLimit.js'
 
-/** Load as an endpoint states it in its answers. */
+/** Load that an endpoint states in its answers. */
 export interface StatedLoad {
   readonly running: number
   readonly waiting: number
   readonly slots: number
 }
 
-/** Age after which a stated load says nothing any more, in milliseconds. */
+/** Age from which a stated load is ignored, in milliseconds. */
 const LOAD_LIFETIME_MS = 2000
 
-/** Time for which an endpoint that said it was full gets no further work, in milliseconds; a place frees every few. */
-const FULL_MS = 60
+/** Time for which an endpoint that reported being full gets no further work, in milliseconds; a slot is freed every few milliseconds. */
+const FULL_BACKOFF_MS = 60
 
-/** Silence after which an endpoint with work gets no more if others can take it, in milliseconds: three times what a first event usually takes. */
-const SILENT_MS = 900
+/** Silence after which an endpoint with requests in flight gets no more while others can take them, in milliseconds: three times the usual time to a first event. */
+const SILENCE_LIMIT_MS = 900
 
 /**
- * Time for which an endpoint that is back may be cold without the list saying so, in milliseconds: lists lag by up
- * to a second, and are read once a second.
+ * Time for which an endpoint that has come back is assumed to be cold although the list does not say so, in
+ * milliseconds: lists lag by up to a second, and are read once a second.
  */
 export const ASSUMED_COLD_MS = 3000
 
 /** Weight of the newest sample in the mean latency. */
 const LATENCY_SMOOTHING = 0.1
 
-/** One incarnation of an endpoint. */
+/** State of one incarnation of an endpoint. */
 export class EndpointState {
   readonly health = new EndpointHealth()
   readonly rateLimit = new StatedRateLimit()
   readonly requestedPause = new RequestedPause()
-  /** Requests that this host has sent there of late. */
+  /** Recent sends of this host to the endpoint. */
   readonly sends = new SendTimes()
   #listed: ListedEndpoint
   #incarnation: string
   #isLeaving: boolean
   #silentSince = 0
-  #bytesAt = Number.NEGATIVE_INFINITY
+  #lastByteAt = Number.NEGATIVE_INFINITY
   #busySince = 0
   #versions = new Map<string, number>()
   #inFlight = 0
   #pendingTokens = 0
   #heldTokens = 0
-  #load: { stated: StatedLoad, at: number, inFlightThen: number } | undefined
+  #load: { stated: StatedLoad, at: number, inFlightWhenStated: number } | undefined
   #fullUntil = Number.NEGATIVE_INFINITY
   #busyUntil = Number.NEGATIVE_INFINITY
   #latencyMs: number | undefined
   #mayBeColdUntil = Number.NEGATIVE_INFINITY
 
   /**
-   * @param listed - as first listed
-   * @param slowness - how much slower it is than estimated
+   * @param listed - first list entry of this incarnation
+   * @param slowness - how much slower the endpoint is than estimated
    */
   constructor (listed: ListedEndpoint, readonly slowness = new Slowness()) {
     this.#listed = listed
     this.#incarnation = incarnationName(listed)
     this.#isLeaving = listed.isLeaving
-    this.#learnVersions(listed)
+    this.#recordListedVersions(listed)
   }
 
   get id (): string { return this.#listed.id }
-  /** Names this incarnation among all of the endpoint, alike on every host that knows its start. */
+  /** Identifies this incarnation of the endpoint; every host that knows its start uses the same name. */
   get incarnation (): string { return this.#incarnation }
   get listed (): ListedEndpoint { return this.#listed }
   get isLeaving (): boolean { return this.#isLeaving }
-  /** Requests of this host that are under way there. */
+  /** Requests of this host that are in flight at the endpoint. */
   get inFlight (): number { return this.#inFlight }
-  /** Prompt tokens of this host's requests that have not brought their first event yet. */
+  /** Prompt tokens of this host's requests whose first event has not arrived yet. */
   get pendingTokens (): number { return this.#pendingTokens }
-  /** Tokens that this host's requests hold, or will hold, in its memory. */
+  /** Tokens that this host's requests occupy, or will occupy, in the endpoint's memory. */
   get heldTokens (): number { return this.#heldTokens }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether there is anything to tell of it: most endpoints have nothing of this host most of the time
+   * @returns whether there is anything to report to other hosts; most endpoints have no work of this host most of the time
    */
   hasAnythingToReport (now: number): boolean {
     return this.#inFlight > 0 || this.health.hasOutcomes || this.health.isUnreachable(now)
   }
 
   /**
-   * This host's work there, and what it has seen of the endpoint.
+   * Returns this host's work at the endpoint and its observations of it, for the reports to other hosts.
    *
    * @param now - monotonic milliseconds
    */
   work (now: number): WorkFigures {
-    const { outcomes, failures } = this.health.recent(now)
+    const { outcomes, failures } = this.health.recentOutcomes(now)
     return {
       inFlight: this.#inFlight,
       pendingTokens: this.#pendingTokens,
@@ -109,15 +109,15 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds since any byte came from it to this host
+   * @returns milliseconds since this host last received a byte from the endpoint
    */
   lastByteAgoMs (now: number): number {
-    return Math.min(LONG_AGO_MS, now - this.#bytesAt)
+    return Math.min(LONG_AGO_MS, now - this.#lastByteAt)
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds for which it has had work of this host without a break
+   * @returns milliseconds for which this host has had requests in flight at the endpoint without a break
    */
   waitedMs (now: number): number {
     return this.#inFlight === 0 ? 0 : Math.min(LONG_AGO_MS, now - this.#busySince)
@@ -125,14 +125,14 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether it takes few requests a second now, as far as is known
+   * @returns whether the endpoint accepts only few requests a second now, as far as is known
    */
   isCold (now: number): boolean {
     return this.#listed.isCold === true || now < this.#mayBeColdUntil
   }
 
   /**
-   * Notes that it is out of use: nobody can tell yet whether it will come back cold.
+   * Notes that the endpoint is out of use. It may be cold when it comes back, which nobody can know yet.
    *
    * @param now - monotonic milliseconds
    */
@@ -140,36 +140,36 @@
     this.#mayBeColdUntil = now + ASSUMED_COLD_MS
   }
 
-  /** Mean time of a plain answer, once there was one, in milliseconds. */
+  /** Mean duration of a plain answer in milliseconds; undefined before the first one. */
   get latencyMs (): number | undefined { return this.#latencyMs }
 
-  /** @param listed - the same incarnation as listed now; one that leaves never comes back */
+  /** @param listed - newest list entry of this incarnation; an incarnation that is leaving stays so */
   update (listed: ListedEndpoint): void {
     this.#listed = { ...listed, startedAtMs: listed.startedAtMs ?? this.#listed.startedAtMs }
     this.#incarnation = incarnationName(this.#listed)
     this.#isLeaving ||= listed.isLeaving
-    this.#learnVersions(listed)
+    this.#recordListedVersions(listed)
   }
 
-  /** Notes that the endpoint itself says that it is leaving. */
+  /** Notes that the endpoint itself has announced that it is leaving. */
   markLeaving (): void {
     this.#isLeaving = true
   }
 
   /**
    * @param model - model name
-   * @returns version of the weights that it is known to hold; undefined if it does not serve the model
+   * @returns version of the weights that the endpoint is known to hold; undefined if it does not serve the model
    */
   version (model: string): number | undefined {
     return this.#versions.get(model)
   }
 
   /**
-   * Notes a version that the endpoint stated itself. It may be lower than the one
-   * believed: an answer is newer than the list.
+   * Records a version that the endpoint stated itself. It may be lower than the known
+   * one, because an answer is newer than the list.
    *
    * @param model - model name
-   * @param version - as stated
+   * @param version - stated version
    */
   recordVersion (model: string, version: number): void {
     this.#versions.set(model, version)
@@ -177,7 +177,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether it starts no new work now
+   * @returns whether the endpoint starts no new work now
    */
   isBusy (now: number): boolean {
     return this.#listed.isBusy || now < this.#busyUntil
@@ -185,24 +185,24 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether it said a moment ago that it was full
+   * @returns whether the endpoint reported a moment ago that it was full
    */
   isFull (now: number): boolean {
     return now < this.#fullUntil
   }
 
   /**
-   * Notes a rejection.
+   * Records a rejection.
    *
    * @param now - monotonic milliseconds
-   * @param pauseMs - time for which it gets no further work if others can take it
+   * @param pauseMs - time for which the endpoint gets no further work while others can take it
    */
-  observeRejection (now: number, pauseMs = FULL_MS): void {
+  observeRejection (now: number, pauseMs = FULL_BACKOFF_MS): void {
     this.#fullUntil = now + pauseMs
   }
 
   /**
-   * Requests that it works on or has waiting, by its last word and this host's sends since.
+   * Estimates the requests that run or wait at the endpoint from the load that it stated last and this host's sends since.
    *
    * @param now - monotonic milliseconds
    */
@@ -211,14 +211,16 @@
     if (this.#load === undefined || now - this.#load.at > LOAD_LIFETIME_MS) {
       return { total: this.#inFlight, waiting: Math.max(0, this.#inFlight - slots), slots }
     }
-    const { stated, inFlightThen } = this.#load
-    const total = Math.max(this.#inFlight, stated.running + stated.waiting + this.#inFlight - inFlightThen)
+    const { stated, inFlightWhenStated } = this.#load
+    const total = Math.max(this.#inFlight, stated.running + stated.waiting + this.#inFlight - inFlightWhenStated)
     return { total, waiting: Math.max(0, Math.max(stated.waiting, total - slots)), slots }
   }
 
   /**
-   * @param pendingTokens - prompt tokens that it has to read before its first event
-   * @param heldTokens - tokens that the request will hold in its memory
+   * Records that a request is sent.
+   *
+   * @param pendingTokens - prompt tokens that the endpoint has to prefill before the first event
+   * @param heldTokens - tokens that the request will occupy in the endpoint's memory
    * @param now - monotonic milliseconds
    */
   beginRequest (pendingTokens: number, heldTokens: number, now: number): void {
@@ -232,31 +234,31 @@
     this.#heldTokens += heldTokens
   }
 
-  /** @param now - monotonic milliseconds at which bytes of any answer came from it */
+  /** @param now - monotonic milliseconds at which bytes of any answer arrived from the endpoint */
   observeBytes (now: number): void {
     this.#silentSince = now
-    this.#bytesAt = now
+    this.#lastByteAt = now
   }
 
   /**
-   * An endpoint that is gone without a word takes connections and answers nothing.
+   * Detects an endpoint that has gone without closing its connections: it accepts requests and answers none.
    *
    * @param now - monotonic milliseconds
-   * @returns whether it has work of this host and has sent nothing to it for long
+   * @returns whether requests of this host are in flight at the endpoint and none has received a byte for long
    */
   isSilent (now: number): boolean {
-    return this.#inFlight > 0 && now - this.#silentSince > SILENT_MS
+    return this.#inFlight > 0 && now - this.#silentSince > SILENCE_LIMIT_MS
   }
 
-  /** @param pendingTokens - as given at the beginning */
+  /** @param pendingTokens - number of tokens that was passed to {@link beginRequest} */
   recordFirstEvent (pendingTokens: number): void {
     this.#pendingTokens -= pendingTokens
   }
 
   /**
-   * Notes the end of a request, however it ended.
+   * Records that a request has ended in any way.
    *
-   * @param heldTokens - as given at the beginning
+   * @param heldTokens - number of tokens that was passed to {@link beginRequest}
    */
   endRequest (heldTokens: number): void {
     this.#inFlight -= 1
@@ -264,23 +266,23 @@
   }
 
   /**
-   * @param stated - load in an answer
+   * @param stated - load that an answer states
    * @param now - monotonic milliseconds
    */
   observeLoad (stated: StatedLoad, now: number): void {
-    this.#load = { stated, at: now, inFlightThen: this.#inFlight }
+    this.#load = { stated, at: now, inFlightWhenStated: this.#inFlight }
   }
 
-  /** @param milliseconds - time of one plain answer */
+  /** @param milliseconds - duration of one plain answer */
   observeLatency (milliseconds: number): void {
     this.#latencyMs = this.#latencyMs === undefined
       ? milliseconds
       : this.#latencyMs + (milliseconds - this.#latencyMs) * LATENCY_SMOOTHING
   }
 
-  #learnVersions (listed: ListedEndpoint): void {
+  #recordListedVersions (listed: ListedEndpoint): void {
     for (const { model, version } of listed.models) {
-      // The list lags; versions only rise while an incarnation lives.
+      // The list lags behind, and versions only rise during the life of an incarnation.
       this.#versions.set(model, Math.max(version, this.#versions.get(model) ?? 0))
     }
   }
--- a/packages/routing/src/lib/endpoints/EngineModel.test.ts
+++ b/packages/routing/src/lib/endpoints/EngineModel.test.ts
@@ -33,7 +33,7 @@
       const model = new EngineModel()
       const pool = { tokensPerMs, fixedMs: 40, runningMs: 4 }
       train(model, pool, 100)
-      const estimate = model.fixedMs + model.readMs(7000) + model.waitMs({ tokensAhead: 3000, requests: 8 })
+      const estimate = model.fixedMs + model.prefillMs(7000) + model.waitMs({ tokensAhead: 3000, requests: 8 })
       const actual = 40 + 10_000 / tokensPerMs + 4 * 8
       expect(Math.abs(estimate / actual - 1)).toBeLessThan(0.1)
     })
@@ -56,7 +56,7 @@
       train(disturbed, pool, 400)
       for (let request = 0; request < 13; request += 1) disturbed.observe({ tokensToRead: 9000, tokensAhead: 0, requests: 5 }, 4000)
       train(disturbed, pool, 140, 3)
-      expect(disturbed.readMs(9000) + disturbed.fixedMs).toBeLessThan((sound.readMs(9000) + sound.fixedMs) * 1.25)
+      expect(disturbed.prefillMs(9000) + disturbed.fixedMs).toBeLessThan((sound.prefillMs(9000) + sound.fixedMs) * 1.25)
     })
   })
 
--- a/packages/routing/src/lib/endpoints/EngineModel.ts
+++ b/packages/routing/src/lib/endpoints/EngineModel.ts
@@ -1,104 +1,104 @@
 /**
- * What time an engine takes to a first event, learnt from what every request shows.
+ * Estimates the time that an engine takes to the first event of a request.
  *
- * Answers pools that differ: the same prompt takes 65 ms to read on one and 220 ms on
- * another, and a choice between reading and fetching is only as good as both times. The
- * time is taken as a fixed part, one for each token to read, one for each token that
- * others have to read before (urgent requests overtake some) and one for each running
- * request, fitted by recursive least squares, in which older requests count less. The
- * first hundred requests of a host outweigh what was assumed.
+ * Pools differ: one prefills the same prompt in 65 ms and another in 220 ms, and the choice
+ * between prefilling a prompt and fetching it is only as good as the estimates of both. The
+ * time is modelled as the sum of a fixed part, a time per token to prefill, a time per token
+ * that other requests have to prefill before (urgent requests overtake some of them) and a
+ * time per running request. Recursive least squares fits the coefficients, with less weight
+ * on older requests. The first hundred requests of a host outweigh the initial values.
  */
 
-/** What was to be done before a first event. */
+/** Work that an engine had to do before a first event. */
 export interface EngineLoad {
-  /** Prompt tokens of the request to read. */
+  /** Prompt tokens of the request that have to be prefilled. */
   readonly tokensToRead: number
-  /** Prompt tokens of other requests that are not read yet. */
+  /** Prompt tokens of other requests that are not prefilled yet. */
   readonly tokensAhead: number
   /** Other requests at the engine. */
   readonly requests: number
 }
 
-/** Fixed milliseconds, milliseconds for a thousand tokens of the request and of others, milliseconds for ten running requests. */
+/** Fixed milliseconds, milliseconds per thousand tokens of the request and of other requests, milliseconds per ten running requests. */
 type Coefficients = readonly [fixed: number, reading: number, ahead: number, running: number]
 
-/** Units in which the inputs are fitted, so that all coefficients are of one magnitude. */
+/** Units of the inputs, chosen so that all coefficients have a similar magnitude. */
 const TOKENS_UNIT = 1000
 const REQUESTS_UNIT = 10
 
 /**
- * Assumed until requests say otherwise: 55 ms to a first event, 80 tokens read in a
- * millisecond, and 60 ms more where ten requests run.
+ * Initial estimate: 55 ms to a first event, 80 tokens prefilled in a millisecond, and 60 ms
+ * more where ten requests run.
  */
-const ASSUMED: Coefficients = [55, 12.5, 12.5, 60]
+const INITIAL_COEFFICIENTS: Coefficients = [55, 12.5, 12.5, 60]
 
-/** How far a pool may be from that, as a standard deviation in the same units. */
-const ASSUMED_DEVIATION: Coefficients = [20, 8, 8, 30]
+/** How far a pool may be from the initial estimate, as standard deviations in the same units. */
+const INITIAL_DEVIATIONS: Coefficients = [20, 8, 8, 30]
 
-/** Bounds of what is learnt: 20 to 500 tokens a millisecond, and up to 15 ms for a running request. */
-const LEAST: Coefficients = [5, 2, 0, 0]
-const MOST: Coefficients = [300, 50, 50, 150]
+/** Bounds of the coefficients: 20 to 500 tokens a millisecond, and up to 15 ms for a running request. */
+const MIN_COEFFICIENTS: Coefficients = [5, 2, 0, 0]
+const MAX_COEFFICIENTS: Coefficients = [300, 50, 50, 150]
 
-/** By how much one request departs from the fit, as a standard deviation in milliseconds: work that came at the same moment. */
-const DEVIATION_MS = 60
+/** Standard deviation of one request from the fit, in milliseconds, which comes from work that arrives at the same moment. */
+const NOISE_DEVIATION_MS = 60
 
-/** Departures beyond this count as this, in milliseconds: an engine that fails or stands still says nothing of engines. */
-const MOST_DEPARTURE_MS = 120
+/** Larger residuals are clipped to this, in milliseconds: an engine that fails or stalls says nothing about engine speed. */
+const MAX_RESIDUAL_MS = 120
 
-/** Share of its weight that an earlier request keeps at the next one: some 200 make up the fit. */
-const KEPT_SHARE = 0.995
+/** Factor by which the weight of a request falls with each later one; some 200 requests make up the fit. */
+const FORGETTING_FACTOR = 0.995
 
-/** The fit for one service. */
+/** Fitted model of the engines of one service. */
 export class EngineModel {
-  #coefficients: Coefficients = ASSUMED
-  /** Covariance of the coefficients, in rows. */
-  #covariance: number[][] = ASSUMED_DEVIATION.map((deviation, row) => ASSUMED.map((_, column) => row === column ? deviation ** 2 : 0))
+  #coefficients: Coefficients = INITIAL_COEFFICIENTS
+  /** Covariance of the coefficients, by rows. */
+  #covariance: number[][] = INITIAL_DEVIATIONS.map((deviation, row) => INITIAL_COEFFICIENTS.map((_, column) => row === column ? deviation ** 2 : 0))
 
   /**
-   * Takes a first event.
+   * Updates the fit with the first event of a request.
    *
-   * @param load - what was to be done before it
-   * @param milliseconds - that it took; figures that are not finite are left out
+   * @param load - work that the engine had to do before the event
+   * @param milliseconds - time that it took; a request with a figure that is not finite is ignored
    */
   observe (load: EngineLoad, milliseconds: number): void {
-    const input = inputOf(load)
+    const input = toInput(load)
     if (!Number.isFinite(milliseconds) || !input.every(Number.isFinite)) return
-    const departure = milliseconds - dot(this.#coefficients, input)
-    const bounded = Math.min(MOST_DEPARTURE_MS, Math.max(-MOST_DEPARTURE_MS, departure))
-    const spread = this.#covariance.map(row => dot(row, input))
-    const scale = KEPT_SHARE * DEVIATION_MS ** 2 + dot(spread, input)
-    const gain = spread.map(value => value / scale)
-    this.#coefficients = bound(this.#coefficients.map((value, index) => value + (gain[index] ?? 0) * bounded))
+    const residual = milliseconds - dot(this.#coefficients, input)
+    const boundedResidual = Math.min(MAX_RESIDUAL_MS, Math.max(-MAX_RESIDUAL_MS, residual))
+    const inputCovariance = this.#covariance.map(row => dot(row, input))
+    const scale = FORGETTING_FACTOR * NOISE_DEVIATION_MS ** 2 + dot(inputCovariance, input)
+    const gain = inputCovariance.map(value => value / scale)
+    this.#coefficients = clampCoefficients(this.#coefficients.map((value, index) => value + (gain[index] ?? 0) * boundedResidual))
     this.#covariance = this.#covariance.map((row, index) => row.map((value, column) => {
-      const updated = (value - (gain[index] ?? 0) * (spread[column] ?? 0)) / KEPT_SHARE
-      return index === column ? Math.min(updated, (ASSUMED_DEVIATION[index] ?? 0) ** 2) : updated
+      const updated = (value - (gain[index] ?? 0) * (inputCovariance[column] ?? 0)) / FORGETTING_FACTOR
+      return index === column ? Math.min(updated, (INITIAL_DEVIATIONS[index] ?? 0) ** 2) : updated
     }))
   }
 
   /** Fixed part of the time to a first event, in milliseconds. */
   get fixedMs (): number { return this.#coefficients[0] }
 
-  /** Prompt tokens read in a millisecond. */
+  /** Prompt tokens prefilled in a millisecond. */
   get tokensPerMs (): number { return TOKENS_UNIT / this.#coefficients[1] }
 
   /**
-   * @param tokens - of a request, to read
-   * @returns milliseconds
+   * @param tokens - tokens of the request to prefill
+   * @returns milliseconds that the prefill takes
    */
-  readMs (tokens: number): number {
+  prefillMs (tokens: number): number {
     return tokens / this.tokensPerMs
   }
 
   /**
-   * @param load - of an engine; the tokens of the request itself do not count
-   * @returns milliseconds by which other requests put off the first event
+   * @param load - load of an engine, without the tokens of the request itself
+   * @returns milliseconds by which other requests delay the first event
    */
   waitMs ({ tokensAhead, requests }: Omit<EngineLoad, 'tokensToRead'>): number {
     return tokensAhead / TOKENS_UNIT * this.#coefficients[2] + requests / REQUESTS_UNIT * this.#coefficients[3]
   }
 }
 
-function inputOf ({ tokensToRead, tokensAhead, requests }: EngineLoad): Coefficients {
+function toInput ({ tokensToRead, tokensAhead, requests }: EngineLoad): Coefficients {
   return [1, tokensToRead / TOKENS_UNIT, tokensAhead / TOKENS_UNIT, requests / REQUESTS_UNIT]
 }
 
@@ -106,7 +106,7 @@
   return one.reduce((sum, value, index) => sum + value * (other[index] ?? 0), 0)
 }
 
-function bound (values: readonly number[]): Coefficients {
-  const at = (index: 0 | 1 | 2 | 3): number => Math.min(MOST[index], Math.max(LEAST[index], values[index] ?? 0))
+function clampCoefficients (values: readonly number[]): Coefficients {
+  const at = (index: 0 | 1 | 2 | 3): number => Math.min(MAX_COEFFICIENTS[index], Math.max(MIN_COEFFICIENTS[index], values[index] ?? 0))
   return [at(0), at(1), at(2), at(3)]
 }
--- a/packages/routing/src/lib/endpoints/RequestedPause.ts
+++ b/packages/routing/src/lib/endpoints/RequestedPause.ts
@@ -1,6 +1,6 @@
-/** The time for which an endpoint that rejected a request wants nothing more from this host. */
+/** The pause that an endpoint requests from this host when it rejects a request. */
 
-/** Time for which a request that follows a pause has to be answered before another one may try, in milliseconds. */
+/** Time that the first request after a pause has to be answered before another one may be sent, in milliseconds. */
 const TRIAL_MS = 1000
 
 /** Mutable pause of one endpoint. */
@@ -8,23 +8,23 @@
   #until = Number.NEGATIVE_INFINITY
   #hasAcceptedSince = true
 
-  /** Monotonic milliseconds at which the pause ends, or ended; minus infinity if none was ever asked for. */
+  /** Monotonic milliseconds at which the pause ends or ended; minus infinity if none was ever requested. */
   get until (): number { return this.#until }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether the endpoint wants nothing from this host now
+   * @returns whether the endpoint accepts nothing from this host now
    */
   isActive (now: number): boolean {
     return now < this.#until
   }
 
   /**
-   * After a pause one request goes ahead of the others: an endpoint that still rejects would reject them all.
+   * After a pause, one request is sent ahead of the others, because an endpoint that still rejects would reject them all.
    *
-   * @param lastSentAt - monotonic milliseconds of this host's last send there
+   * @param lastSentAt - monotonic milliseconds of this host's last send to the endpoint
    * @param now - monotonic milliseconds
-   * @returns until when the endpoint gets nothing from this host, in monotonic milliseconds; undefined if it may get a request now
+   * @returns monotonic milliseconds until which the endpoint gets nothing from this host; undefined if it may get a request now
    */
   pausedUntil (lastSentAt: number, now: number): number | undefined {
     if (this.isActive(now)) return this.#until
@@ -32,17 +32,17 @@
     return isOnTrial ? now : undefined
   }
 
-  /** @param now - monotonic milliseconds at which an answer came that is no rejection */
+  /** @param now - monotonic milliseconds at which an answer that is no rejection arrived */
   recordAccepted (now: number): void {
     if (!this.isActive(now)) this.#hasAcceptedSince = true
   }
 
   /**
-   * Takes what a rejection asks for; a pause under way never becomes shorter.
+   * Applies the pause that a rejection requests; an active pause never becomes shorter.
    *
-   * @param milliseconds - from now on
+   * @param milliseconds - length of the pause from now
    * @param now - monotonic milliseconds
-   * @returns whether no pause was under way before
+   * @returns whether no pause was active before
    */
   extend (milliseconds: number, now: number): boolean {
     const isNew = !this.isActive(now)
--- a/packages/routing/src/lib/endpoints/SendTimes.ts
+++ b/packages/routing/src/lib/endpoints/SendTimes.ts
@@ -1,22 +1,22 @@
-/** When one host sent requests to one endpoint. */
+/** Times at which one host sent requests to one endpoint. */
 
-/** Age from which sends are forgotten, in milliseconds: more than any window in which they are counted. */
-const FORGET_MS = 5000
+/** Age from which sends are dropped, in milliseconds; it exceeds every window in which they are counted. */
+const RETENTION_MS = 5000
 
-/** Times of late, in order. */
+/** Recent send times, in ascending order. */
 export class SendTimes {
   #times: number[] = []
 
   /** @param now - monotonic milliseconds of a send */
   add (now: number): void {
-    const kept = this.#times.findIndex(at => at > now - FORGET_MS)
-    if (kept !== 0) this.#times.splice(0, kept < 0 ? this.#times.length : kept)
+    const firstKept = this.#times.findIndex(at => at > now - RETENTION_MS)
+    if (firstKept !== 0) this.#times.splice(0, firstKept < 0 ? this.#times.length : firstKept)
     this.#times.push(now)
   }
 
   /**
    * @param since - monotonic milliseconds
-   * @returns sends since then
+   * @returns number of sends since then
    */
   countSince (since: number): number {
     let count = 0
@@ -25,8 +25,8 @@
   }
 
   /**
-   * @param number - 1 for the newest
-   * @returns its time; minus infinity if there were not as many of late
+   * @param number - rank of the send, 1 for the newest
+   * @returns time of the send; minus infinity if there were fewer recent sends
    */
   newest (number: number): number {
     return this.#times[this.#times.length - number] ?? Number.NEGATIVE_INFINITY
--- a/packages/routing/src/lib/endpoints/Slowness.ts
+++ b/packages/routing/src/lib/endpoints/Slowness.ts
@@ -13,11 +13,11 @@
 const SAMPLE_BOUNDS = { least: 0.4, most: 5 }
 
 /** Time in which what was learnt loses two thirds of its weight, in milliseconds, so that a slow endpoint is tried again. */
-const FORGET_MS = 6000
+const DECAY_MS = 6000
 
 /** Learnt factor of one endpoint. */
 export class Slowness {
-  #logarithm = 0
+  #logFactor = 0
   #observedAt = 0
 
   /**
@@ -31,7 +31,7 @@
     const ratio = actualMs / Math.max(1, estimatedMs)
     const sample = Math.log(Math.min(SAMPLE_BOUNDS.most, Math.max(SAMPLE_BOUNDS.least, ratio)))
     const present = this.#decayed(now)
-    this.#logarithm = present + (sample - present) * SMOOTHING
+    this.#logFactor = present + (sample - present) * SMOOTHING
     this.#observedAt = now
   }
 
@@ -44,6 +44,6 @@
   }
 
   #decayed (now: number): number {
-    return this.#logarithm * Math.exp(-(now - this.#observedAt) / FORGET_MS)
+    return this.#logFactor * Math.exp(-(now - this.#observedAt) / DECAY_MS)
   }
 }
--- a/packages/routing/src/lib/endpoints/StatedRateLimit.ts
+++ b/packages/routing/src/lib/endpoints/StatedRateLimit.ts
@@ -6,7 +6,7 @@
  */
 
 /** Age up to which a host tells the others what it has read, in milliseconds: a few reports, as datagrams get lost. */
-const TELL_MS = 2000
+const REPORTING_MS = 2000
 
 /** Change of a rate that is worth a line, as a part of it: endpoints may work it out anew for each answer. */
 const NOTABLE_CHANGE = 0.25
@@ -22,7 +22,7 @@
 export class StatedRateLimit {
   #requestsPerSecond: number | undefined
   #statedAt = Number.NEGATIVE_INFINITY
-  #readAt = Number.NEGATIVE_INFINITY
+  #observedAt = Number.NEGATIVE_INFINITY
 
   /** As stated last; undefined if it names none. */
   get requestsPerSecond (): number | undefined { return this.#requestsPerSecond }
@@ -39,8 +39,8 @@
    */
   observeAnswer (requestsPerSecond: number | undefined, now: number): boolean {
     // Most endpoints never state a limit; nothing is remembered of those.
-    if (requestsPerSecond !== undefined || this.#requestsPerSecond !== undefined) this.#readAt = now
-    return this.#take(requestsPerSecond, now)
+    if (requestsPerSecond !== undefined || this.#requestsPerSecond !== undefined) this.#observedAt = now
+    return this.#update(requestsPerSecond, now)
   }
 
   /**
@@ -51,7 +51,7 @@
    * @returns whether the limit is notably another one now
    */
   observeStatement ({ requestsPerSecond, statedAgoMs }: RateLimitStatement, now: number): boolean {
-    return this.#take(requestsPerSecond, now - statedAgoMs)
+    return this.#update(requestsPerSecond, now - statedAgoMs)
   }
 
   /**
@@ -59,21 +59,21 @@
    * @returns what the others are to be told; undefined if this host has read nothing of late
    */
   statement (now: number): RateLimitStatement | undefined {
-    if (now - this.#readAt > TELL_MS) return undefined
+    if (now - this.#observedAt > REPORTING_MS) return undefined
     return { requestsPerSecond: this.#requestsPerSecond, statedAgoMs: now - this.#statedAt }
   }
 
-  #take (requestsPerSecond: number | undefined, at: number): boolean {
+  #update (requestsPerSecond: number | undefined, at: number): boolean {
     if (requestsPerSecond === undefined && this.#requestsPerSecond === undefined) return false
     if (at < this.#statedAt) return false
-    const isOther = isOtherRate(requestsPerSecond, this.#requestsPerSecond)
+    const isNotable = isNotableChange(requestsPerSecond, this.#requestsPerSecond)
     this.#requestsPerSecond = requestsPerSecond
     this.#statedAt = at
-    return isOther
+    return isNotable
   }
 }
 
-function isOtherRate (now: number | undefined, before: number | undefined): boolean {
+function isNotableChange (now: number | undefined, before: number | undefined): boolean {
   if (now === undefined || before === undefined) return now !== before
   return Math.abs(now - before) > before * NOTABLE_CHANGE
 }
--- a/packages/routing/src/lib/endpoints/candidates.ts
+++ b/packages/routing/src/lib/endpoints/candidates.ts
@@ -2,7 +2,7 @@
 import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
 import type { AllHeldBack, EndpointQuery, HoldBackReason, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
-import { ejectionReason, isAbsent, sharedFailureShare } from './sharedObservations.js'
+import { ejectionReason, isUnreachableByAll, sharedFailureShare } from './sharedObservations.js'
 
 /** An endpoint with what other hosts have told of it. */
 export interface Candidate {
@@ -13,26 +13,26 @@
 
 /**
  * @param endpoints - all of the service
- * @param ask - what is asked
+ * @param query - what is asked
  * @param now - monotonic milliseconds
  * @returns those that may take the request, or why there is none
  */
-export function candidatesFor (endpoints: readonly EndpointState[], ask: EndpointQuery, now: number): readonly Candidate[] | NoEndpointReason {
-  const present = endpoints.filter(endpoint => !endpoint.isLeaving)
-  if (present.length === 0) return 'none-listed'
-  const allowedThere = present.filter(endpoint => ask.regionBound?.allows(endpoint.listed.dataCentre) !== false)
-  if (allowedThere.length === 0) return 'none-in-regions'
-  const open = allowedThere.filter(endpoint => ask.evacuated?.has(endpoint.listed.dataCentre) !== true)
+export function candidatesFor (endpoints: readonly EndpointState[], query: EndpointQuery, now: number): readonly Candidate[] | NoEndpointReason {
+  const notLeaving = endpoints.filter(endpoint => !endpoint.isLeaving)
+  if (notLeaving.length === 0) return 'none-listed'
+  const inRegions = notLeaving.filter(endpoint => query.regionBound?.allows(endpoint.listed.dataCentre) !== false)
+  if (inRegions.length === 0) return 'none-in-regions'
+  const open = inRegions.filter(endpoint => query.evacuated?.has(endpoint.listed.dataCentre) !== true)
   if (open.length === 0) return 'all-evacuated'
-  const untried = open.filter(endpoint => !ask.excluded.has(endpoint.id))
+  const untried = open.filter(endpoint => !query.excluded.has(endpoint.id))
   if (untried.length === 0) return 'all-tried'
-  const able = ofVersion(untried, ask.prompt)
-  if (able.length === 0) return 'none-of-version'
-  const candidates = able.map(endpoint => asCandidate(endpoint, ask, now))
-  for (const candidate of candidates) noteAbsence(candidate, now)
+  const ofWeights = ofVersion(untried, query.prompt)
+  if (ofWeights.length === 0) return 'none-of-version'
+  const candidates = ofWeights.map(endpoint => asCandidate(endpoint, query, now))
+  for (const candidate of candidates) markIfUnreachable(candidate, now)
   const held = new Set<HoldBackReason>()
   const allowed = candidates.filter(({ endpoint }) => {
-    const reason = ask.holdBackReason?.(endpoint)
+    const reason = query.holdBackReason?.(endpoint)
     if (reason !== undefined) held.add(reason)
     return reason === undefined
   })
@@ -54,25 +54,25 @@
   return desired.length > 0 ? desired : serving
 }
 
-function asCandidate (endpoint: EndpointState, ask: EndpointQuery, now: number): Candidate {
-  const others = ask.others?.at(endpoint.incarnation) ?? NO_WORK
+function asCandidate (endpoint: EndpointState, query: EndpointQuery, now: number): Candidate {
+  const others = query.others?.at(endpoint.incarnation) ?? NO_WORK
   return { endpoint, others, failureShare: sharedFailureShare(endpoint, others, now) }
 }
 
 /** An endpoint that nobody reaches may have started anew by the time that it is reached again. */
-function noteAbsence ({ endpoint, others }: Candidate, now: number): void {
-  if (endpoint.health.isUnreachable(now) || isAbsent(endpoint, others, now)) endpoint.markUnavailable(now)
+function markIfUnreachable ({ endpoint, others }: Candidate, now: number): void {
+  if (endpoint.health.isUnreachable(now) || isUnreachableByAll(endpoint, others, now)) endpoint.markUnavailable(now)
 }
 
 /** Healthy endpoints with room; else any that are healthy, else any. */
 function preferred (candidates: readonly Candidate[], now: number): readonly Candidate[] {
   const meanShare = candidates.reduce((sum, candidate) => sum + candidate.failureShare, 0) / candidates.length
   const healthy = candidates.filter(candidate => isHealthy(candidate, meanShare, now))
-  const able = healthy.length > 0 ? healthy : candidates
-  const idle = able.filter(({ endpoint }) => !endpoint.isBusy(now))
-  const awake = idle.length > 0 ? idle : able
-  const withRoom = awake.filter(({ endpoint }) => !endpoint.isFull(now))
-  return withRoom.length > 0 ? withRoom : awake
+  const eligible = healthy.length > 0 ? healthy : candidates
+  const idle = eligible.filter(({ endpoint }) => !endpoint.isBusy(now))
+  const available = idle.length > 0 ? idle : eligible
+  const withRoom = available.filter(({ endpoint }) => !endpoint.isFull(now))
+  return withRoom.length > 0 ? withRoom : available
 }
 
 function isHealthy ({ endpoint, others, failureShare }: Candidate, meanShare: number, now: number): boolean {
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
@@ -25,7 +25,7 @@
 
 const NOTHING_STORED: StorePlan = { fetches: [], saves: [], storedTokens: 0 }
 
-function promptAsk (overrides: Partial<PromptQuery> = {}): PromptQuery {
+function promptQuery (overrides: Partial<PromptQuery> = {}): PromptQuery {
   return {
     description: {
       model: MODEL,
@@ -47,7 +47,7 @@
   }
 }
 
-function ask (prompt?: PromptQuery, overrides: Partial<EndpointQuery> = {}): EndpointQuery {
+function query (prompt?: PromptQuery, overrides: Partial<EndpointQuery> = {}): EndpointQuery {
   return { excluded: new Set(), dataCentre: 'north', others: undefined, ...(prompt === undefined ? {} : { prompt }), ...overrides }
 }
 
@@ -62,7 +62,7 @@
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       for (const random of [0, 0.3, 0.6, 0.99]) {
-        expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, random)).endpoint.id).toBe(home)
+        expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, random)).endpoint.id).toBe(home)
       }
     })
 
@@ -70,7 +70,7 @@
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       fleet.find(engine => engine.id === home)?.beginRequest(60_000, 60_000, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('go where this host sent them before', () => {
@@ -78,14 +78,14 @@
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const other = fleet.find(engine => engine.id !== home)
       const memory = new PromptMemory()
-      memory.recordSend('v1', promptAsk().description.parts.slice(0, 2), other?.id ?? '', 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), memory, 1000, 0)).endpoint.id).toBe(other?.id)
+      memory.recordSend('v1', promptQuery().description.parts.slice(0, 2), other?.id ?? '', 0)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), memory, 1000, 0)).endpoint.id).toBe(other?.id)
     })
 
     it('need only their own end read where a store holds the rest', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 590_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
-      const choice = chosen(chooseEndpoint(engines(8), ask(promptAsk({ stored: () => stored })), new PromptMemory(), 0, 0))
+      const choice = chosen(chooseEndpoint(engines(8), query(promptQuery({ stored: () => stored })), new PromptMemory(), 0, 0))
       expect(choice.prefill.tokensToRead).toBe(2900)
     })
 
@@ -93,7 +93,7 @@
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'south', cacheTokens: 1e6, linkMbps: 100_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const fleet = [new EndpointState(listed('a')), new EndpointState(listed('b', { dataCentre: 'south' }))]
-      const choice = chosen(chooseEndpoint(fleet, ask(promptAsk({ stored: () => stored })), new PromptMemory(), 0, 0))
+      const choice = chosen(chooseEndpoint(fleet, query(promptQuery({ stored: () => stored })), new PromptMemory(), 0, 0))
       expect(choice.endpoint.listed.dataCentre).toBe('south')
     })
   })
@@ -105,7 +105,7 @@
       const others = new OthersWork()
       others.sent(1, { work: [], links: [] })
       others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 6, pendingTokens: 40_000, heldTokens: 70_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('keep away from an engine whose memory is full, though it reads nothing', () => {
@@ -114,7 +114,7 @@
       const others = new OthersWork()
       others.sent(1, { work: [], links: [] })
       others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 9, pendingTokens: 0, heldTokens: 105_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
   })
 
@@ -124,8 +124,8 @@
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const slow = fleet.find(engine => engine.id === home)
       for (let request = 0; request < 20; request += 1) slow?.slowness.observe(1500, 200, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 60_000, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 60_000, 0)).endpoint.id).toBe(home)
     })
   })
 
@@ -134,28 +134,28 @@
     const fresh = (): EndpointState => new EndpointState(listed('fresh', { models: [{ model: MODEL, version: 2 }] }))
 
     it('are the newest where any engine holds them', () => {
-      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(2)
     })
 
     it('are older ones rather than none', () => {
-      expect(chosen(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(1)
+      expect(chosen(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(1)
     })
 
     it('are not used any more when it would begin on them too late', () => {
-      expect(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
-      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
+      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
     })
 
     // Guards against a stream that is resumed at another engine long after its weights were to be used no more.
     it('hold a stream that goes on elsewhere to the same time, and it goes on under no others', () => {
       const goesOn = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
-        chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptMemory(), 0, 0)
+        chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptMemory(), 0, 0)
       expect(goesOn(0)).toBe('none-of-version')
       expect(chosen(goesOn(60_000)).version).toBe(1)
     })
 
     it('never change under a request that has begun', () => {
-      expect(chooseEndpoint([fresh()], ask(promptAsk({ requiredVersion: 1 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
+      expect(chooseEndpoint([fresh()], query(promptQuery({ requiredVersion: 1 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
     })
   })
 
@@ -163,33 +163,33 @@
     it('are those that leave, whatever an older list says', () => {
       const leaving = new EndpointState(listed('a', { isLeaving: true }))
       leaving.update(listed('a'))
-      expect(chooseEndpoint([leaving], ask(), new PromptMemory(), 0, 0)).toBe('none-listed')
+      expect(chooseEndpoint([leaving], query(), new PromptMemory(), 0, 0)).toBe('none-listed')
     })
 
     it('are those that load weights, while others can take it', () => {
       const fleet = [new EndpointState(listed('a', { isBusy: true })), new EndpointState(listed('b'))]
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).toBe('b')
-      expect(chosen(chooseEndpoint(fleet.slice(0, 1), ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).toBe('a')
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('b')
+      expect(chosen(chooseEndpoint(fleet.slice(0, 1), query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('a')
     })
 
     it('are those that have work and have said nothing for long, while others can take it', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
-      const dark = fleet.find(engine => engine.id === home)
-      dark?.beginRequest(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 100, 0)).endpoint.id).toBe(home)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 1500, 0)).endpoint.id).not.toBe(home)
-      dark?.observeBytes(1500)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 1600, 0)).endpoint.id).toBe(home)
+      const silent = fleet.find(engine => engine.id === home)
+      silent?.beginRequest(0, 0, 0)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 100, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 1500, 0)).endpoint.id).not.toBe(home)
+      silent?.observeBytes(1500)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 1600, 0)).endpoint.id).toBe(home)
     })
 
     it('are those that could not be reached a moment ago, unless all are so', () => {
       const [first, second] = engines(2)
       first?.health.observe('unreachable', 0)
       const both = [first, second].filter(engine => engine !== undefined)
-      expect(chosen(chooseEndpoint(both, ask(), new PromptMemory(), 10, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(both, query(), new PromptMemory(), 10, 0)).endpoint.id).toBe('e1')
       second?.health.observe('unreachable', 0)
-      expect(typeof chooseEndpoint(both, ask(), new PromptMemory(), 10, 0)).toBe('object')
+      expect(typeof chooseEndpoint(both, query(), new PromptMemory(), 10, 0)).toBe('object')
     })
   })
 
@@ -202,16 +202,16 @@
     }
 
     const chooses = (figures: Partial<WorkFigures>, fleet = engines(2)): string =>
-      chosen(chooseEndpoint(fleet, ask(undefined, { others: othersWith(figures) }), new PromptMemory(), 0, 0)).endpoint.id
+      chosen(chooseEndpoint(fleet, query(undefined, { others: othersWith(figures) }), new PromptMemory(), 0, 0)).endpoint.id
 
     it('keeps a host from an endpoint that sends nothing to anybody, though it never sent there itself', () => {
       expect(chooses({ inFlight: 0 })).toBe('e0')
       expect(chooses({ inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }, engines(1))).toBe('e0')
-      const dark = { inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }
+      const silent = { inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }
       const busy = [new EndpointState(listed('e0')), new EndpointState(listed('e1'))]
       for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
-      expect(chooses({ ...dark, lastByteAgoMs: 20 }, busy)).toBe('e0')
-      expect(chooses(dark, busy)).toBe('e1')
+      expect(chooses({ ...silent, lastByteAgoMs: 20 }, busy)).toBe('e0')
+      expect(chooses(silent, busy)).toBe('e1')
     })
 
     it('does not take an endpoint for silent that has only just got its work', () => {
@@ -240,9 +240,9 @@
     it('that are open are used rather than new ones, while the difference is small', () => {
       const fleet = engines(2)
       const hasConnection = (endpoint: EndpointState): boolean => endpoint.id === 'e1'
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
       for (let request = 0; request < 8; request += 1) fleet[1]?.beginRequest(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e0')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e0')
     })
   })
 
@@ -256,13 +256,13 @@
         work: [{ ...NO_WORK, endpoint: 'e0', inFlight: 9, pendingTokens: 0, heldTokens: 0 }, { ...NO_WORK, endpoint: 'e2', inFlight: 7, pendingTokens: 0, heldTokens: 0 }],
         links: []
       }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { others }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { others }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
     })
 
     it('keep away from an endpoint that fails much of what it gets', () => {
       const fleet = engines(2)
       for (let request = 0; request < 12; request += 1) fleet[0]?.health.observe('failure', 0)
-      expect(chosen(chooseEndpoint(fleet, ask(), new PromptMemory(), 100_000, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(), new PromptMemory(), 100_000, 0)).endpoint.id).toBe('e1')
     })
   })
 })
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.ts
@@ -14,50 +14,50 @@
 import type { EndpointQuery, EndpointChoice, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import { estimateEndpoint } from './estimateEndpoint.js'
-import { sample } from './sample.js'
+import { sampleCandidates } from './sampleCandidates.js'
 
 /** Costs within this of the least count as equal, so that hosts with the same view do not all choose the same; in milliseconds. */
-const TIE_MS = 1
+const COST_TIE_MS = 1
 
 /**
  * Chooses among the endpoints of one service.
  *
  * @param endpoints - all of the service
- * @param ask - what is asked
+ * @param query - what is asked
  * @param memory - what engines probably hold
  * @param now - monotonic milliseconds
  * @param random - number in [0, 1) that breaks ties
  * @returns the choice, or why there is none
  */
 export function chooseEndpoint (
-  endpoints: readonly EndpointState[], ask: EndpointQuery, memory: PromptMemory, now: number, random: number
+  endpoints: readonly EndpointState[], query: EndpointQuery, memory: PromptMemory, now: number, random: number
 ): EndpointChoice | NoEndpointReason {
-  const candidates = candidatesFor(endpoints, ask, now)
+  const candidates = candidatesFor(endpoints, query, now)
   if (typeof candidates === 'string') return candidates
-  const home = homeOf(candidates, ask)
+  const home = findHomeId(candidates, query)
   const holders = new Map<number, PromptHolders>()
-  const looked = sample(candidates, random, ({ endpoint }) =>
-    endpoint.id === home || (holdersFor(endpoint, ask.prompt, memory, holders, now)?.tokensAt(endpoint.incarnation) ?? 0) > 0)
-  const choices = looked.map(candidate =>
-    estimateEndpoint(candidate, ask, candidate.endpoint.id === home, holdersFor(candidate.endpoint, ask.prompt, memory, holders, now), now))
-  const chosen = leastOf(choices, random)
+  const sampled = sampleCandidates(candidates, random, ({ endpoint }) =>
+    endpoint.id === home || (holdersFor(endpoint, query.prompt, memory, holders, now)?.tokensAt(endpoint.incarnation) ?? 0) > 0)
+  const choices = sampled.map(candidate =>
+    estimateEndpoint(candidate, query, candidate.endpoint.id === home, holdersFor(candidate.endpoint, query.prompt, memory, holders, now), now))
+  const chosen = pickCheapest(choices, random)
   if (chosen === undefined) return 'none-listed'
-  return beginsInTime(chosen, ask.prompt) ? chosen : 'none-of-version'
+  return startsInTime(chosen, query.prompt) ? chosen : 'none-of-version'
 }
 
-function leastOf (choices: readonly EndpointChoice[], random: number): EndpointChoice | undefined {
+function pickCheapest (choices: readonly EndpointChoice[], random: number): EndpointChoice | undefined {
   const least = Math.min(...choices.map(choice => choice.costMs))
-  const ties = choices.filter(choice => choice.costMs <= least + TIE_MS)
+  const ties = choices.filter(choice => choice.costMs <= least + COST_TIE_MS)
   return ties[Math.floor(random * ties.length)]
 }
 
 /** Whether a request that falls back to older weights, or goes on under them, will begin while that is allowed. */
-function beginsInTime ({ version, estimatedMs }: EndpointChoice, prompt: PromptQuery | undefined): boolean {
+function startsInTime ({ version, estimatedMs }: EndpointChoice, prompt: PromptQuery | undefined): boolean {
   if (prompt === undefined || version === undefined) return true
   return version >= prompt.desiredVersion || estimatedMs < prompt.remainingMsOn(version)
 }
 
-function homeOf (candidates: readonly Candidate[], { prompt, homeEndpoint: findHome = homeEndpoint }: EndpointQuery): string | undefined {
+function findHomeId (candidates: readonly Candidate[], { prompt, homeEndpoint: findHome = homeEndpoint }: EndpointQuery): string | undefined {
   const shared = prompt === undefined ? undefined : sharedPartOf(prompt.description)
   return shared === undefined ? undefined : findHome(shared.id, candidates.map(({ endpoint }) => endpoint.id))
 }
--- a/packages/routing/src/lib/endpoints/hostDraw.ts
+++ b/packages/routing/src/lib/endpoints/hostHashFraction.ts
@@ -9,6 +9,6 @@
  * @param incarnation - of an endpoint
  * @returns number in [0, 1), always the same for this pair and spread evenly over all pairs
  */
-export function hostDraw (host: string, incarnation: string): number {
+export function hostHashFraction (host: string, incarnation: string): number {
   return mix32(crc32(`${host} ${incarnation}`)) / RANGE_32
 }
--- a/packages/routing/src/lib/endpoints/planReading.test.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.test.ts
@@ -5,7 +5,7 @@
 import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
-import { planReading } from './planReading.js'
+import { planPrefill } from './planPrefill.js'
 import type { PrefillPlan } from './prefillPlan.js'
 
 const fast: StoreService = { type: 'store', name: 'fast', address: '10.0.0.1:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 400_000, firstByteMs: 1, isManaged: true }
@@ -22,12 +22,12 @@
 const chat = [{ id: 'house', tokens: 120 }, { id: 'flat', tokens: 530 }, { id: 'question', tokens: 180 }]
 
 function plan (
-  fetches: ReadonlyArray<StoreService | undefined>, links: StoreLinks, memory = new PromptMemory(), chain = parts, leftToObjectiveMs = 600
+  fetches: ReadonlyArray<StoreService | undefined>, links: StoreLinks, memory = new PromptMemory(), chain = parts, objectiveRemainingMs = 600
 ): PrefillPlan {
   const prompt: PromptQuery = {
     description: { model: 'm', promptTokens: chain.reduce((sum, part) => sum + part.tokens, 0), outputTokens: 20, parts: chain },
     desiredVersion: 1,
-    objectiveRemainingMs: leftToObjectiveMs,
+    objectiveRemainingMs,
     remainingMsOn: () => Number.POSITIVE_INFINITY,
     requiredVersion: undefined,
     engine: new EngineModel(),
@@ -37,7 +37,7 @@
     links,
     bytesPerToken: BYTES_PER_TOKEN
   }
-  return planReading(engine, prompt, 1, false, memory.holders('v1', chain.slice(0, -1), 0), 0)
+  return planPrefill(engine, prompt, 1, false, memory.holders('v1', chain.slice(0, -1), 0), 0)
 }
 
 /** Links over which so many prompts of this size are under way. */
@@ -115,7 +115,7 @@
     })
 
     it('puts the price of reading again on what it holds', () => {
-      expect(plan([fast, fast], busyWith(20, fast)).againMs).toBeGreaterThan(100)
+      expect(plan([fast, fast], busyWith(20, fast)).recomputeCostMs).toBeGreaterThan(100)
     })
   })
 })
--- a/packages/routing/src/lib/endpoints/planReading.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.ts
@@ -14,26 +14,26 @@
 import { EMPTY_PREFILL_PLAN, type PrefillPlan } from './prefillPlan.js'
 
 /** Chance that the home of a part holds it although this host has not sent it there: other hosts have. */
-const HOME_CHANCE = 0.6
+const HOME_HIT_PROBABILITY = 0.6
 
 /**
  * What reading a shared token again costs beyond its time, in milliseconds. Work that
  * was done once is not to be paid for again: by the users' prices, reading the shared
  * 5,000 tokens of a quote again loses as much as being late with it.
  */
-const READ_AGAIN_MS_PER_TOKEN = 0.05
+const RECOMPUTE_COST_MS_PER_TOKEN = 0.05
 
 /**
  * What a first event after its objective costs, in milliseconds: more than reading all of
  * a quote again, because for its caller being on time goes before what the reading costs.
  */
-const LATE_MS = 500
+const LATE_COST_MS = 500
 
 /**
  * Shares of the time to the objective up to which a first event will be on time, and from
  * which it will be late: three in four come within 1.3 times the estimate.
  */
-const SAFE_SHARE = 0.6
+const ON_TIME_SHARE = 0.6
 const LATE_SHARE = 1.2
 
 /**
@@ -43,10 +43,10 @@
  * again for a backlog of 40 ms (of 2,306 whose parts were stored 1,994 did without the fetch); weighed less over slow ones, prompts
  * wait for them until they are late.
  */
-const SOUND_FETCHING_WEIGHT = 0.3
+const HEALTHY_LINK_FETCH_WEIGHT = 0.3
 
 /** What any fetch costs beside its bytes, in milliseconds: its place on the links, and its price. */
-const FETCH_MS = 3
+const FETCH_OVERHEAD_MS = 3
 
 /**
  * @param endpoint - an engine
@@ -56,38 +56,38 @@
  * @param holders - which engines probably hold the prompt
  * @param now - monotonic milliseconds
  */
-export function planReading (
+export function planPrefill (
   endpoint: EndpointState, prompt: PromptQuery, version: number, isHome: boolean, holders: PromptHolders, now: number
 ): PrefillPlan {
   const shared = prompt.description.parts.slice(0, -1)
   const sharedTokens = sumTokens(shared)
   const known = holders.tokensAt(endpoint.incarnation)
-  const held = isHome ? Math.max(known, sharedTokens * HOME_CHANCE) : known
+  const held = isHome ? Math.max(known, sharedTokens * HOME_HIT_PROBABILITY) : known
   const stored = storedParts(shared, prompt.stored(version).fetches)
-  const fetches = worthFetching(endpoint, prompt, stored, now)
-  const { transfers, fetchMs, slowest } = transfersOf(endpoint, prompt, fetches, held, now)
+  const fetches = chooseFetches(endpoint, prompt, stored, now)
+  const { transfers, fetchMs, slowest } = planTransfers(endpoint, prompt, fetches, held, now)
   const sharedToRead = Math.max(0, sharedTokens - Math.max(held, fetches.at(-1)?.end ?? 0))
-  const wasReadBefore = holders.isHeldAnywhere || stored.length > fetches.length
+  const wasComputedBefore = holders.isHeldAnywhere || stored.length > fetches.length
   return {
     tokensToRead: Math.max(0, prompt.description.promptTokens - sharedTokens) + sharedToRead,
     partsFromStores: fetches.length,
     transfers,
     fetchMs,
     slowest,
-    againMs: wasReadBefore ? sharedToRead * READ_AGAIN_MS_PER_TOKEN : 0
+    recomputeCostMs: wasComputedBefore ? sharedToRead * RECOMPUTE_COST_MS_PER_TOKEN : 0
   }
 }
 
 /** A part, the store that holds it, and the tokens of the chain up to its end. */
-interface PartInStore {
+interface StoredPart {
   readonly part: PromptPart
   readonly store: StoreService
   readonly end: number
 }
 
 /** The unbroken beginning of the chain that stores hold: what follows a gap is of no use. */
-function storedParts (shared: readonly PromptPart[], fetches: ReadonlyArray<StoreService | undefined>): PartInStore[] {
-  const stored: PartInStore[] = []
+function storedParts (shared: readonly PromptPart[], fetches: ReadonlyArray<StoreService | undefined>): StoredPart[] {
+  const stored: StoredPart[] = []
   let end = 0
   for (const [index, part] of shared.entries()) {
     const store = fetches[index]
@@ -99,13 +99,13 @@
 }
 
 /** The leading parts with the least cost of fetching them and reading the others. */
-function worthFetching (endpoint: EndpointState, prompt: PromptQuery, stored: readonly PartInStore[], now: number): readonly PartInStore[] {
+function chooseFetches (endpoint: EndpointState, prompt: PromptQuery, stored: readonly StoredPart[], now: number): readonly StoredPart[] {
   const tokens = stored.at(-1)?.end ?? 0
-  let best: readonly PartInStore[] = []
+  let best: readonly StoredPart[] = []
   let leastMs = costOf(EMPTY_PREFILL_PLAN, tokens, prompt)
   for (let count = 1; count <= stored.length; count += 1) {
     const fetched = stored.slice(0, count)
-    const costMs = costOf(transfersOf(endpoint, prompt, fetched, 0, now), tokens - (fetched.at(-1)?.end ?? 0), prompt)
+    const costMs = costOf(planTransfers(endpoint, prompt, fetched, 0, now), tokens - (fetched.at(-1)?.end ?? 0), prompt)
     if (costMs > leastMs) continue
     leastMs = costMs
     best = fetched
@@ -114,24 +114,24 @@
 }
 
 /** Cost of fetching, and of reading so many tokens that stores hold. */
-function costOf ({ fetchMs, slowest }: Pick<PrefillPlan, 'fetchMs' | 'slowest'>, tokens: number, { engine, objectiveRemainingMs: leftToObjectiveMs, description }: PromptQuery): number {
+function costOf ({ fetchMs, slowest }: Pick<PrefillPlan, 'fetchMs' | 'slowest'>, tokens: number, { engine, objectiveRemainingMs, description }: PromptQuery): number {
   const ownTokens = description.parts.at(-1)?.tokens ?? 0
-  const riskMs = LATE_MS * lateRisk(fetchMs + engine.readMs(tokens + ownTokens), leftToObjectiveMs)
-  const slowed = Math.min(1, Math.max(0, slowest?.doublings ?? 0))
-  const weight = SOUND_FETCHING_WEIGHT + (1 - SOUND_FETCHING_WEIGHT) * slowed
-  return fetchMs * weight + engine.readMs(tokens) + tokens * READ_AGAIN_MS_PER_TOKEN + riskMs
+  const lateCostMs = LATE_COST_MS * lateProbability(fetchMs + engine.prefillMs(tokens + ownTokens), objectiveRemainingMs)
+  const slowdown = Math.min(1, Math.max(0, slowest?.doublings ?? 0))
+  const weight = HEALTHY_LINK_FETCH_WEIGHT + (1 - HEALTHY_LINK_FETCH_WEIGHT) * slowdown
+  return fetchMs * weight + engine.prefillMs(tokens) + tokens * RECOMPUTE_COST_MS_PER_TOKEN + lateCostMs
 }
 
 /** Chance of a first event to be late, from 0 to 1. */
-function lateRisk (estimatedMs: number, leftToObjectiveMs: number): number {
-  if (leftToObjectiveMs <= 0) return 1
-  const share = estimatedMs / leftToObjectiveMs
-  return Math.min(1, Math.max(0, (share - SAFE_SHARE) / (LATE_SHARE - SAFE_SHARE)))
+function lateProbability (estimatedMs: number, objectiveRemainingMs: number): number {
+  if (objectiveRemainingMs <= 0) return 1
+  const share = estimatedMs / objectiveRemainingMs
+  return Math.min(1, Math.max(0, (share - ON_TIME_SHARE) / (LATE_SHARE - ON_TIME_SHARE)))
 }
 
 /** Stores send side by side, so the slowest decides; parts that the engine holds move no bytes. */
-function transfersOf (
-  endpoint: EndpointState, prompt: PromptQuery, parts: readonly PartInStore[], held: number, now: number
+function planTransfers (
+  endpoint: EndpointState, prompt: PromptQuery, parts: readonly StoredPart[], held: number, now: number
 ): Pick<PrefillPlan, 'transfers' | 'fetchMs' | 'slowest'> {
   const { dataCentre } = endpoint.listed
   const missing = parts.filter(({ end }) => end > held)
@@ -144,8 +144,8 @@
     const before = sendingMs.get(store) ?? store.firstByteMs + prompt.links.backlogMs(store, now)
     const untilSentMs = before + prompt.links.transferMs(transfer, now)
     sendingMs.set(store, untilSentMs)
-    if (untilSentMs + FETCH_MS <= fetchMs) continue
-    fetchMs = untilSentMs + FETCH_MS
+    if (untilSentMs + FETCH_OVERHEAD_MS <= fetchMs) continue
+    fetchMs = untilSentMs + FETCH_OVERHEAD_MS
     slowest = { transfer, doublings: prompt.links.doublings(store, dataCentre, now) }
   }
   return { transfers, fetchMs, slowest }
--- a/packages/routing/src/lib/endpoints/prefillPlan.ts
+++ b/packages/routing/src/lib/endpoints/prefillPlan.ts
@@ -14,10 +14,10 @@
   /** The transfer that takes longest, and the doublings of its link's stated time that are believed; undefined without transfers. */
   readonly slowest: { readonly transfer: StoreTransfer, readonly doublings: number } | undefined
   /** Price of reading again what somebody has read before, in milliseconds. */
-  readonly againMs: number
+  readonly recomputeCostMs: number
 }
 
 /** Of a request without a prompt. */
 export const EMPTY_PREFILL_PLAN: PrefillPlan = {
-  tokensToRead: 0, partsFromStores: 0, transfers: [], fetchMs: 0, slowest: undefined, againMs: 0
+  tokensToRead: 0, partsFromStores: 0, transfers: [], fetchMs: 0, slowest: undefined, recomputeCostMs: 0
 }
--- a/packages/routing/src/lib/endpoints/sample.test.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
@@ -6,7 +6,7 @@
 import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
-import { sample } from './sample.js'
+import { sampleCandidates } from './sampleCandidates.js'
 
 /** Repeatable numbers in [0, 1). */
 function numbers (seed: number): () => number {
@@ -21,14 +21,14 @@
 
 describe('sample', () => {
   it('looks at all of a few', () => {
-    expect(sample(numbered(13), 0.3, () => false)).toEqual(numbered(13))
+    expect(sampleCandidates(numbered(13), 0.3, () => false)).toEqual(numbered(13))
   })
 
   it('draws a few of many, evenly, and never leaves out what is always looked at', () => {
     const random = numbers(5)
     const counts = new Map<number, number>()
     for (let request = 0; request < 5000; request += 1) {
-      const looked = sample(numbered(98), random(), candidate => candidate === 42)
+      const looked = sampleCandidates(numbered(98), random(), candidate => candidate === 42)
       expect(looked.length).toBeLessThanOrEqual(9)
       expect(looked).toContain(42)
       for (const candidate of looked) counts.set(candidate, (counts.get(candidate) ?? 0) + 1)
--- a/packages/routing/src/lib/endpoints/sample.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.ts
@@ -11,28 +11,28 @@
 import { mix32 } from '../prompts/homeEndpoint.js'
 
 /** Candidates up to which all are looked at, in today's small deployments: 13 engines, 8 hosts. */
-const LOOK_AT_ALL = 16
+const UNSAMPLED_LIMIT = 16
 
 /** Candidates drawn from more: enough that the best of them is among the least busy tenth most of the time. */
-const DRAWN = 8
+const SAMPLE_SIZE = 8
 
 const RANDOM_RANGE = 2 ** 32
 
 /**
  * @param candidates - all that may be chosen
  * @param random - number in [0, 1)
- * @param isAlways - whether a candidate is looked at in any case
+ * @param isRequired - whether a candidate is looked at in any case
  * @returns those to look at, each once
  */
-export function sample<Candidate> (
-  candidates: readonly Candidate[], random: number, isAlways: (candidate: Candidate) => boolean
+export function sampleCandidates<Candidate> (
+  candidates: readonly Candidate[], random: number, isRequired: (candidate: Candidate) => boolean
 ): readonly Candidate[] {
-  if (candidates.length <= LOOK_AT_ALL) return candidates
-  const looked = new Set(candidates.filter(isAlways))
+  if (candidates.length <= UNSAMPLED_LIMIT) return candidates
+  const sampled = new Set(candidates.filter(isRequired))
   const seed = Math.floor(random * RANDOM_RANGE)
-  for (let draw = 1; draw <= DRAWN; draw += 1) {
+  for (let draw = 1; draw <= SAMPLE_SIZE; draw += 1) {
     const drawn = candidates[mix32(seed + Math.imul(draw, 0x9e3779b1)) % candidates.length]
-    if (drawn !== undefined) looked.add(drawn)
+    if (drawn !== undefined) sampled.add(drawn)
   }
-  return [...looked]
+  return [...sampled]
 }
--- a/packages/routing/src/lib/endpoints/sharedObservations.ts
+++ b/packages/routing/src/lib/endpoints/sharedObservations.ts
@@ -19,19 +19,19 @@
 const SILENT_TO_ALL_MS = 500
 
 /** Requests under way that make silence count: one or two may all be waiting for their first event. */
-const SILENT_REQUESTS = 3
+const MIN_SILENT_REQUESTS = 3
 
 /** Hosts that must find an endpoint out of reach before others follow: one alone may have lost its own way. */
-const FOLLOWED_AVOIDERS = 2
+const MIN_AVOIDERS = 2
 
 /** Age up to which this host's own word from an endpoint goes before the others', in milliseconds. */
-const OWN_WORD_MS = 1000
+const OWN_CONTACT_MS = 1000
 
 /** Age up to which a byte from an endpoint says that it lives, whatever others say, in milliseconds: less than it takes to find that it does not. */
-const HEARD_MS = 300
+const ALIVE_AFTER_BYTE_MS = 300
 
 /** Successes that an endpoint is credited with at first, so that one failure settles nothing. */
-const CREDITED_SUCCESSES = 8
+const PRIOR_SUCCESSES = 8
 
 /**
  * Failure share, beyond that of the service, above which an endpoint gets no work
@@ -46,7 +46,7 @@
  * @returns whether it has work and has sent nothing to anybody for long
  */
 function isSilentToAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
-  if (endpoint.inFlight + others.inFlight < SILENT_REQUESTS) return false
+  if (endpoint.inFlight + others.inFlight < MIN_SILENT_REQUESTS) return false
   const lastByteAgoMs = Math.min(endpoint.lastByteAgoMs(now), others.lastByteAgoMs)
   const waitedMs = Math.max(endpoint.waitedMs(now), others.waitedMs)
   return lastByteAgoMs > SILENT_TO_ALL_MS && waitedMs > SILENT_TO_ALL_MS
@@ -59,7 +59,7 @@
  * @returns whether it answers nobody, and has sent nothing to this host since that was found
  */
 export function isUnresponsive (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
-  return others.unresponsive > 0 && endpoint.lastByteAgoMs(now) > HEARD_MS
+  return others.unresponsive > 0 && endpoint.lastByteAgoMs(now) > ALIVE_AFTER_BYTE_MS
 }
 
 /**
@@ -69,7 +69,7 @@
  * @returns whether other hosts could not reach it, and this host knows nothing better
  */
 function isAvoidedByOthers (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
-  return others.avoiders >= FOLLOWED_AVOIDERS && endpoint.lastByteAgoMs(now) > OWN_WORD_MS
+  return others.avoiders >= MIN_AVOIDERS && endpoint.lastByteAgoMs(now) > OWN_CONTACT_MS
 }
 
 /**
@@ -78,7 +78,7 @@
  * @param now - monotonic milliseconds
  * @returns whether nobody reaches it, as far as all hosts have seen
  */
-export function isAbsent (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+export function isUnreachableByAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
   return isUnresponsive(endpoint, others, now) || isAvoidedByOthers(endpoint, others, now)
 }
 
@@ -89,10 +89,10 @@
  * @returns share of requests that failed there lately, over all hosts
  */
 export function sharedFailureShare (endpoint: EndpointState, others: WorkFigures, now: number): number {
-  const own = endpoint.health.recent(now)
+  const own = endpoint.health.recentOutcomes(now)
   const outcomes = own.outcomes + others.outcomes
   const failures = own.failures + others.failures
-  return Math.max(endpoint.health.failureShare, failures / (outcomes + CREDITED_SUCCESSES))
+  return Math.max(endpoint.health.failureShare, failures / (outcomes + PRIOR_SUCCESSES))
 }
 
 /** Why an endpoint gets no work if others can take it, by what all hosts have seen. */
--- a/packages/routing/src/lib/places/RegionBound.test.ts
+++ b/packages/routing/src/lib/places/RegionBound.test.ts
@@ -34,16 +34,16 @@
   const store = (name: string, dataCentre: string): StoreService =>
     ({ type: 'store', name, address: name, dataCentre, cacheTokens: 1000, linkMbps: 1000, firstByteMs: 1, isManaged: true })
   const bound = regionBoundOf({ allowedRegions: ['plain'] }, undefined, REGIONS)
-  const ask = { excluded: new Set<string>(), dataCentre: 'hall-a', others: undefined, regionBound: bound }
+  const query = { excluded: new Set<string>(), dataCentre: 'hall-a', others: undefined, regionBound: bound }
 
   it('goes to an endpoint there, however far and busy it is', () => {
     const far = new EndpointState(listed('far', 'hall-c'))
     for (let sent = 0; sent < 30; sent += 1) far.beginRequest(0, 0, 0)
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], ask, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], query, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
   })
 
   it('has no endpoint where there is none, and the reason says so', () => {
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], ask, new PromptMemory(), 0, 0)).toBe('none-in-regions')
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], query, new PromptMemory(), 0, 0)).toBe('none-in-regions')
   })
 
   it('is kept in stores there only, and not under the name that other prompts use', () => {
