--- a/packages/routing/src/lib/admission/RouteDurations.ts
+++ b/packages/routing/src/lib/admission/RouteDurations.ts
@@ -1,26 +1,26 @@
 /**
- * How long requests of each route take, whole.
+ * Predicts how long a whole request of each route takes.
  *
- * Tells a stopping host which of its last requests will still end in time. Streams are
- * estimated by the tokens that their callers ask for, since lengths within a route differ
- * by a factor of ten and more.
+ * A host that is stopping uses this to decide which of its last requests will still end in time.
+ * The prediction for streams uses the number of tokens that their callers ask for, because
+ * lengths within a route differ by a factor of ten and more.
  */
 import { RecentQuantile } from './RecentQuantile.js'
 
-/** Share of requests that take less than the estimate. */
+/** Share of requests that take less time than predicted. */
 const QUANTILE = 0.9
 
-/** Durations of the requests of one host. */
+/** Durations of the requests of one host, by route. */
 export class RouteDurations {
   readonly #routes = new Map<string, { readonly start: RecentQuantile, readonly perToken: RecentQuantile }>()
 
   /**
-   * Takes a request that was answered whole.
+   * Records a request that was answered completely.
    *
-   * @param route - its route
+   * @param route - route of the request
    * @param startMs - time to its first event, or to the whole answer where there are no events
    * @param restMs - time from there to the end
-   * @param outputTokens - tokens asked for, 0 if unknown
+   * @param outputTokens - number of tokens asked for; 0 if unknown
    */
   record (route: string, startMs: number, restMs: number, outputTokens: number): void {
     const durations = this.#routes.get(route) ?? { start: new RecentQuantile(), perToken: new RecentQuantile() }
@@ -31,8 +31,8 @@
 
   /**
    * @param route - route of a request
-   * @param outputTokens - tokens asked for, 0 if unknown
-   * @returns milliseconds within which nine in ten such requests end; undefined if none was seen
+   * @param outputTokens - number of tokens asked for; 0 if unknown
+   * @returns milliseconds within which nine in ten such requests end; undefined if the route has none yet
    */
   expectedMs (route: string, outputTokens: number): number | undefined {
     const durations = this.#routes.get(route)
--- a/packages/routing/src/lib/admission/admitStream.test.ts
+++ b/packages/routing/src/lib/admission/admitStream.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe('callerPatienceMs', () => {
-  it('is the longest of the three', () => {
+  it('is the longest of the fixed gap and the multiples of objective and pause', () => {
     expect(callerPatienceMs(DIGEST)).toBe(2400)
     expect(callerPatienceMs({ ...DIGEST, targetLatencyMs: 300, longestPauseMs: 100 })).toBe(2000)
     expect(callerPatienceMs({ ...DIGEST, longestPauseMs: 400 })).toBe(3200)
@@ -20,59 +20,59 @@
 })
 
 describe('admitStream', () => {
-  it('sends what can be on time, and what may still be', () => {
+  it('sends a stream that will be on time or may still be', () => {
     expect(admit(0, 300, 9000)).toEqual({ kind: 'send', isExpectedLate: false })
     expect(admit(0, 700, 9000)).toEqual({ kind: 'send', isExpectedLate: false })
   })
 
-  it('sends what is late but awaited behind what can be on time', () => {
+  it('sends a late stream whose caller still waits behind those that can be on time', () => {
     expect(admit(0, 1500, 9000)).toEqual({ kind: 'send', isExpectedLate: true })
     expect(engineRank(1, 0, true)).toBeGreaterThan(engineRank(1, 2, false))
   })
 
-  it('counts the time that the request has waited already', () => {
+  it('counts the time that the request has already waited', () => {
     expect(admit(500, 400, 9000)).toEqual({ kind: 'send', isExpectedLate: true })
   })
 
-  it('refuses at once what no caller waits for, and says when to come back', () => {
+  it('refuses at once a stream for which no caller waits, and says when to retry', () => {
     const admission = admit(0, 4000, 9000)
     expect(admission).toEqual({ kind: 'refuse', cause: 'wait', retryAfterMs: 2800 })
   })
 
-  it('refuses what can\'t begin before its time is over', () => {
+  it('refuses a stream that can\'t begin before its deadline', () => {
     expect(admit(0, 900, 500).kind).toBe('refuse')
   })
 })
 
 describe('engines whose memory is full', () => {
-  it('get no further large request, which waits until its objective has passed and is then refused', () => {
+  it('get no more large requests, which wait until their objective has passed and are then refused', () => {
     expect(admit(0, 100, 9000, { own: 0.1, all: 0.95 }).kind).toBe('wait')
     expect(admit(500, 100, 9000, { own: 0.1, all: 0.95 }).kind).toBe('wait')
     expect(admit(700, 100, 9000, { own: 0.1, all: 0.95 })).toEqual({ kind: 'refuse', cause: 'engine-memory', retryAfterMs: 600 })
   })
 
-  it('get small requests all the same', () => {
+  it('still get small requests', () => {
     expect(admit(0, 100, 9000, { own: 0.02, all: 1.1 }).kind).toBe('send')
   })
 
-  it('get a request that is larger than the limit when they have nothing else', () => {
+  it('get a request that is larger than the limit if they have no other work', () => {
     expect(admit(0, 100, 9000, { own: 0.95, all: 0.95 }).kind).toBe('send')
   })
 
-  it('do not matter where memory is not stated', () => {
+  it('are not considered full where memory is not stated', () => {
     expect(admit(0, 100, 9000, { own: 0, all: 0 }).kind).toBe('send')
   })
 })
 
-describe('engines that have much to read', () => {
+describe('engines with a long prefill backlog', () => {
   const context = { waitedMs: 0, remainingMs: 9000, ownMemoryShare: 0.1, memoryShare: 0.5, tokensToRead: 2900, tokensAhead: 30_000 }
 
-  it('get no further long request while that can still be on time', () => {
+  it('get no more long requests while those can wait and still be on time', () => {
     expect(admitStream(DIGEST, { ...context, estimatedMs: 300 }).kind).toBe('wait')
     expect(admitStream(DIGEST, { ...context, estimatedMs: 300, tokensAhead: 8000 }).kind).toBe('send')
   })
 
-  it('get it before it would be late', () => {
+  it('get a long request before it would be late', () => {
     expect(admitStream(DIGEST, { ...context, waitedMs: 200, estimatedMs: 300 }).kind).toBe('send')
   })
 
@@ -89,7 +89,7 @@
     expect(admitStream(DIGEST, { ...late, tokensAhead: 40_000, ownMemoryShare: 0.1, memoryShare: 0.1 }).kind).toBe('send')
   })
 
-  it('give way to what can still be on time, while they are long', () => {
+  it('wait behind requests that can still be on time, while they are long', () => {
     expect(admitStream(DIGEST, { ...late, tokensAhead: 4000 }).kind).toBe('wait')
     expect(admitStream(DIGEST, { ...late, memoryShare: 0.7 }).kind).toBe('wait')
     expect(admitStream(DIGEST, { ...late, tokensAhead: 4000, tokensToRead: 600 }).kind).toBe('send')
@@ -105,7 +105,7 @@
 })
 
 describe('engineRank', () => {
-  it('puts the customer before the route, and stays within what engines know', () => {
+  it('ranks by customer before route, and stays within the ranks that engines accept', () => {
     expect(engineRank(0, 2, false)).toBeLessThan(engineRank(1, 0, false))
     expect(engineRank(1, 0, false)).toBeLessThan(engineRank(1, 1, false))
     for (const customer of [undefined, 0, 1, 5]) {
--- a/packages/routing/src/lib/admission/admitStream.ts
+++ b/packages/routing/src/lib/admission/admitStream.ts
@@ -1,49 +1,49 @@
 /**
- * Whether a stream is sent to an engine, and how urgently, once its wait is estimated.
+ * Decides whether and how urgently a stream is sent to an engine, given its estimated wait.
  *
- * Answers the load in which engines' queues have grown past the time that counts:
- * served in order, every request is then late, and those whose callers have left
- * are read all the same. Three bands keep that from lasting:
- * - on time: sent, ranked by customer and route;
- * - late but still awaited: sent behind everything that can be on time;
- * - later than any caller waits: refused at once, with the time to come back.
+ * When the queues of engines are longer than the time that callers wait, serving them in
+ * order makes every request late, and prompts are prefilled for callers that have left.
+ * Three cases prevent this:
+ * - A stream that can be on time is sent, ranked by customer and route.
+ * - A stream that is late but whose caller still waits is sent behind all that can be on time.
+ * - A stream that is later than any caller waits is refused at once, with the time after which to retry.
  *
- * Large requests wait for memory here and not in an engine (see {@link AdmissionLimits}),
- * and long ones for their turn to be read (likewise).
+ * Large requests wait for memory here instead of in an engine, and long ones wait here for
+ * their prefill (see {@link AdmissionLimits}).
  */
 import type { Route } from '@eelgrassmux/schema/site/siteSchema'
 
-/** What becomes of a stream. */
+/** Decision on a stream. */
 export type StreamAdmission =
   | { readonly kind: 'send', readonly isExpectedLate: boolean }
-  /** No engine has memory for it now; look again in a moment. */
+  /** The engine has no memory for the stream or too much to prefill now; admission is tried again shortly. */
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse', readonly cause: 'engine-memory' | 'wait', readonly retryAfterMs: number }
 
-/** What is known of a stream and of the best engine for it. */
+/** Estimates for a stream on the best engine for it. */
 export interface StreamContext {
   /** Milliseconds since the request arrived. */
   readonly waitedMs: number
-  /** Milliseconds until its first event, from now. */
+  /** Milliseconds from now until its first event. */
   readonly estimatedMs: number
-  /** Milliseconds until the request's time is over. */
+  /** Milliseconds until the deadline of the request. */
   readonly remainingMs: number
-  /** Share of the engine's memory that the request alone needs, 0 if unknown. */
+  /** Share of the engine's memory that this request alone needs; 0 if unknown. */
   readonly ownMemoryShare: number
-  /** Share of the engine's memory in use with this request; 0 if unknown. */
+  /** Share of the engine's memory that is in use including this request; 0 if unknown. */
   readonly memoryShare: number
-  /** Prompt tokens that the engine has to read for this request. */
+  /** Prompt tokens that the engine has to prefill for this request. */
   readonly tokensToRead: number
-  /** Prompt tokens that it has to read before, for all hosts. */
+  /** Prompt tokens that the engine has to prefill before, for the requests of all hosts. */
   readonly tokensAhead: number
 }
 
-/** Callers leave a stream after the longest of these: a fixed gap, and multiples of its objective and its longest pause. */
+/** Callers leave a stream after the longest of a fixed gap, a multiple of its latency objective and a multiple of its longest pause. */
 const MIN_CALLER_PATIENCE_MS = 2000
 const PATIENCE_PER_OBJECTIVE = 4
 const PATIENCE_PER_PAUSE = 8
 
-/** Estimates are right to about this factor at the 75th percentile (runs on heavy days); what may still be awaited is sent. */
+/** Factor by which an estimate may be wrong: runs on heavy days stay within it at the 75th percentile. A stream that may still be awaited is sent. */
 const ESTIMATE_TOLERANCE = 1.3
 
 /**
@@ -55,52 +55,52 @@
 }
 
 /**
- * A request that needs more than this share of an engine's memory waits for room.
- * Smaller ones always find it: engines put the large ones off for them.
+ * Share of an engine's memory from which a request waits for room. Smaller requests
+ * always find room, because engines preempt large ones for them.
  */
 const LARGE_MEMORY_SHARE = 0.05
 
-/** A request of which more tokens have to be read waits until its engine has read most of what is ahead; in tokens. */
+/** Tokens to prefill from which a request waits until its engine has finished most of the prefill that is ahead. */
 const LONG_PREFILL_TOKENS = 1500
 
-/** Share of the objective within which a long request may wait for that. */
+/** Share of the latency objective for which a long request may wait for that. */
 const PREFILL_WAIT_SHARE = 0.8
 
-/** Bounds of what is sent. */
+/** Limits on the load of an engine beyond which streams wait. */
 export interface AdmissionLimits {
   /**
-   * Share of an engine's memory up to which large requests are sent. Beyond it the
-   * engine puts one off to make room and reads its whole prompt again later; that
-   * reading slows all others, which then hold their memory longer. Kept below, the
-   * same load runs through.
+   * Share of an engine's memory up to which large requests are sent. Beyond it, the
+   * engine preempts a request to make room and prefills its whole prompt again later. This
+   * prefill slows all other requests, which then hold their memory longer. Below the
+   * limit, the engine serves the same load without preemption.
    */
   readonly memoryShare: number
   /**
-   * Tokens that an engine may have ahead of it when a long request is sent there.
-   * Engines read in the order in which requests began, so what is ahead is what an
-   * urgent short request will have to wait for.
+   * Tokens that an engine may have ahead when a long request is sent to it. Engines
+   * prefill in the order in which requests began, so an urgent short request has to
+   * wait for all that is ahead.
    */
   readonly tokensAhead: number
   /**
-   * Tokens that an engine may have ahead of it, and share of its memory that may be in
-   * use, when a long request is sent there that will be late anyway: what it would
-   * delay can still be on time. After all hosts have restarted, a second's worth of
-   * such requests arrives at once (196 of the next 314 were late on one day).
+   * Tokens that an engine may have ahead, and share of its memory that may be in use,
+   * when a long request is sent to it that will be late anyway: the requests that it
+   * would delay can still be on time. After all hosts have restarted, the late requests
+   * of a whole second arrive at once (196 of the next 314 were late on one day).
    */
   readonly lateTokensAhead: number
   readonly lateMemoryShare: number
 }
 
-/** In service: one long prompt ahead, some 150 ms; grounds of the shares as in docs/PLATFORM.md. */
+/** Limits in production: one long prompt ahead, some 150 ms; docs/PLATFORM.md gives the reasons for the shares. */
 export const ADMISSION_LIMITS: AdmissionLimits = { memoryShare: 0.85, tokensAhead: 12_000, lateTokensAhead: 3000, lateMemoryShare: 0.6 }
 
-/** Share of the time for which a caller still waits that a late request may give way to others. */
+/** Share of the time for which a caller still waits that a late request may spend waiting for others. */
 const DEFERRAL_SHARE = 0.6
 
 /**
  * @param route - route of the request
- * @param context - what is known
- * @param limits - bounds of what is sent
+ * @param context - estimates for the stream
+ * @param limits - limits on the load of an engine
  */
 export function admitStream (route: Route, context: StreamContext, limits = ADMISSION_LIMITS): StreamAdmission {
   const { waitedMs, estimatedMs, remainingMs, ownMemoryShare, memoryShare } = context
@@ -108,7 +108,7 @@
   const patienceLeftMs = Math.min(callerPatienceMs(route) - waitedMs, remainingMs)
   const isLate = firstEventMs > route.targetLatencyMs * ESTIMATE_TOLERANCE
   const needsRoom = ownMemoryShare > LARGE_MEMORY_SHARE && memoryShare > limits.memoryShare
-  // Alone on an engine it will never find more room than it has.
+  // A request that is alone on an engine will never find more room than it has.
   const isAlone = memoryShare <= ownMemoryShare
   if (needsRoom && !isAlone) {
     return waitedMs < route.targetLatencyMs ? { kind: 'wait' } : { kind: 'refuse', cause: 'engine-memory', retryAfterMs: route.targetLatencyMs }
@@ -120,7 +120,7 @@
   return { kind: 'send', isExpectedLate: isLate }
 }
 
-/** A long request that is late waits while its engine has other work, as long as its caller will still be there. */
+/** Returns whether a long, late request waits because its engine has other work and its caller will still be there afterwards. */
 function isDeferred (context: StreamContext, patienceLeftMs: number, limits: AdmissionLimits): boolean {
   const { waitedMs, estimatedMs, tokensToRead, tokensAhead, memoryShare, ownMemoryShare } = context
   if (tokensToRead <= LONG_PREFILL_TOKENS || memoryShare <= ownMemoryShare) return false
--- a/packages/routing/src/lib/attempts/attempts.test.ts
+++ b/packages/routing/src/lib/attempts/attempts.test.ts
@@ -6,15 +6,15 @@
   return { kind: 'safe', isResumable: false, failure: 'lost', runs: 1, sends: 1, maxRuns: 2, remainingMs: 500, hasPartialAnswer: false, ...overrides }
 }
 
-describe('nextStep', () => {
-  describe('a request that may run once', () => {
-    it.each(['unsafe', 'stream'] as const)('is never repeated after it may have run (%s)', kind => {
+describe('decideRetry', () => {
+  describe('a request that must not run twice', () => {
+    it.each(['unsafe', 'stream'] as const)('is never retried after it may have run (%s)', kind => {
       for (const failure of ['lost', 'failed', 'broken-stream'] as const) {
         expect(decideRetry(failedAttempt({ kind, failure }))).toEqual({ kind: 'give-up' })
       }
     })
 
-    it.each(['unsafe', 'stream'] as const)('goes on when it certainly did not run (%s)', kind => {
+    it.each(['unsafe', 'stream'] as const)('is retried if it certainly did not run (%s)', kind => {
       for (const failure of ['rejected', 'misdirected'] as const) {
         expect(decideRetry(failedAttempt({ kind, failure, runs: 0, maxRuns: 1 }))).toEqual({ kind: 'repeat', spendsBudget: true })
       }
@@ -22,17 +22,17 @@
   })
 
   describe('a request that may run again', () => {
-    it('is repeated under the budget, up to the operator\'s number of runs', () => {
+    it('is retried within the budget, up to the operator\'s maximum number of runs', () => {
       expect(decideRetry(failedAttempt({}))).toEqual({ kind: 'repeat', spendsBudget: true })
       expect(decideRetry(failedAttempt({ runs: 2 }))).toEqual({ kind: 'give-up' })
     })
 
-    it('includes streams that may be resumed', () => {
+    it('includes resumable streams', () => {
       expect(decideRetry(failedAttempt({ kind: 'stream', isResumable: true, failure: 'broken-stream' })).kind).toBe('repeat')
     })
   })
 
-  it('spends no budget where no byte was sent', () => {
+  it('spends no budget if no byte was sent', () => {
     expect(decideRetry(failedAttempt({ kind: 'unsafe', failure: 'not-connected', runs: 0 }))).toEqual({ kind: 'repeat', spendsBudget: false })
   })
 
@@ -41,34 +41,34 @@
     expect(decideRetry(failedAttempt({ failure: 'rejected', sends: 4 })).kind).toBe('give-up')
   })
 
-  it('asks more endpoints, but not without end, once the caller has part of the answer', () => {
-    const begun = { kind: 'stream', isResumable: true, failure: 'rejected', hasPartialAnswer: true } as const
-    expect(decideRetry(failedAttempt({ ...begun, sends: 9 })).kind).toBe('repeat')
-    expect(decideRetry(failedAttempt({ ...begun, sends: 10 })).kind).toBe('give-up')
+  it('tries more endpoints, up to a limit, once the caller has part of the answer', () => {
+    const partialAnswer = { kind: 'stream', isResumable: true, failure: 'rejected', hasPartialAnswer: true } as const
+    expect(decideRetry(failedAttempt({ ...partialAnswer, sends: 9 })).kind).toBe('repeat')
+    expect(decideRetry(failedAttempt({ ...partialAnswer, sends: 10 })).kind).toBe('give-up')
   })
 })
 
 describe('RetryAllowance', () => {
   const terms = { ratio: 0.2, slack: 56 }
 
-  function repeatsOf (allowance: RetryAllowance, requests: number, wantedEach: number, hosts: number): number {
-    let repeats = 0
+  function countRetries (allowance: RetryAllowance, requests: number, wantedEach: number, hosts: number): number {
+    let retries = 0
     for (let request = 0; request < requests; request += 1) {
       allowance.recordRequest(hosts)
-      for (let wanted = 0; wanted < wantedEach; wanted += 1) if (allowance.trySpend()) repeats += 1
+      for (let wanted = 0; wanted < wantedEach; wanted += 1) if (allowance.trySpend()) retries += 1
     }
-    return repeats
+    return retries
   }
 
-  it('keeps the sum over all hosts to the shared budget when every request fails', () => {
+  it('keeps the sum over all hosts within the shared budget when every request fails', () => {
     const hosts = 8
     const requests = 300
-    let repeats = 0
-    for (let host = 0; host < hosts; host += 1) repeats += repeatsOf(new RetryAllowance(terms), requests, 3, hosts)
-    expect(repeats).toBeLessThanOrEqual(terms.ratio * requests * hosts + terms.slack)
+    let retries = 0
+    for (let host = 0; host < hosts; host += 1) retries += countRetries(new RetryAllowance(terms), requests, 3, hosts)
+    expect(retries).toBeLessThanOrEqual(terms.ratio * requests * hosts + terms.slack)
   })
 
-  it('saves up no more than its part of the slack', () => {
+  it('accumulates no more than its part of the slack', () => {
     const allowance = new RetryAllowance(terms)
     for (let request = 0; request < 10_000; request += 1) allowance.recordRequest(8)
     let saved = 0
--- a/packages/routing/src/lib/attempts/decideRetry.ts
+++ b/packages/routing/src/lib/attempts/decideRetry.ts
@@ -1,27 +1,27 @@
 /**
- * What follows an attempt that did not bring a complete answer.
+ * Decides what follows an attempt that did not bring a complete answer.
  *
- * Whether a request may have run decides everything: one that may run once goes
- * to a second endpoint only if the first one certainly did not start it.
+ * The decision depends on whether the request may have run: a request that must not run
+ * twice goes to a second endpoint only if the first one certainly did not start it.
  */
 import type { RouteKind } from '@eelgrassmux/schema/site/siteSchema'
 
 /** How an attempt ended without a complete answer. */
 export type AttemptFailure =
-  /** No connection was made: nothing was sent. */
+  /** No connection was made, so nothing was sent. */
   | 'not-connected'
-  /** The endpoint says that it did not run the request: it is full, or leaving. */
+  /** The endpoint says that it did not run the request, because it is full or leaving. */
   | 'rejected'
-  /** The endpoint says that it is not the instance, or does not hold the weights, that was asked for. */
+  /** The endpoint says that it is not the requested instance, or does not hold the requested weights. */
   | 'misdirected'
-  /** Sent, and then no answer: it may have run. */
+  /** The request was sent and not answered, so it may have run. */
   | 'lost'
-  /** The endpoint ran it and answered with a failure. */
+  /** The endpoint ran the request and answered with a failure. */
   | 'failed'
   /** A stream broke after some events had been passed on. */
   | 'broken-stream'
 
-/** What is known when an attempt has ended. */
+/** State of a request when an attempt has ended. */
 export interface AttemptContext {
   readonly kind: RouteKind
   readonly isResumable: boolean
@@ -30,10 +30,10 @@
   readonly runs: number
   /** Endpoints to which it was sent, this attempt included. */
   readonly sends: number
-  /** Endpoints on which the operator lets one request run. */
+  /** Maximum number of endpoints on which the operator lets one request run. */
   readonly maxRuns: number
   readonly remainingMs: number
-  /** Whether its caller has part of the answer. */
+  /** Whether the caller has received part of the answer. */
   readonly hasPartialAnswer: boolean
 }
 
@@ -42,18 +42,18 @@
   | { readonly kind: 'give-up' }
   | { readonly kind: 'repeat', readonly spendsBudget: boolean }
 
-/** Most sends of one request; after so many rejections the whole service is full, and the caller had better come back. */
+/** Maximum sends of one request; after so many rejections the whole service is full, and the caller should retry later. */
 const MAX_SENDS = 4
 
-/** Most sends of a request whose caller has part of the answer and can't come back for the rest. */
+/** Maximum sends of a request whose caller has part of the answer and can't retry for the rest. */
 const MAX_SENDS_AFTER_PARTIAL_ANSWER = 10
 
-/** Time below which no further attempt can bring an answer, in milliseconds: a send, the shortest work, and the way back. */
+/** Remaining time below which no further attempt can bring an answer, in milliseconds: a send, the shortest work and the way back. */
 const MIN_REMAINING_MS = 15
 
 /**
- * @param context - what is known
- * @returns what to do
+ * @param context - state of the request
+ * @returns whether to try again
  */
 export function decideRetry (context: AttemptContext): RetryDecision {
   const { failure, sends, runs, maxRuns, remainingMs, hasPartialAnswer } = context
@@ -64,7 +64,7 @@
   return { kind: 'repeat', spendsBudget: true }
 }
 
-/** Whether a second run does no harm: it has no effect outside, and no event reaches the caller twice. */
+/** Returns whether a second run is harmless: it has no side effects, and no event reaches the caller twice. */
 function mayRunAgain ({ kind, isResumable }: AttemptContext): boolean {
   return kind === 'safe' || (kind === 'stream' && isResumable)
 }
--- a/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('EjectionWatch', () => {
-  it('tells each change once, with its reason, and the return', () => {
+  it('reports each change of the reason once, and the readmission', () => {
     const tracker = new EjectionTracker()
     const endpoints = [endpoint('a'), endpoint('b')]
     const silent = othersWith({ inFlight: 4, lastByteAgoMs: 800, waitedMs: 900 })
--- a/packages/routing/src/lib/endpoints/EndpointHealth.test.ts
+++ b/packages/routing/src/lib/endpoints/EndpointHealth.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import { EndpointHealth, type RequestOutcome } from './EndpointHealth.js'
 
-/** Repeatable numbers in [0, 1). */
-function numbers (seed: number): () => number {
+/** Makes a seeded generator of numbers in [0, 1). */
+function seededRandom (seed: number): () => number {
   let state = seed
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0
@@ -10,9 +10,9 @@
   }
 }
 
-function pausesOf (failing: number, peersShare: number, requests: number): number {
+function countPauses (failing: number, peersShare: number, requests: number): number {
   const health = new EndpointHealth()
-  const random = numbers(7)
+  const random = seededRandom(7)
   let pauses = 0
   for (let request = 0; request < requests; request += 1) {
     const outcome: RequestOutcome = random() < failing ? 'failure' : 'success'
@@ -22,15 +22,15 @@
 }
 
 describe('EndpointHealth', () => {
-  it('does not take requests that fail wherever they run for a faulty endpoint', () => {
-    expect(pausesOf(0.14, 0.14, 2000)).toBe(0)
+  it('does not consider an endpoint faulty for requests that fail wherever they run', () => {
+    expect(countPauses(0.14, 0.14, 2000)).toBe(0)
   })
 
-  it('finds an endpoint that fails half of what it gets, whatever its health check says', () => {
-    expect(pausesOf(0.55, 0.14, 100)).toBeGreaterThan(0)
+  it('detects an endpoint that fails half of its requests, whatever its health check says', () => {
+    expect(countPauses(0.55, 0.14, 100)).toBeGreaterThan(0)
   })
 
-  it('pauses at once what can not be reached, longer each time, and starts anew after a success', () => {
+  it('pauses an unreachable endpoint at once, longer each time, and starts again after a success', () => {
     const health = new EndpointHealth()
     health.observe('unreachable', 0)
     expect(health.isPaused(499)).toBe(true)
@@ -44,14 +44,14 @@
 })
 
 describe('rejections', () => {
-  it('count among the outcomes that hosts tell each other, for a second or two', () => {
+  it('count among the outcomes that hosts report to each other, for a second or two', () => {
     const health = new EndpointHealth()
     for (let number = 0; number < 4; number += 1) health.observeRejection(0)
     expect(health.recentOutcomes(0)).toEqual({ outcomes: 4, failures: 4 })
     expect(health.recentOutcomes(4000).failures).toBeLessThan(0.5)
   })
 
-  it('neither pause the endpoint for this host nor weigh on what ran there', () => {
+  it('neither pause the endpoint for this host nor count in its failure share', () => {
     const health = new EndpointHealth()
     for (let number = 0; number < 50; number += 1) health.observeRejection(0)
     health.observe('success', 10)
--- a/packages/routing/src/lib/endpoints/EndpointHealth.ts
+++ b/packages/routing/src/lib/endpoints/EndpointHealth.ts
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Records a rejection. It doesn't count towards the failure share of this host, but it is reported to other hosts:
-   * an endpoint that rejects much more than its peers runs nothing and would seem the least busy of all.
+   * Records a rejection. It says nothing about the requests that the endpoint runs, so it does not change the failure
+   * share; but an endpoint that rejects much more than its peers runs nothing and would seem the least busy of all.
    *
    * @param now - monotonic milliseconds
    */
--- a/packages/routing/src/lib/endpoints/EndpointState.ts
+++ b/packages/routing/src/lib/endpoints/EndpointState.ts
@@ -244,13 +244,13 @@
    * Detects an endpoint that has gone without closing its connections: it accepts requests and answers none.
    *
    * @param now - monotonic milliseconds
-   * @returns whether requests of this host are in flight at the endpoint and none has received a byte for long
+   * @returns whether requests of this host are in flight at the endpoint and it has sent this host nothing for long
    */
   isSilent (now: number): boolean {
     return this.#inFlight > 0 && now - this.#silentSince > SILENCE_LIMIT_MS
   }
 
-  /** @param pendingTokens - number of tokens that was passed to {@link beginRequest} */
+  /** @param pendingTokens - number of tokens that was passed to `beginRequest` */
   recordFirstEvent (pendingTokens: number): void {
     this.#pendingTokens -= pendingTokens
   }
@@ -258,7 +258,7 @@
   /**
    * Records that a request has ended in any way.
    *
-   * @param heldTokens - number of tokens that was passed to {@link beginRequest}
+   * @param heldTokens - number of tokens that was passed to `beginRequest`
    */
   endRequest (heldTokens: number): void {
     this.#inFlight -= 1
--- a/packages/routing/src/lib/endpoints/EngineModel.test.ts
+++ b/packages/routing/src/lib/endpoints/EngineModel.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import { EngineModel, type EngineLoad } from './EngineModel.js'
 
-/** Numbers in [0, 1), the same for a seed. */
-function numbers (seed: number): () => number {
+/** Makes a seeded generator of numbers in [0, 1). */
+function seededRandom (seed: number): () => number {
   let state = seed
   return () => {
     state = (Math.imul(state, 1_103_515_245) + 12_345) >>> 0
@@ -10,7 +10,7 @@
   }
 }
 
-/** Engines that read so many tokens a millisecond, with a fixed time and steps that running requests share. */
+/** Speed of the engines of a pool: prefilled tokens a millisecond, a fixed time, and the time per running request. */
 interface Pool {
   readonly tokensPerMs: number
   readonly fixedMs: number
@@ -18,7 +18,7 @@
 }
 
 function train (model: EngineModel, pool: Pool, requests: number, seed = 1): void {
-  const random = numbers(seed)
+  const random = seededRandom(seed)
   for (let request = 0; request < requests; request += 1) {
     const load: EngineLoad = { tokensToRead: 200 + random() * 10_000, tokensAhead: random() * 10_000, requests: Math.floor(random() * 20) }
     const noise = 0.8 + random() * 0.4
@@ -29,7 +29,7 @@
 
 describe('EngineModel', () => {
   describe('engines of any speed', () => {
-    it.each([20, 42, 92, 140, 400])('reading %i tokens a millisecond are learnt from a hundred requests, so that a typical estimate is right to a tenth', tokensPerMs => {
+    it.each([20, 42, 92, 140, 400])('that prefill %i tokens a millisecond are learnt from a hundred requests, so that a typical estimate is within a tenth', tokensPerMs => {
       const model = new EngineModel()
       const pool = { tokensPerMs, fixedMs: 40, runningMs: 4 }
       train(model, pool, 100)
@@ -38,7 +38,7 @@
       expect(Math.abs(estimate / actual - 1)).toBeLessThan(0.1)
     })
 
-    it('are learnt anew when they change', () => {
+    it('are learnt again when the speed changes', () => {
       const model = new EngineModel()
       train(model, { tokensPerMs: 140, fixedMs: 40, runningMs: 3 }, 500)
       train(model, { tokensPerMs: 42, fixedMs: 40, runningMs: 3 }, 500, 2)
@@ -48,7 +48,7 @@
   })
 
   describe('one engine among thirteen that takes thirty times as long', () => {
-    it('moves the estimate little', () => {
+    it('changes the estimate only a little', () => {
       const pool = { tokensPerMs: 92, fixedMs: 40, runningMs: 3 }
       const sound = new EngineModel()
       const disturbed = new EngineModel()
@@ -60,15 +60,15 @@
     })
   })
 
-  describe('figures that can\'t be', () => {
-    it.each([Number.NaN, Number.POSITIVE_INFINITY])('such as %d change nothing', milliseconds => {
+  describe('impossible figures', () => {
+    it.each([Number.NaN, Number.POSITIVE_INFINITY])('such as %d are ignored', milliseconds => {
       const model = new EngineModel()
       model.observe({ tokensToRead: 1000, tokensAhead: 0, requests: 1 }, milliseconds)
       model.observe({ tokensToRead: milliseconds, tokensAhead: 0, requests: 1 }, 100)
       expect(model.tokensPerMs).toBe(80)
     })
 
-    it('such as no time at all, or hours, keep what is learnt within bounds', () => {
+    it('such as no time at all, or hours, keep the coefficients within their bounds', () => {
       const model = new EngineModel()
       for (let request = 0; request < 2000; request += 1) model.observe({ tokensToRead: 9000, tokensAhead: 0, requests: 9 }, 0)
       expect(model.tokensPerMs).toBeLessThanOrEqual(500)
--- a/packages/routing/src/lib/endpoints/RequestedPause.test.ts
+++ b/packages/routing/src/lib/endpoints/RequestedPause.test.ts
@@ -4,7 +4,7 @@
 const NEVER = Number.NEGATIVE_INFINITY
 
 describe('RequestedPause', () => {
-  it('holds until its end, and a shorter one asked for meanwhile does not end it sooner', () => {
+  it('lasts until its end, which a shorter pause requested meanwhile does not bring forward', () => {
     const pause = new RequestedPause()
     expect(pause.pausedUntil(NEVER, 0)).toBeUndefined()
     expect(pause.extend(3000, 0)).toBe(true)
@@ -13,7 +13,7 @@
     expect(pause.pausedUntil(0, 3000)).toBeUndefined()
   })
 
-  it('lets one request go ahead afterwards, and the others once it is accepted', () => {
+  it('lets one request go ahead afterwards, and the others once that is accepted', () => {
     const pause = new RequestedPause()
     pause.extend(3000, 0)
     expect(pause.pausedUntil(3000, 3010)).toBe(3010)
@@ -21,7 +21,7 @@
     expect(pause.pausedUntil(3000, 3060)).toBeUndefined()
   })
 
-  it('does not take an answer that comes inside the pause for its end', () => {
+  it('is not ended by an answer that arrives during the pause', () => {
     const pause = new RequestedPause()
     pause.extend(3000, 0)
     pause.recordAccepted(100)
--- a/packages/routing/src/lib/endpoints/Slowness.ts
+++ b/packages/routing/src/lib/endpoints/Slowness.ts
@@ -1,30 +1,30 @@
 /**
- * How much slower an endpoint is than estimated.
+ * Estimates how much slower an endpoint is than predicted.
  *
- * Engines differ in speed, links between them turn slow, and some engines are
- * held up by what no estimate knows of. Whatever the reason, requests that took
- * longer than estimated say that the next will, too.
+ * Engines differ in speed, links between them become slow, and some engines are
+ * delayed by causes that no estimate covers. Whatever the cause, requests that took
+ * longer than estimated predict that the next ones will do so, too.
  */
 
-/** Weight of the newest sample: about seven requests make up two thirds of the mean. */
+/** Weight of the newest sample; the last seven requests or so have two thirds of the weight in the mean. */
 const SMOOTHING = 0.15
 
-/** Bounds of one sample: a single odd request must not settle the matter. */
+/** Bounds of one sample, so that a single outlier does not decide the factor. */
 const SAMPLE_BOUNDS = { least: 0.4, most: 5 }
 
-/** Time in which what was learnt loses two thirds of its weight, in milliseconds, so that a slow endpoint is tried again. */
+/** Time constant with which the factor decays towards 1, in milliseconds, so that a slow endpoint is tried again. */
 const DECAY_MS = 6000
 
-/** Learnt factor of one endpoint. */
+/** Slowness factor of one endpoint. */
 export class Slowness {
   #logFactor = 0
   #observedAt = 0
 
   /**
-   * Takes the outcome of an estimate.
+   * Records how long a request took compared with its estimate.
    *
    * @param actualMs - time to the first event
-   * @param estimatedMs - as estimated when the endpoint was chosen, without this factor
+   * @param estimatedMs - estimate when the endpoint was chosen, without this factor
    * @param now - monotonic milliseconds
    */
   observe (actualMs: number, estimatedMs: number, now: number): void {
@@ -37,7 +37,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns factor on estimates; 1 if nothing is known
+   * @returns factor by which to multiply estimates; 1 if nothing is known
    */
   factor (now: number): number {
     return Math.exp(this.#decayed(now))
--- a/packages/routing/src/lib/endpoints/StatedRateLimit.test.ts
+++ b/packages/routing/src/lib/endpoints/StatedRateLimit.test.ts
@@ -2,7 +2,7 @@
 import { StatedRateLimit } from './StatedRateLimit.js'
 
 describe('StatedRateLimit', () => {
-  it('is lifted by the first answer that names no rate, and not by an older word of another host', () => {
+  it('is lifted by the first answer that states no rate, and not by an older statement from another host', () => {
     const limit = new StatedRateLimit()
     expect(limit.observeAnswer(2, 1000)).toBe(true)
     expect(limit.observeStatement({ requestsPerSecond: undefined, statedAgoMs: 200 }, 1100)).toBe(false)
@@ -11,7 +11,7 @@
     expect(limit.requestsPerSecond).toBeUndefined()
   })
 
-  it('takes each rate, and calls only those notable that differ by a quarter', () => {
+  it('stores each rate, and reports a notable change only from a quarter on', () => {
     const limit = new StatedRateLimit()
     limit.observeAnswer(2, 0)
     expect(limit.observeAnswer(2.1, 10)).toBe(false)
@@ -20,7 +20,7 @@
     expect(limit.observeAnswer(0, 30)).toBe(true)
   })
 
-  it('is told to others only for a while after this host has read it itself', () => {
+  it('is reported to other hosts only for a while after this host has read it itself', () => {
     const limit = new StatedRateLimit()
     expect(limit.statement(0)).toBeUndefined()
     limit.observeStatement({ requestsPerSecond: 2, statedAgoMs: 0 }, 0)
--- a/packages/routing/src/lib/endpoints/StatedRateLimit.ts
+++ b/packages/routing/src/lib/endpoints/StatedRateLimit.ts
@@ -1,54 +1,55 @@
 /**
- * The rate of requests that an endpoint says it takes, from all hosts together.
+ * The rate of requests that an endpoint states it accepts from all hosts together.
  *
- * It holds for as long as answers name it; the first one that does not lifts it. Hosts tell each other what they have
- * read, as a host that may send nothing there for a while does not learn otherwise that the limit is lifted.
+ * The limit holds for as long as answers state it; the first answer that does not lifts it. Hosts report to each other
+ * what they have read in answers, because a host that may send the endpoint nothing for a while would not learn
+ * otherwise that the limit is lifted.
  */
 
-/** Age up to which a host tells the others what it has read, in milliseconds: a few reports, as datagrams get lost. */
+/** Age up to which a host reports what it has read to the others, in milliseconds: long enough for a few reports, as datagrams get lost. */
 const REPORTING_MS = 2000
 
-/** Change of a rate that is worth a line, as a part of it: endpoints may work it out anew for each answer. */
+/** Relative change of a rate from which it is logged; endpoints may compute the rate anew for each answer. */
 const NOTABLE_CHANGE = 0.25
 
-/** What an endpoint said last, as hosts tell each other. */
+/** The newest statement of an endpoint, as hosts report it to each other. */
 export interface RateLimitStatement {
-  /** Undefined if it names no limit any more. */
+  /** Undefined if the endpoint states no limit any more. */
   readonly requestsPerSecond: number | undefined
   readonly statedAgoMs: number
 }
 
-/** Mutable statement of one endpoint. */
+/** The stated rate limit of one endpoint. */
 export class StatedRateLimit {
   #requestsPerSecond: number | undefined
   #statedAt = Number.NEGATIVE_INFINITY
   #observedAt = Number.NEGATIVE_INFINITY
 
-  /** As stated last; undefined if it names none. */
+  /** The rate that was stated last; undefined if none is stated. */
   get requestsPerSecond (): number | undefined { return this.#requestsPerSecond }
 
   /** Monotonic milliseconds of the newest statement; minus infinity if no limit was ever stated. */
   get statedAt (): number { return this.#statedAt }
 
   /**
-   * Takes what an answer to this host says.
+   * Records what an answer to this host states.
    *
-   * @param requestsPerSecond - as stated, undefined if the answer names no limit
+   * @param requestsPerSecond - stated rate; undefined if the answer states no limit
    * @param now - monotonic milliseconds
-   * @returns whether the limit is notably another one now
+   * @returns whether the limit has changed notably
    */
   observeAnswer (requestsPerSecond: number | undefined, now: number): boolean {
-    // Most endpoints never state a limit; nothing is remembered of those.
+    // Most endpoints never state a limit; nothing is stored for those.
     if (requestsPerSecond !== undefined || this.#requestsPerSecond !== undefined) this.#observedAt = now
     return this.#update(requestsPerSecond, now)
   }
 
   /**
-   * Takes what another host has read; one that is older than what is known is ignored.
+   * Records what another host has read; a statement that is older than the known one is ignored.
    *
-   * @param statement - as told
+   * @param statement - statement that the other host reported
    * @param now - monotonic milliseconds
-   * @returns whether the limit is notably another one now
+   * @returns whether the limit has changed notably
    */
   observeStatement ({ requestsPerSecond, statedAgoMs }: RateLimitStatement, now: number): boolean {
     return this.#update(requestsPerSecond, now - statedAgoMs)
@@ -56,7 +57,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns what the others are to be told; undefined if this host has read nothing of late
+   * @returns statement to report to the other hosts; undefined if this host has read none recently
    */
   statement (now: number): RateLimitStatement | undefined {
     if (now - this.#observedAt > REPORTING_MS) return undefined
--- a/packages/routing/src/lib/endpoints/candidates.ts
+++ b/packages/routing/src/lib/endpoints/candidates.ts
@@ -1,10 +1,10 @@
-/** Who may take a request. */
+/** Selects the endpoints that may take a request. */
 import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
 import type { AllHeldBack, EndpointQuery, HoldBackReason, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import { ejectionReason, isUnreachableByAll, sharedFailureShare } from './sharedObservations.js'
 
-/** An endpoint with what other hosts have told of it. */
+/** An endpoint with the work and observations that other hosts have reported for it. */
 export interface Candidate {
   readonly endpoint: EndpointState
   readonly others: WorkFigures
@@ -12,10 +12,10 @@
 }
 
 /**
- * @param endpoints - all of the service
- * @param query - what is asked
+ * @param endpoints - all endpoints of the service
+ * @param query - requirements of the request
  * @param now - monotonic milliseconds
- * @returns those that may take the request, or why there is none
+ * @returns endpoints that may take the request, or the reason why there is none
  */
 export function candidatesFor (endpoints: readonly EndpointState[], query: EndpointQuery, now: number): readonly Candidate[] | NoEndpointReason {
   const notLeaving = endpoints.filter(endpoint => !endpoint.isLeaving)
@@ -30,13 +30,13 @@
   if (ofWeights.length === 0) return 'none-of-version'
   const candidates = ofWeights.map(endpoint => asCandidate(endpoint, query, now))
   for (const candidate of candidates) markIfUnreachable(candidate, now)
-  const held = new Set<HoldBackReason>()
+  const reasons = new Set<HoldBackReason>()
   const allowed = candidates.filter(({ endpoint }) => {
     const reason = query.holdBackReason?.(endpoint)
-    if (reason !== undefined) held.add(reason)
+    if (reason !== undefined) reasons.add(reason)
     return reason === undefined
   })
-  return allowed.length === 0 ? allHeldBack(held) : preferred(allowed, now)
+  return allowed.length === 0 ? allHeldBack(reasons) : preferred(allowed, now)
 }
 
 function allHeldBack (reasons: ReadonlySet<HoldBackReason>): AllHeldBack {
@@ -44,7 +44,7 @@
   return reasons.size > 1 || reason === undefined ? 'all-held-back' : `all-${reason}`
 }
 
-/** The newest weights that may be used; a request that began under a version goes on under it. */
+/** Keeps the endpoints with the newest weights that may be used; a request that began on a version continues on it. */
 function ofVersion (endpoints: readonly EndpointState[], prompt: PromptQuery | undefined): readonly EndpointState[] {
   if (prompt === undefined) return endpoints
   const { model } = prompt.description
@@ -59,12 +59,12 @@
   return { endpoint, others, failureShare: sharedFailureShare(endpoint, others, now) }
 }
 
-/** An endpoint that nobody reaches may have started anew by the time that it is reached again. */
+/** An endpoint that no host can reach may have restarted, and may be cold, by the time it is reached again. */
 function markIfUnreachable ({ endpoint, others }: Candidate, now: number): void {
   if (endpoint.health.isUnreachable(now) || isUnreachableByAll(endpoint, others, now)) endpoint.markUnavailable(now)
 }
 
-/** Healthy endpoints with room; else any that are healthy, else any. */
+/** Prefers healthy endpoints with room, then any healthy ones, then any. */
 function preferred (candidates: readonly Candidate[], now: number): readonly Candidate[] {
   const meanShare = candidates.reduce((sum, candidate) => sum + candidate.failureShare, 0) / candidates.length
   const healthy = candidates.filter(candidate => isHealthy(candidate, meanShare, now))
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
@@ -57,8 +57,8 @@
 }
 
 describe('chooseEndpoint', () => {
-  describe('prompts that return', () => {
-    it('go to the same home from every host while engines are equally busy', () => {
+  describe('prompts with a shared part', () => {
+    it('go to the same home endpoint from every host while engines are equally busy', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       for (const random of [0, 0.3, 0.6, 0.99]) {
@@ -66,14 +66,14 @@
       }
     })
 
-    it('leave a home whose queue costs more than reading elsewhere', () => {
+    it('leave a home endpoint whose queue costs more than prefilling elsewhere', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       fleet.find(engine => engine.id === home)?.beginRequest(60_000, 60_000, 0)
       expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
-    it('go where this host sent them before', () => {
+    it('go where this host has sent them before', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const other = fleet.find(engine => engine.id !== home)
@@ -82,14 +82,14 @@
       expect(chosen(chooseEndpoint(fleet, query(promptQuery()), memory, 1000, 0)).endpoint.id).toBe(other?.id)
     })
 
-    it('need only their own end read where a store holds the rest', () => {
+    it('need only their own part prefilled where a store holds the rest', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 590_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const choice = chosen(chooseEndpoint(engines(8), query(promptQuery({ stored: () => stored })), new PromptMemory(), 0, 0))
       expect(choice.prefill.tokensToRead).toBe(2900)
     })
 
-    it('prefer an engine beside the store while its link is what they wait for', () => {
+    it('prefer an engine near the store while its link determines the time', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'south', cacheTokens: 1e6, linkMbps: 100_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const fleet = [new EndpointState(listed('a')), new EndpointState(listed('b', { dataCentre: 'south' }))]
@@ -99,7 +99,7 @@
   })
 
   describe('many hosts at once', () => {
-    it('do not all choose the engine that is busy with the others\' work', () => {
+    it('do not all choose the engine that is busy with work of the others', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const others = new OthersWork()
@@ -108,7 +108,7 @@
       expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
-    it('keep away from an engine whose memory is full, though it reads nothing', () => {
+    it('avoid an engine whose memory is full, though it has nothing to prefill', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const others = new OthersWork()
@@ -119,7 +119,7 @@
   })
 
   describe('an engine that is slower than estimated', () => {
-    it('gets less, and is tried again after a while', () => {
+    it('gets fewer requests, and is tried again after a while', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const slow = fleet.find(engine => engine.id === home)
@@ -133,46 +133,46 @@
     const old = (): EndpointState => new EndpointState(listed('old'))
     const fresh = (): EndpointState => new EndpointState(listed('fresh', { models: [{ model: MODEL, version: 2 }] }))
 
-    it('are the newest where any engine holds them', () => {
+    it('are the newest if any engine holds them', () => {
       expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(2)
     })
 
-    it('are older ones rather than none', () => {
+    it('are older ones if no engine holds the newest', () => {
       expect(chosen(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(1)
     })
 
-    it('are not used any more when it would begin on them too late', () => {
+    it('are not used if the request would start on them too late', () => {
       expect(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
       expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
     })
 
-    // Guards against a stream that is resumed at another engine long after its weights were to be used no more.
-    it('hold a stream that goes on elsewhere to the same time, and it goes on under no others', () => {
-      const goesOn = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
+    // Guards against a stream that resumes on another engine long after its weights may no longer be used.
+    it('have the same time limit for a resumed stream, which continues on no other version', () => {
+      const resume = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
         chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptMemory(), 0, 0)
-      expect(goesOn(0)).toBe('none-of-version')
-      expect(chosen(goesOn(60_000)).version).toBe(1)
+      expect(resume(0)).toBe('none-of-version')
+      expect(chosen(resume(60_000)).version).toBe(1)
     })
 
-    it('never change under a request that has begun', () => {
+    it('never change during a request', () => {
       expect(chooseEndpoint([fresh()], query(promptQuery({ requiredVersion: 1 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
     })
   })
 
-  describe('endpoints without new work', () => {
-    it('are those that leave, whatever an older list says', () => {
+  describe('endpoints that get no new work', () => {
+    it('include those that are leaving, whatever an older list says', () => {
       const leaving = new EndpointState(listed('a', { isLeaving: true }))
       leaving.update(listed('a'))
       expect(chooseEndpoint([leaving], query(), new PromptMemory(), 0, 0)).toBe('none-listed')
     })
 
-    it('are those that load weights, while others can take it', () => {
+    it('include those that load weights, while others can take it', () => {
       const fleet = [new EndpointState(listed('a', { isBusy: true })), new EndpointState(listed('b'))]
       expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('b')
       expect(chosen(chooseEndpoint(fleet.slice(0, 1), query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('a')
     })
 
-    it('are those that have work and have said nothing for long, while others can take it', () => {
+    it('include those that have work and have been silent for long, while others can take it', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const silent = fleet.find(engine => engine.id === home)
@@ -183,7 +183,7 @@
       expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 1600, 0)).endpoint.id).toBe(home)
     })
 
-    it('are those that could not be reached a moment ago, unless all are so', () => {
+    it('include those that were unreachable a moment ago, unless all were', () => {
       const [first, second] = engines(2)
       first?.health.observe('unreachable', 0)
       const both = [first, second].filter(engine => engine !== undefined)
@@ -193,7 +193,7 @@
     })
   })
 
-  describe('what other hosts have seen', () => {
+  describe('observations of other hosts', () => {
     function othersWith (figures: Partial<WorkFigures>, endpoint = 'e0'): OthersWork {
       const others = new OthersWork()
       others.sent(1, { work: [], links: [] })
@@ -204,7 +204,7 @@
     const chooses = (figures: Partial<WorkFigures>, fleet = engines(2)): string =>
       chosen(chooseEndpoint(fleet, query(undefined, { others: othersWith(figures) }), new PromptMemory(), 0, 0)).endpoint.id
 
-    it('keeps a host from an endpoint that sends nothing to anybody, though it never sent there itself', () => {
+    it('keep a host from an endpoint that is silent to all, though it never sent there itself', () => {
       expect(chooses({ inFlight: 0 })).toBe('e0')
       expect(chooses({ inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }, engines(1))).toBe('e0')
       const silent = { inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }
@@ -214,13 +214,13 @@
       expect(chooses(silent, busy)).toBe('e1')
     })
 
-    it('does not take an endpoint for silent that has only just got its work', () => {
+    it('do not make an endpoint count as silent that has only just got its work', () => {
       const busy = engines(2)
       for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ inFlight: 9, lastByteAgoMs: 60_000, waitedMs: 300 }, busy)).toBe('e0')
     })
 
-    it('keeps it from one that two hosts could not reach, unless it has heard from it itself', () => {
+    it('keep a host from an endpoint that two hosts could not reach, unless it has received bytes from it itself', () => {
       expect(chooses({ avoiders: 1 })).toBe('e0')
       expect(chooses({ avoiders: 2 })).toBe('e1')
       const contacted = engines(2)
@@ -228,7 +228,7 @@
       expect(chooses({ avoiders: 2 }, contacted)).toBe('e0')
     })
 
-    it('keeps it from one that fails half of what all hosts send there', () => {
+    it('keep a host from an endpoint that fails half of what all hosts send', () => {
       const busy = engines(2)
       for (let request = 0; request < 60; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ outcomes: 40, failures: 5 }, busy)).toBe('e0')
@@ -237,7 +237,7 @@
   })
 
   describe('connections', () => {
-    it('that are open are used rather than new ones, while the difference is small', () => {
+    it('that are open are preferred to new ones, while the difference is small', () => {
       const fleet = engines(2)
       const hasConnection = (endpoint: EndpointState): boolean => endpoint.id === 'e1'
       expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
@@ -259,7 +259,7 @@
       expect(chosen(chooseEndpoint(fleet, query(undefined, { others }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
     })
 
-    it('keep away from an endpoint that fails much of what it gets', () => {
+    it('avoid an endpoint at which many requests fail', () => {
       const fleet = engines(2)
       for (let request = 0; request < 12; request += 1) fleet[0]?.health.observe('failure', 0)
       expect(chosen(chooseEndpoint(fleet, query(), new PromptMemory(), 100_000, 0)).endpoint.id).toBe('e1')
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.ts
@@ -1,11 +1,11 @@
 /**
- * Where a request goes.
+ * Chooses the endpoint that gets a request.
  *
- * Answers the load pattern of prompts that return: a long shared beginning that
- * some engine has read already, and a short new end. Reading is what engines are
- * short of, so the estimate weighs tokens to read against work that waits. The
- * home of a shared part is the same on all hosts, so they agree without talking;
- * a home that is busier than the reading is worth loses the request to another.
+ * Prompts often share a long prefix that some engine has read already, and end in a
+ * short new part. Prefill is the scarce resource of engines, so the estimate weighs
+ * the tokens to prefill against the work that waits. All hosts compute the same home
+ * endpoint for a shared part, so they agree without communication. When the home is
+ * so busy that prefilling elsewhere costs less, the request goes to another endpoint.
  */
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { sharedPartOf } from '../prompts/promptDescription.js'
@@ -16,18 +16,18 @@
 import { estimateEndpoint } from './estimateEndpoint.js'
 import { sampleCandidates } from './sampleCandidates.js'
 
-/** Costs within this of the least count as equal, so that hosts with the same view do not all choose the same; in milliseconds. */
+/** Costs within this of the lowest, in milliseconds, count as equal, so that hosts with the same view do not all choose the same endpoint. */
 const COST_TIE_MS = 1
 
 /**
  * Chooses among the endpoints of one service.
  *
- * @param endpoints - all of the service
- * @param query - what is asked
- * @param memory - what engines probably hold
+ * @param endpoints - all endpoints of the service
+ * @param query - requirements of the request
+ * @param memory - which engines probably hold which prompts
  * @param now - monotonic milliseconds
- * @param random - number in [0, 1) that breaks ties
- * @returns the choice, or why there is none
+ * @param random - number in [0, 1) that selects the sample and breaks ties
+ * @returns the choice, or the reason why there is none
  */
 export function chooseEndpoint (
   endpoints: readonly EndpointState[], query: EndpointQuery, memory: PromptMemory, now: number, random: number
@@ -51,7 +51,7 @@
   return ties[Math.floor(random * ties.length)]
 }
 
-/** Whether a request that falls back to older weights, or goes on under them, will begin while that is allowed. */
+/** Returns whether a request that falls back to older weights, or continues on them, will start while they may still be used. */
 function startsInTime ({ version, estimatedMs }: EndpointChoice, prompt: PromptQuery | undefined): boolean {
   if (prompt === undefined || version === undefined) return true
   return version >= prompt.desiredVersion || estimatedMs < prompt.remainingMsOn(version)
@@ -62,7 +62,7 @@
   return shared === undefined ? undefined : findHome(shared.id, candidates.map(({ endpoint }) => endpoint.id))
 }
 
-/** Looked up once for each version of the weights, whatever the number of engines. */
+/** Looks the holders up once per version of the weights, whatever the number of engines. */
 function holdersFor (
   endpoint: EndpointState, prompt: PromptQuery | undefined, memory: PromptMemory, known: Map<number, PromptHolders>, now: number
 ): PromptHolders | undefined {
--- a/packages/routing/src/lib/endpoints/endpointQuery.ts
+++ b/packages/routing/src/lib/endpoints/endpointQuery.ts
@@ -1,4 +1,4 @@
-/** What is asked when an endpoint is chosen, and what comes of it. */
+/** Input and result of the choice of an endpoint. */
 import type { OthersWork } from '../load/OthersWork.js'
 import type { RegionBound } from '../places/RegionBound.js'
 import type { PromptDescription } from '../prompts/promptDescription.js'
@@ -8,83 +8,83 @@
 import type { EngineLoad, EngineModel } from './EngineModel.js'
 import type { PrefillPlan } from './prefillPlan.js'
 
-/** What is asked of an endpoint. */
+/** What a request requires of an endpoint. */
 export interface EndpointQuery {
-  /** Endpoints that this request was sent to already. */
+  /** Endpoints to which this request has been sent already. */
   readonly excluded: ReadonlySet<string>
-  /** Data centre of this host; bytes between data centres cost. */
+  /** Data centre of this host; traffic between data centres costs money. */
   readonly dataCentre: string
-  /** What the other entry hosts have under way; undefined while that is not known. */
+  /** Work that the other entry hosts have reported; undefined while it is not known. */
   readonly others: OthersWork | undefined
-  /** Whether this host has an idle connection to an endpoint; a new one costs the endpoint time. */
+  /** Returns whether this host has an idle connection to an endpoint; opening a new one costs the endpoint time. */
   hasConnection? (endpoint: EndpointState): boolean
-  /** Data centres whose endpoints get no new work; none unless given. */
+  /** Data centres whose endpoints get no new work; none by default. */
   readonly evacuated?: ReadonlySet<string>
   /** Regions in which the request has to stay; undefined if it may go anywhere. */
   readonly regionBound?: RegionBound | undefined
-  /** Why this host may not send an endpoint a request now, undefined if it may; it may always unless given. */
+  /** Returns why this host may not send an endpoint a request now, or undefined if it may; by default it always may. */
   holdBackReason? (endpoint: EndpointState): HoldBackReason | undefined
-  /** Finds the endpoint that hosts agree on for a shared part; as by rendezvous hashing unless it is given. */
+  /** Finds the home endpoint of a shared part, on which all hosts agree; rendezvous hashing by default. */
   readonly homeEndpoint?: (part: string, endpoints: readonly string[]) => string | undefined
   readonly prompt?: PromptQuery
 }
 
-/** A prompt, and what engines keep of it. */
+/** Prompt of a request, and what engines and stores hold of it. */
 export interface PromptQuery {
   readonly description: PromptDescription
-  /** Weights that engines should run; older ones are taken only if nothing else is there. */
+  /** Version of the weights that engines should run; older ones are used only if no engine has it. */
   readonly desiredVersion: number
-  /** Milliseconds until the first event would be late; negative once it is. */
+  /** Milliseconds until the first event would miss its objective; negative once it has. */
   readonly objectiveRemainingMs: number
-  /** Milliseconds within which the request may begin on weights of that version. */
+  /** Returns the milliseconds within which the request may begin on weights of that version. */
   remainingMsOn (version: number): number
-  /** What engines of this service take for it. */
+  /** Latency model of the engines of this service. */
   readonly engine: EngineModel
-  /** Tokens that fit into an engine's memory; 0 if that is not stated. */
+  /** Tokens that fit into an engine's memory; 0 if this is not stated. */
   readonly memoryTokens: number
-  /** Set when the request must go on under the weights it began with. */
+  /** Set when the request must continue on the weights on which it began. */
   readonly requiredVersion: number | undefined
-  /** Cache salt under a version. */
+  /** Returns the cache salt of a version. */
   scope (version: number): string
-  /** Where the shared parts are stored under a version. */
+  /** Returns where the shared parts are stored for a version. */
   stored (version: number): StorePlan
-  /** Work on the stores' links. */
+  /** Pending transfers and speeds of the stores' links. */
   readonly links: StoreLinks
   readonly bytesPerToken: number
 }
 
-/** A chosen endpoint. */
+/** The chosen endpoint, with the estimates on which the choice is based. */
 export interface EndpointChoice {
   readonly endpoint: EndpointState
-  /** Weights it is believed to hold; undefined for plain services. */
+  /** Version of the weights that the endpoint is believed to hold; undefined for plain services. */
   readonly version: number | undefined
-  /** What it will probably read and fetch of the prompt. */
+  /** What the engine will probably prefill and fetch of the prompt. */
   readonly prefill: PrefillPlan
-  /** Tokens that it will hold in the endpoint's memory. */
+  /** Tokens that the request will occupy in the endpoint's memory. */
   readonly tokensHeld: number
-  /** Milliseconds to its first event, or to the whole answer where there are no events. */
+  /** Milliseconds to the first event, or to the whole answer where there are no events. */
   readonly estimatedMs: number
-  /** The estimate and the price of what it uses, in milliseconds: the least is chosen. */
+  /** Estimate plus the cost of the resources that the request uses, in milliseconds; the endpoint with the lowest cost is chosen. */
   readonly costMs: number
-  /** Of the estimate, what other work takes. */
+  /** Part of the estimate that is due to other work. */
   readonly waitMs: number
-  /** Of that, what it waits for memory. */
+  /** Part of `waitMs` that is spent waiting for memory. */
   readonly memoryWaitMs: number
-  /** What it has to do before the first event, for all hosts. */
+  /** Work that the engine has to do before the first event, for the requests of all hosts. */
   readonly load: EngineLoad
-  /** Share of the endpoint's memory that all requests there need with this one; 0 where that is not known. */
+  /** Share of the endpoint's memory that all its requests need together with this one; 0 where this is not known. */
   readonly memoryShare: number
-  /** The estimate as it would be at an endpoint that is neither slow nor fast. */
+  /** The estimate for an endpoint with a slowness factor of 1. */
   readonly workMs: number
 }
 
-/** Why a host sends an endpoint nothing for a while, however idle it is. */
+/** Why a host sends nothing to an endpoint for a while, even if it is idle. */
 export type HoldBackReason =
-  /** It has just started and takes few requests a second. */
+  /** The endpoint has just started and accepts only few requests a second. */
   | 'cold'
-  /** It names a rate in its answers, and this host has sent its part of it. */
+  /** The endpoint states a rate in its answers, and this host has used its share of it. */
   | 'rate-limited'
-  /** It has rejected a request of this host and wants nothing more for a while. */
+  /** The endpoint has rejected a request of this host and asked for a pause. */
   | 'asked-to-pause'
 
 /** Why no endpoint was chosen. */
--- a/packages/routing/src/lib/endpoints/estimateEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/estimateEndpoint.ts
@@ -1,4 +1,4 @@
-/** What a request would take at an endpoint. */
+/** Estimates the time and cost of a request at an endpoint. */
 import type { PromptHolders } from '../prompts/PromptMemory.js'
 import type { WorkFigures } from '../load/loadReport.js'
 import type { Candidate } from './candidates.js'
@@ -8,38 +8,38 @@
 import { planPrefill } from './planPrefill.js'
 import { EMPTY_PREFILL_PLAN } from './prefillPlan.js'
 
-/** Share of the most output tokens that a request has on average: callers' own estimates are about half of it. */
+/** Average share of its output token limit that a request uses; callers' own estimates are about half of the limit. */
 const EXPECTED_OUTPUT_SHARE = 0.5
 
-/** Share of an engine's memory that running requests fill without anybody waiting: what is kept of earlier prompts yields, but others arrive meanwhile. */
+/** Share of an engine's memory that running requests can fill without delaying others: cached prompts are evicted for them, but other requests arrive meanwhile. */
 const UNCONTENDED_MEMORY_SHARE = 0.6
 
-/** Time in which an engine's running requests all end once, in milliseconds: some 40 tokens at 10 ms and their reading. */
+/** Time in which all running requests of an engine end, in milliseconds: some 40 tokens at 10 ms each, and their prefill. */
 const MEMORY_TURNOVER_MS = 800
 
-/** Of a request without a prompt. */
+/** Load of a request without a prompt. */
 const NO_LOAD: EngineLoad = { tokensToRead: 0, tokensAhead: 0, requests: 0 }
 
-/** Mean time of a plain answer before one was seen, in milliseconds. */
+/** Duration that is assumed for a plain answer before one was seen, in milliseconds. */
 const INITIAL_PLAIN_MS = 20
 
-/** What another data centre costs against the own one, in milliseconds: half a millisecond each way, and its price. */
+/** Cost of another data centre compared with the own one, in milliseconds: half a millisecond each way, and the price of the traffic. */
 const CROSS_DATA_CENTRE_COST_MS = 2
 
 /**
- * What a new connection costs, in milliseconds: two round trips and the endpoint's
- * own millisecond, and the users' price of one, a twentieth of what a request is worth.
+ * Cost of a new connection, in milliseconds: two round trips, one millisecond of the
+ * endpoint's time, and the users' price of a connection, a twentieth of the value of a request.
  */
 const NEW_CONNECTION_COST_MS = 5
 
-/** What an endpoint with a share of failures costs, in milliseconds for all requests failing. */
+/** Cost of an endpoint at which all requests fail, in milliseconds; it is multiplied by the failure share. */
 const FAILURE_COST_MS = 400
 
 /**
- * @param candidate - an endpoint
- * @param query - what is asked
- * @param isHome - whether hosts send this shared part there by agreement
- * @param holders - which engines probably hold the prompt; undefined without one
+ * @param candidate - an endpoint that may take the request
+ * @param query - requirements of the request
+ * @param isHome - whether this is the home endpoint of the shared part, on which all hosts agree
+ * @param holders - which engines probably hold the prompt; undefined for a request without one
  * @param now - monotonic milliseconds
  */
 export function estimateEndpoint (
@@ -71,11 +71,11 @@
   const { slots } = endpoint.occupancy(now)
   const requests = requestsAt(endpoint, query, others, now)
   const serviceMs = endpoint.latencyMs ?? INITIAL_PLAIN_MS
-  // Endpoints slow down when they are nearly full, so fewer requests are better also while there are free slots.
+  // Endpoints slow down when they are nearly full, so a lower count is better even while slots are free.
   return serviceMs * Math.max(1, (requests + 1) / Math.max(1, slots)) + requests
 }
 
-/** Requests there by all hosts' word, or by the endpoint's last one while the hosts' is not known. */
+/** Counts the requests at an endpoint from the reports of all hosts, or from the endpoint's own load while those are not known. */
 function requestsAt (endpoint: EndpointState, query: EndpointQuery, others: WorkFigures, now: number): number {
   return query.others === undefined ? endpoint.occupancy(now).total : endpoint.inFlight + others.inFlight
 }
--- a/packages/routing/src/lib/endpoints/planPrefill.test.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.test.ts
@@ -40,16 +40,16 @@
   return planPrefill(engine, prompt, 1, false, memory.holders('v1', chain.slice(0, -1), 0), 0)
 }
 
-/** Links over which so many prompts of this size are under way. */
-function busyWith (prompts: number, store: StoreService): StoreLinks {
+/** Makes links with pending transfers of that many prompts of this size. */
+function linksWithPending (prompts: number, store: StoreService): StoreLinks {
   const links = new StoreLinks(() => 1)
   const transfer: StoreTransfer = { store, dataCentre: 'north', bytes: 7500 * BYTES_PER_TOKEN }
   links.begin(Array.from({ length: prompts }, () => transfer))
   return links
 }
 
-/** Links of which one is four times slower than stated, with nothing under way. */
-function slowed (store: StoreService): StoreLinks {
+/** Makes links of which one is four times slower than stated, without pending transfers. */
+function linksWithSlow (store: StoreService): StoreLinks {
   const links = new StoreLinks(() => 1)
   for (let now = -3000; now < 0; now += 50) {
     links.observe(store, 'north', { fetchMs: 500, otherMs: 0, doublings: links.doublings(store, 'north', now) }, 500 * 2 ** (2 - links.doublings(store, 'north', now)), now)
@@ -58,14 +58,14 @@
   return links
 }
 
-describe('planReading', () => {
+describe('planPrefill', () => {
   describe('short prompts', () => {
-    it('wait some tens of milliseconds for a sound link rather than being read again', () => {
-      expect(plan([fast, fast], busyWith(1, fast), new PromptMemory(), chat)).toMatchObject({ partsFromStores: 2, tokensToRead: 180 })
+    it('wait some tens of milliseconds for a healthy link instead of being prefilled again', () => {
+      expect(plan([fast, fast], linksWithPending(1, fast), new PromptMemory(), chat)).toMatchObject({ partsFromStores: 2, tokensToRead: 180 })
     })
 
     it('leave a slow link to the long ones that need it', () => {
-      const links = slowed(fast)
+      const links = linksWithSlow(fast)
       links.begin([{ store: fast, dataCentre: 'north', bytes: 2500 * BYTES_PER_TOKEN }])
       expect(links.doublings(fast, 'north', 0)).toBeGreaterThan(1.5)
       expect(plan([fast, fast], links, new PromptMemory(), chat)).toMatchObject({ partsFromStores: 0, tokensToRead: 830 })
@@ -73,49 +73,49 @@
     })
   })
 
-  describe('an answer that would be late for its fetch', () => {
-    it('has its prompt read where that is in time', () => {
-      expect(plan([fast, fast], busyWith(8, fast)).partsFromStores).toBe(2)
-      expect(plan([fast, fast], busyWith(8, fast), new PromptMemory(), parts, 330).partsFromStores).toBe(0)
+  describe('a prompt whose fetch would make the answer late', () => {
+    it('is prefilled if that is in time', () => {
+      expect(plan([fast, fast], linksWithPending(8, fast)).partsFromStores).toBe(2)
+      expect(plan([fast, fast], linksWithPending(8, fast), new PromptMemory(), parts, 330).partsFromStores).toBe(0)
     })
 
-    it('is fetched all the same where reading would be late as well', () => {
-      expect(plan([fast, fast], busyWith(8, fast), new PromptMemory(), parts, -100).partsFromStores).toBe(2)
+    it('is still fetched if the prefill would be late as well', () => {
+      expect(plan([fast, fast], linksWithPending(8, fast), new PromptMemory(), parts, -100).partsFromStores).toBe(2)
     })
   })
 
-  describe('stores that are sound', () => {
+  describe('healthy stores', () => {
     it('send all that they hold', () => {
-      const { tokensToRead, partsFromStores, fetchMs, transfers } = plan([fast, fast], busyWith(0, fast))
+      const { tokensToRead, partsFromStores, fetchMs, transfers } = plan([fast, fast], linksWithPending(0, fast))
       expect({ tokensToRead, partsFromStores }).toEqual({ tokensToRead: 1700, partsFromStores: 2 })
       expect(transfers.map(({ bytes }) => bytes / BYTES_PER_TOKEN)).toEqual([2500, 5000])
-      // Both parts one after the other, the first byte, and the price of a fetch.
+      // Both parts one after the other, the first byte, and the cost of a fetch.
       expect(fetchMs).toBeCloseTo(45 + 1 + 3)
     })
 
     it('send nothing that follows a part which none of them holds', () => {
-      expect(plan([undefined, fast], busyWith(0, fast))).toMatchObject({ tokensToRead: 9200, partsFromStores: 0, againMs: 0 })
+      expect(plan([undefined, fast], linksWithPending(0, fast))).toMatchObject({ tokensToRead: 9200, partsFromStores: 0, recomputeCostMs: 0 })
     })
 
-    it('move nothing that the engine holds, and are named for it all the same', () => {
+    it('transfer nothing that the engine holds, though the parts are still to be fetched from them', () => {
       const memory = new PromptMemory()
       memory.recordSend('v1', parts.slice(0, 1), 'e', 0)
-      expect(plan([fast, fast], busyWith(0, fast), memory)).toMatchObject({ partsFromStores: 2, transfers: [{ bytes: 5000 * BYTES_PER_TOKEN }] })
+      expect(plan([fast, fast], linksWithPending(0, fast), memory)).toMatchObject({ partsFromStores: 2, transfers: [{ bytes: 5000 * BYTES_PER_TOKEN }] })
     })
   })
 
-  describe('a store of which more is asked than its link can send', () => {
-    it('is left alone while reading takes less', () => {
-      expect(plan([fast, fast], busyWith(2, fast)).partsFromStores).toBe(2)
-      expect(plan([fast, fast], busyWith(20, fast))).toMatchObject({ tokensToRead: 9200, partsFromStores: 0, transfers: [], fetchMs: 0 })
+  describe('a store with more transfers than its link can send', () => {
+    it('is not used while prefill takes less time', () => {
+      expect(plan([fast, fast], linksWithPending(2, fast)).partsFromStores).toBe(2)
+      expect(plan([fast, fast], linksWithPending(20, fast))).toMatchObject({ tokensToRead: 9200, partsFromStores: 0, transfers: [], fetchMs: 0 })
     })
 
-    it('does not keep the parts of another from being fetched', () => {
-      expect(plan([other, fast], busyWith(20, fast))).toMatchObject({ tokensToRead: 6700, partsFromStores: 1 })
+    it('does not prevent fetches from another store', () => {
+      expect(plan([other, fast], linksWithPending(20, fast))).toMatchObject({ tokensToRead: 6700, partsFromStores: 1 })
     })
 
-    it('puts the price of reading again on what it holds', () => {
-      expect(plan([fast, fast], busyWith(20, fast)).recomputeCostMs).toBeGreaterThan(100)
+    it('adds the cost of repeated prefill for the parts that it holds', () => {
+      expect(plan([fast, fast], linksWithPending(20, fast)).recomputeCostMs).toBeGreaterThan(100)
     })
   })
 })
--- a/packages/routing/src/lib/endpoints/planPrefill.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.ts
@@ -1,10 +1,10 @@
 /**
- * Which shared parts of a prompt an engine fetches from stores, and which it reads.
+ * Decides which shared parts of a prompt an engine fetches from stores, and which it prefills.
  *
- * Answers stores whose links have turned slow or have more asked of them than they can
- * send. A fetch costs no reading, but what waits for it holds a place and memory in its
- * engine, and other transfers wait behind it. So parts are fetched only while that costs
- * less than reading them, with a price on work that was done once already and on being late.
+ * A store's link can be slow or have more requested of it than it can send. A fetch saves
+ * prefill work, but a request that waits for it occupies a slot and memory in its engine, and
+ * other transfers queue behind it. Parts are therefore fetched only while that costs less than
+ * prefilling them, where repeating work that was done once and missing the objective have a cost.
  */
 import type { PromptHolders } from '../prompts/PromptMemory.js'
 import type { PromptPart } from '../prompts/promptDescription.js'
@@ -13,46 +13,48 @@
 import type { EndpointState } from './EndpointState.js'
 import { EMPTY_PREFILL_PLAN, type PrefillPlan } from './prefillPlan.js'
 
-/** Chance that the home of a part holds it although this host has not sent it there: other hosts have. */
+/** Probability that the home endpoint of a part holds it although this host has not sent it there, because other hosts have. */
 const HOME_HIT_PROBABILITY = 0.6
 
 /**
- * What reading a shared token again costs beyond its time, in milliseconds. Work that
- * was done once is not to be paid for again: by the users' prices, reading the shared
- * 5,000 tokens of a quote again loses as much as being late with it.
+ * Cost of prefilling a shared token again beyond the time it takes, in milliseconds. By
+ * the users' prices, prefilling the shared 5,000 tokens of a quote again loses as much
+ * as answering the quote late, because work that was done once is not paid for again.
  */
 const RECOMPUTE_COST_MS_PER_TOKEN = 0.05
 
 /**
- * What a first event after its objective costs, in milliseconds: more than reading all of
- * a quote again, because for its caller being on time goes before what the reading costs.
+ * Cost of a first event that misses its objective, in milliseconds. It exceeds the cost of
+ * prefilling all of a quote again, because being on time matters more to the caller.
  */
 const LATE_COST_MS = 500
 
 /**
- * Shares of the time to the objective up to which a first event will be on time, and from
- * which it will be late: three in four come within 1.3 times the estimate.
+ * Estimated time as a share of the time to the objective: up to the first share a first event
+ * is taken to be on time, and from the second to be late. Three in four first events come
+ * within 1.3 times the estimate.
  */
 const ON_TIME_SHARE = 0.6
 const LATE_SHARE = 1.2
 
 /**
- * What a millisecond of fetching over a sound link costs against one of reading: while the
- * answer is on time nobody is worse off for it. It grows to the full with the first doubling
- * of the link's stated time. Weighed in full also over sound links, short prompts are read
- * again for a backlog of 40 ms (of 2,306 whose parts were stored 1,994 did without the fetch); weighed less over slow ones, prompts
- * wait for them until they are late.
+ * Weight of a millisecond of fetching over a healthy link, compared with one of prefill: as
+ * long as the answer is on time, a slower fetch harms nobody. The weight grows to 1 with the
+ * first doubling of the link's stated time. With full weight on healthy links, short prompts
+ * are prefilled again because of a backlog of 40 ms (1,994 of 2,306 prompts whose parts were
+ * stored were not fetched). With a lower weight on slow links, prompts wait for them until
+ * they are late.
  */
 const HEALTHY_LINK_FETCH_WEIGHT = 0.3
 
-/** What any fetch costs beside its bytes, in milliseconds: its place on the links, and its price. */
+/** Cost of any fetch besides its bytes, in milliseconds: its slot on the links, and its price. */
 const FETCH_OVERHEAD_MS = 3
 
 /**
  * @param endpoint - an engine
- * @param prompt - what is asked
- * @param version - weights that the engine holds
- * @param isHome - whether hosts send this shared part there by agreement
+ * @param prompt - prompt of the request
+ * @param version - version of the weights that the engine holds
+ * @param isHome - whether this is the home endpoint of the shared part, on which all hosts agree
  * @param holders - which engines probably hold the prompt
  * @param now - monotonic milliseconds
  */
@@ -78,14 +80,14 @@
   }
 }
 
-/** A part, the store that holds it, and the tokens of the chain up to its end. */
+/** A part, the store that holds it, and the number of tokens of the prompt up to the end of the part. */
 interface StoredPart {
   readonly part: PromptPart
   readonly store: StoreService
   readonly end: number
 }
 
-/** The unbroken beginning of the chain that stores hold: what follows a gap is of no use. */
+/** Returns the leading parts that stores hold without a gap; parts after a gap can't be used. */
 function storedParts (shared: readonly PromptPart[], fetches: ReadonlyArray<StoreService | undefined>): StoredPart[] {
   const stored: StoredPart[] = []
   let end = 0
@@ -98,7 +100,7 @@
   return stored
 }
 
-/** The leading parts with the least cost of fetching them and reading the others. */
+/** Returns the leading parts for which fetching them and prefilling the rest costs least. */
 function chooseFetches (endpoint: EndpointState, prompt: PromptQuery, stored: readonly StoredPart[], now: number): readonly StoredPart[] {
   const tokens = stored.at(-1)?.end ?? 0
   let best: readonly StoredPart[] = []
@@ -113,7 +115,7 @@
   return best
 }
 
-/** Cost of fetching, and of reading so many tokens that stores hold. */
+/** Returns the cost of fetching some stored parts and prefilling the given number of other stored tokens. */
 function costOf ({ fetchMs, slowest }: Pick<PrefillPlan, 'fetchMs' | 'slowest'>, tokens: number, { engine, objectiveRemainingMs, description }: PromptQuery): number {
   const ownTokens = description.parts.at(-1)?.tokens ?? 0
   const lateCostMs = LATE_COST_MS * lateProbability(fetchMs + engine.prefillMs(tokens + ownTokens), objectiveRemainingMs)
@@ -122,14 +124,14 @@
   return fetchMs * weight + engine.prefillMs(tokens) + tokens * RECOMPUTE_COST_MS_PER_TOKEN + lateCostMs
 }
 
-/** Chance of a first event to be late, from 0 to 1. */
+/** Estimates the probability that a first event is late, from 0 to 1. */
 function lateProbability (estimatedMs: number, objectiveRemainingMs: number): number {
   if (objectiveRemainingMs <= 0) return 1
   const share = estimatedMs / objectiveRemainingMs
   return Math.min(1, Math.max(0, (share - ON_TIME_SHARE) / (LATE_SHARE - ON_TIME_SHARE)))
 }
 
-/** Stores send side by side, so the slowest decides; parts that the engine holds move no bytes. */
+/** Plans the transfers of parts that the engine does not hold. Stores send in parallel, so the slowest one determines the time. */
 function planTransfers (
   endpoint: EndpointState, prompt: PromptQuery, parts: readonly StoredPart[], held: number, now: number
 ): Pick<PrefillPlan, 'transfers' | 'fetchMs' | 'slowest'> {
--- a/packages/routing/src/lib/endpoints/prefillPlan.ts
+++ b/packages/routing/src/lib/endpoints/prefillPlan.ts
@@ -1,23 +1,23 @@
-/** What an engine does for a prompt before its first event. */
+/** What an engine does with a prompt before its first event. */
 import type { StoreTransfer } from '../stores/StoreLinks.js'
 
-/** What an engine will probably do for a prompt before its first event. */
+/** What an engine will probably do with a prompt before its first event. */
 export interface PrefillPlan {
-  /** Prompt tokens that it will have to read. */
+  /** Prompt tokens that it will have to prefill. */
   readonly tokensToRead: number
-  /** Leading shared parts that it is told to fetch as far as it does not hold them. */
+  /** Leading shared parts that it is told to fetch unless it holds them. */
   readonly partsFromStores: number
-  /** Transfers that will probably come of that. */
+  /** Transfers that this will probably cause. */
   readonly transfers: readonly StoreTransfer[]
-  /** Milliseconds that those take, waiting included. */
+  /** Milliseconds that the transfers take, including the time they wait. */
   readonly fetchMs: number
-  /** The transfer that takes longest, and the doublings of its link's stated time that are believed; undefined without transfers. */
+  /** The transfer that takes longest, and by how many doublings its link is believed to exceed its stated time; undefined without transfers. */
   readonly slowest: { readonly transfer: StoreTransfer, readonly doublings: number } | undefined
-  /** Price of reading again what somebody has read before, in milliseconds. */
+  /** Cost of prefilling tokens again that some engine has prefilled before, in milliseconds. */
   readonly recomputeCostMs: number
 }
 
-/** Of a request without a prompt. */
+/** Plan for a request without a prompt. */
 export const EMPTY_PREFILL_PLAN: PrefillPlan = {
   tokensToRead: 0, partsFromStores: 0, transfers: [], fetchMs: 0, slowest: undefined, recomputeCostMs: 0
 }
--- a/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
@@ -8,8 +8,8 @@
 import { EngineModel } from './EngineModel.js'
 import { sampleCandidates } from './sampleCandidates.js'
 
-/** Repeatable numbers in [0, 1). */
-function numbers (seed: number): () => number {
+/** Makes a seeded generator of numbers in [0, 1). */
+function seededRandom (seed: number): () => number {
   let state = seed
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0
@@ -19,13 +19,13 @@
 
 const numbered = (count: number): number[] => Array.from({ length: count }, (_, number) => number)
 
-describe('sample', () => {
-  it('looks at all of a few', () => {
+describe('sampleCandidates', () => {
+  it('returns all of a few candidates', () => {
     expect(sampleCandidates(numbered(13), 0.3, () => false)).toEqual(numbered(13))
   })
 
-  it('draws a few of many, evenly, and never leaves out what is always looked at', () => {
-    const random = numbers(5)
+  it('draws a few of many evenly, and always includes the required ones', () => {
+    const random = seededRandom(5)
     const counts = new Map<number, number>()
     for (let request = 0; request < 5000; request += 1) {
       const looked = sampleCandidates(numbered(98), random(), candidate => candidate === 42)
@@ -60,8 +60,8 @@
     }
   }
 
-  it('do not send what arrives in a tenth of a second to the one that is least busy', () => {
-    const random = numbers(11)
+  it('do not all send the requests of a tenth of a second to the least busy engine', () => {
+    const random = seededRandom(11)
     const sent = new Map<string, number>()
     for (let request = 0; request < 85; request += 1) {
       const engines = numbered(98).map(number => new EndpointState(listed(number)))
--- a/packages/routing/src/lib/endpoints/sampleCandidates.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.ts
@@ -1,28 +1,27 @@
 /**
- * Which endpoints of a large service one request looks at.
+ * Selects the endpoints of a large service that one request considers.
  *
- * Answers the load of many hosts before many engines. All hosts learn of the same
- * least busy engine at the same time, and in the tenth of a second until they learn
- * of each other's sends, 73 hosts send it dozens of requests. Each request that
- * looks at a few drawn by chance takes the best of those, which spreads the same
- * sends over as many engines (the known result on choices with stale load). Engines
- * that hold the prompt are always looked at.
+ * All hosts learn of the same least busy engine at the same time. In the tenth of a second
+ * until they learn of each other's sends, 73 hosts would send it dozens of requests. When
+ * each request takes the best of a few engines drawn at random, the same sends spread over
+ * as many engines (a known result for load balancing with stale load information). Engines
+ * that hold the prompt are always considered.
  */
 import { mix32 } from '../prompts/homeEndpoint.js'
 
-/** Candidates up to which all are looked at, in today's small deployments: 13 engines, 8 hosts. */
+/** Number of candidates up to which all are considered; small deployments have 13 engines and 8 hosts. */
 const UNSAMPLED_LIMIT = 16
 
-/** Candidates drawn from more: enough that the best of them is among the least busy tenth most of the time. */
+/** Candidates drawn from a larger number: enough that the best of them is usually among the least busy tenth. */
 const SAMPLE_SIZE = 8
 
 const RANDOM_RANGE = 2 ** 32
 
 /**
- * @param candidates - all that may be chosen
+ * @param candidates - all endpoints that may be chosen
  * @param random - number in [0, 1)
- * @param isRequired - whether a candidate is looked at in any case
- * @returns those to look at, each once
+ * @param isRequired - whether a candidate is always part of the sample
+ * @returns candidates to consider, each once
  */
 export function sampleCandidates<Candidate> (
   candidates: readonly Candidate[], random: number, isRequired: (candidate: Candidate) => boolean
--- a/packages/routing/src/lib/endpoints/sharedObservations.ts
+++ b/packages/routing/src/lib/endpoints/sharedObservations.ts
@@ -1,49 +1,49 @@
 /**
- * What all hosts together have seen of an endpoint.
+ * Evaluates what all hosts together have observed of an endpoint.
  *
- * Answers the load in which many hosts share many endpoints: with 73 hosts and 98
- * engines a host sends one request to a given engine in five seconds, so alone it
- * finds none that is gone or faulty before the fault is over. Together they send
- * nine a second, and the first few that get no answer speak for all. What a host
- * has seen itself goes before what others say: its own way to an endpoint may be
- * sound while theirs is not.
+ * With 73 hosts and 98 engines, a host sends one request to a given engine in five
+ * seconds, so alone it detects no engine that is gone or faulty before the fault is over.
+ * Together the hosts send nine a second, and the first few requests without an answer are
+ * evidence for all. A host's own observations take precedence over those of others,
+ * because its own path to an endpoint may work while theirs does not.
  */
 import type { WorkFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 
 /**
- * Silence towards all hosts after which an endpoint with work gets no more, in
- * milliseconds. Busy engines send some event every few tens of milliseconds; the
- * longest reading of a prompt in the users' sheets takes 250.
+ * Silence towards all hosts after which an endpoint with requests in flight gets no
+ * more, in milliseconds. Busy engines send some event every few tens of milliseconds;
+ * the longest prefill of a prompt in the users' sheets takes 250.
  */
 const SILENT_TO_ALL_MS = 500
 
-/** Requests under way that make silence count: one or two may all be waiting for their first event. */
+/** Requests in flight from which silence counts: one or two may all be waiting for their first event. */
 const MIN_SILENT_REQUESTS = 3
 
-/** Hosts that must find an endpoint out of reach before others follow: one alone may have lost its own way. */
+/** Hosts that must find an endpoint unreachable before others follow them; a single host may have lost its own path. */
 const MIN_AVOIDERS = 2
 
-/** Age up to which this host's own word from an endpoint goes before the others', in milliseconds. */
+/** Age up to which a byte that this host received from an endpoint outweighs the reports of other hosts that can't reach it, in milliseconds. */
 const OWN_CONTACT_MS = 1000
 
-/** Age up to which a byte from an endpoint says that it lives, whatever others say, in milliseconds: less than it takes to find that it does not. */
+/** Age up to which a byte proves that the endpoint is alive, whatever others report, in milliseconds; detecting that it is not takes longer. */
 const ALIVE_AFTER_BYTE_MS = 300
 
-/** Successes that an endpoint is credited with at first, so that one failure settles nothing. */
+/** Successes that the failure share of each endpoint starts with, so that one failure decides nothing. */
 const PRIOR_SUCCESSES = 8
 
 /**
- * Failure share, beyond that of the service, above which an endpoint gets no work
- * if others can take it; grounds as for what one host sees alone ({@link EndpointHealth}).
+ * Failure share above that of the service from which an endpoint gets no work while
+ * others can take it. The value has the same reasons as the one for the failures that
+ * a single host observes, in {@link EndpointHealth}.
  */
 const EXCESS_FAILING_SHARE = 0.32
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
  * @param now - monotonic milliseconds
- * @returns whether it has work and has sent nothing to anybody for long
+ * @returns whether the endpoint has requests in flight and has sent nothing to any host for long
  */
 function isSilentToAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
   if (endpoint.inFlight + others.inFlight < MIN_SILENT_REQUESTS) return false
@@ -53,40 +53,40 @@
 }
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
  * @param now - monotonic milliseconds
- * @returns whether it answers nobody, and has sent nothing to this host since that was found
+ * @returns whether the endpoint was found to answer no host, and has sent nothing to this host recently
  */
 export function isUnresponsive (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
   return others.unresponsive > 0 && endpoint.lastByteAgoMs(now) > ALIVE_AFTER_BYTE_MS
 }
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
  * @param now - monotonic milliseconds
- * @returns whether other hosts could not reach it, and this host knows nothing better
+ * @returns whether several other hosts could not reach the endpoint and this host has had no recent contact with it
  */
 function isAvoidedByOthers (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
   return others.avoiders >= MIN_AVOIDERS && endpoint.lastByteAgoMs(now) > OWN_CONTACT_MS
 }
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
  * @param now - monotonic milliseconds
- * @returns whether nobody reaches it, as far as all hosts have seen
+ * @returns whether no host reaches the endpoint, as far as all hosts have observed
  */
 export function isUnreachableByAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
   return isUnresponsive(endpoint, others, now) || isAvoidedByOthers(endpoint, others, now)
 }
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
  * @param now - monotonic milliseconds
- * @returns share of requests that failed there lately, over all hosts
+ * @returns share of the recent requests to it that failed, over all hosts
  */
 export function sharedFailureShare (endpoint: EndpointState, others: WorkFigures, now: number): number {
   const own = endpoint.health.recentOutcomes(now)
@@ -95,15 +95,15 @@
   return Math.max(endpoint.health.failureShare, failures / (outcomes + PRIOR_SUCCESSES))
 }
 
-/** Why an endpoint gets no work if others can take it, by what all hosts have seen. */
+/** Why an endpoint gets no work while others can take it, based on the observations of all hosts. */
 export type EjectionReason = 'unresponsive' | 'silent-to-all' | 'avoided-by-others' | 'failing'
 
 /**
- * @param endpoint - as this host knows it
- * @param others - what the other hosts have told of it
- * @param excessShare - its failure share beyond the mean of its service
+ * @param endpoint - endpoint as this host knows it
+ * @param others - what the other hosts have reported of it
+ * @param excessShare - failure share of the endpoint above the mean of its service
  * @param now - monotonic milliseconds
- * @returns why it is ejected, or undefined if it is not
+ * @returns why the endpoint is ejected, or undefined if it is not
  */
 export function ejectionReason (endpoint: EndpointState, others: WorkFigures, excessShare: number, now: number): EjectionReason | undefined {
   if (isUnresponsive(endpoint, others, now)) return 'unresponsive'
--- a/packages/routing/src/lib/places/RegionBound.test.ts
+++ b/packages/routing/src/lib/places/RegionBound.test.ts
@@ -11,17 +11,17 @@
 const REGIONS = new Map([['hall-a', 'coast'], ['hall-b', 'coast'], ['hall-c', 'plain'], ['hall-d', 'hills']])
 
 describe('regionBoundOf', () => {
-  it('bounds nothing where neither route nor customer names a region', () => {
+  it('sets no restriction if neither the route nor the customer names a region', () => {
     expect(regionBoundOf({}, undefined, REGIONS)).toBeUndefined()
     expect(regionBoundOf({ allowedRegions: [] }, { allowedRegions: [] }, REGIONS)).toBeUndefined()
   })
 
-  it('allows the data centres of the regions, and none whose region is not known', () => {
+  it('allows the data centres of the regions, and none whose region is unknown', () => {
     const bound = regionBoundOf({ allowedRegions: ['coast'] }, undefined, REGIONS)
     expect(['hall-a', 'hall-b', 'hall-c', 'unknown'].map(name => bound?.allows(name))).toEqual([true, true, false, false])
   })
 
-  it('holds for route and customer both', () => {
+  it('applies the regions of both the route and the customer', () => {
     const bound = regionBoundOf({ allowedRegions: ['coast', 'plain'] }, { allowedRegions: ['plain', 'hills'] }, REGIONS)
     expect(['hall-a', 'hall-c', 'hall-d'].map(name => bound?.allows(name))).toEqual([false, true, false])
     const nowhere = regionBoundOf({ allowedRegions: ['coast'] }, { allowedRegions: ['plain'] }, REGIONS)
@@ -29,24 +29,24 @@
   })
 })
 
-describe('a request that is bound to regions', () => {
+describe('a request that is restricted to regions', () => {
   const listed = (id: string, dataCentre: string): ListedEndpoint => ({ id, service: 'pool', address: '10.0.0.1:1', dataCentre, slots: 8, isLeaving: false, isBusy: false, models: [] })
   const store = (name: string, dataCentre: string): StoreService =>
     ({ type: 'store', name, address: name, dataCentre, cacheTokens: 1000, linkMbps: 1000, firstByteMs: 1, isManaged: true })
   const bound = regionBoundOf({ allowedRegions: ['plain'] }, undefined, REGIONS)
   const query = { excluded: new Set<string>(), dataCentre: 'hall-a', others: undefined, regionBound: bound }
 
-  it('goes to an endpoint there, however far and busy it is', () => {
+  it('goes to an endpoint in its regions, however far and busy that is', () => {
     const far = new EndpointState(listed('far', 'hall-c'))
     for (let sent = 0; sent < 30; sent += 1) far.beginRequest(0, 0, 0)
     expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], query, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
   })
 
-  it('has no endpoint where there is none, and the reason says so', () => {
+  it('gets no endpoint if its regions have none, and the reason says so', () => {
     expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], query, new PromptMemory(), 0, 0)).toBe('none-in-regions')
   })
 
-  it('is kept in stores there only, and not under the name that other prompts use', () => {
+  it('is stored only in its regions, and under a different scope than other prompts', () => {
     const index = new StoredPartsIndex()
     index.configure([store('a', 'hall-a'), store('c', 'hall-c')])
     for (const name of ['a', 'c']) index.apply({ store: name, kind: 'whole', added: [['v1', 'p']], removed: [] })
--- a/packages/routing/src/lib/places/RegionBound.ts
+++ b/packages/routing/src/lib/places/RegionBound.ts
@@ -1,24 +1,24 @@
-/** Regions in which a request, and all that is kept of its prompt, has to stay. */
+/** Restricts a request, and everything that is stored of its prompt, to regions. */
 import type { Route, SiteCustomer } from '@eelgrassmux/schema/site/siteSchema'
 
-/** Where a request may go. */
+/** The regions to which a request is restricted. */
 export interface RegionBound {
-  /** Keeps what is stored under this bound apart from everything else. */
+  /** Separates what is stored under this restriction from everything else. */
   readonly name: string
   /**
-   * @param dataCentre - of an endpoint or a store
-   * @returns whether the request, or parts of its prompt, may be there
+   * @param dataCentre - data centre of an endpoint or a store
+   * @returns whether the request, or parts of its prompt, may be in that data centre
    */
   allows (dataCentre: string): boolean
 }
 
 /**
- * Where both a route and a customer name regions, both hold.
+ * Combines the regions of a route and a customer; where both name regions, both apply.
  *
- * @param route - of the request
- * @param customer - who asks, if it is known
- * @param regions - region of each data centre; one that is not named lies in none
- * @returns the bound, or undefined if neither names regions
+ * @param route - route of the request
+ * @param customer - customer that sends the request, if known
+ * @param regions - region of each data centre; a data centre that is not listed lies in no region
+ * @returns the restriction, or undefined if neither names regions
  */
 export function regionBoundOf (
   route: Pick<Route, 'allowedRegions'>, customer: Pick<SiteCustomer, 'allowedRegions'> | undefined, regions: ReadonlyMap<string, string>
