--- a/packages/routing/src/lib/admission/admitStream.ts
+++ b/packages/routing/src/lib/admission/admitStream.ts
@@ -43,7 +43,10 @@
 const PATIENCE_PER_OBJECTIVE = 4
 const PATIENCE_PER_PAUSE = 8
 
-/** Factor by which an estimate may be wrong: runs on heavy days stay within it at the 75th percentile. A stream that may still be awaited is sent. */
+/**
+ * Factor by which an estimate may be wrong; on days of heavy load, the 75th percentile of the
+ * error is about this. A stream counts as late, or as later than its caller waits, only beyond it.
+ */
 const ESTIMATE_TOLERANCE = 1.3
 
 /**
--- a/packages/routing/src/lib/endpoints/EngineModel.ts
+++ b/packages/routing/src/lib/endpoints/EngineModel.ts
@@ -20,7 +20,7 @@
 }
 
 /** Fixed milliseconds, milliseconds per thousand tokens of the request and of other requests, milliseconds per ten running requests. */
-type Coefficients = readonly [fixed: number, reading: number, ahead: number, running: number]
+type Coefficients = readonly [fixed: number, prefill: number, ahead: number, running: number]
 
 /** Units of the inputs, chosen so that all coefficients have a similar magnitude. */
 const TOKENS_UNIT = 1000
--- a/packages/routing/src/lib/endpoints/endpointQuery.ts
+++ b/packages/routing/src/lib/endpoints/endpointQuery.ts
@@ -12,7 +12,7 @@
 export interface EndpointQuery {
   /** Endpoints to which this request has been sent already. */
   readonly excluded: ReadonlySet<string>
-  /** Data centre of this host; traffic between data centres costs money. */
+  /** Data centre of this host; traffic between data centres has a cost. */
   readonly dataCentre: string
   /** Work that the other entry hosts have reported; undefined while it is not known. */
   readonly others: OthersWork | undefined
--- a/packages/routing/src/lib/endpoints/planPrefill.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.ts
@@ -39,7 +39,7 @@
 
 /**
  * Weight of a millisecond of fetching over a healthy link, compared with one of prefill: as
- * long as the answer is on time, a slower fetch harms nobody. The weight grows to 1 with the
+ * long as the answer is on time, waiting for a fetch harms nobody. The weight grows to 1 with the
  * first doubling of the link's stated time. With full weight on healthy links, short prompts
  * are prefilled again because of a backlog of 40 ms (1,994 of 2,306 prompts whose parts were
  * stored were not fetched). With a lower weight on slow links, prompts wait for them until
