--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -63,7 +63,7 @@
   /** @param request - what to send */
   send (request: EndpointRequest): void {
     this.choice.endpoint.beginRequest(this.choice.prefill.tokensToRead, this.choice.tokensHeld, performance.now())
-    this.fleet.storeLinks.begin(this.choice.prefill.transfers)
+    this.fleet.storeLinks.beginTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('sent')
     this.#cancel = this.connection.send(request, {
       sending: () => {
@@ -98,7 +98,7 @@
     if (!this.#isReading) return
     this.#isReading = false
     this.choice.endpoint.recordFirstEvent(this.choice.prefill.tokensToRead)
-    this.fleet.storeLinks.end(this.choice.prefill.transfers)
+    this.fleet.storeLinks.endTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('eased')
   }
 
--- a/packages/routing/src/lib/endpoints/ColdEndpointLimiter.test.ts
+++ b/packages/routing/src/lib/endpoints/ColdEndpointLimiter.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
 import { COLD_WINDOW_MS, ColdEndpointLimiter } from './ColdEndpointLimiter.js'
 import type { EndpointQuery, HoldBackReason } from './endpointQuery.js'
@@ -90,7 +90,7 @@
 describe('chooseEndpoint with cold endpoints', () => {
   const queryWith = (overrides: Partial<EndpointQuery> = {}): EndpointQuery => ({ excluded: new Set(), dataCentre: 'north', others: undefined, ...overrides })
   const choose = (endpoints: readonly EndpointState[], query: EndpointQuery, now = 0): string => {
-    const choice = chooseEndpoint(endpoints, query, new PromptMemory(), now, 0)
+    const choice = chooseEndpoint(endpoints, query, new PromptResidencyTracker(), now, 0)
     return typeof choice === 'string' ? choice : choice.endpoint.id
   }
 
@@ -124,10 +124,10 @@
   it('uses only the other data centres, however busy they are', () => {
     const busy = south()
     for (let sent = 0; sent < 50; sent += 1) busy.beginRequest(0, 0, 0)
-    expect(chooseEndpoint([north(), busy], queryWith(['north']), new PromptMemory(), 0, 0)).toMatchObject({ endpoint: busy })
+    expect(chooseEndpoint([north(), busy], queryWith(['north']), new PromptResidencyTracker(), 0, 0)).toMatchObject({ endpoint: busy })
   })
 
   it('finds no endpoint if all are evacuated, and gives that as the reason', () => {
-    expect(chooseEndpoint([north(), south()], queryWith(['north', 'south']), new PromptMemory(), 0, 0)).toBe('all-evacuated')
+    expect(chooseEndpoint([north(), south()], queryWith(['north', 'south']), new PromptResidencyTracker(), 0, 0)).toBe('all-evacuated')
   })
 })
--- a/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
-import { OthersWork } from '../load/OthersWork.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
+import { PeerLoad } from '../load/PeerLoad.js'
 import { EndpointState } from './EndpointState.js'
 import { EjectionTracker } from './EjectionTracker.js'
 
@@ -8,10 +8,10 @@
   id, service: 'pool', address: '10.0.0.1:1', dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: []
 })
 
-function othersWith (figures: Partial<WorkFigures>): OthersWork {
-  const others = new OthersWork()
-  others.sent(1, { work: [], links: [] })
-  others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: 'a', ...figures }], links: [] }, 0)
+function othersWith (figures: Partial<LoadFigures>): PeerLoad {
+  const others = new PeerLoad()
+  others.recordOwnReport(1, { work: [], links: [] })
+  others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'a', ...figures }], links: [] }, 0)
   return others
 }
 
--- a/packages/routing/src/lib/endpoints/EjectionTracker.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.ts
@@ -1,6 +1,6 @@
 /** Tracks which endpoints this host avoids because of what all hosts have observed. */
-import type { OthersWork } from '../load/OthersWork.js'
-import type { WorkFigures } from '../load/loadReport.js'
+import type { PeerLoad } from '../load/PeerLoad.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 import { sharedFailureShare, ejectionReason, type EjectionReason } from './sharedObservations.js'
 
@@ -9,7 +9,7 @@
   readonly endpoint: EndpointState
   /** Undefined when the endpoint is readmitted. */
   readonly reason: EjectionReason | undefined
-  readonly others: WorkFigures
+  readonly others: LoadFigures
   readonly failureShare: number
   readonly meanShare: number
 }
@@ -26,9 +26,9 @@
    * @param now - monotonic milliseconds
    * @returns endpoints that were ejected or readmitted since the previous call, or whose reason changed
    */
-  detectChanges (endpoints: readonly EndpointState[], others: OthersWork, now: number): EjectionChange[] {
+  detectChanges (endpoints: readonly EndpointState[], others: PeerLoad, now: number): EjectionChange[] {
     const observed = endpoints.map(endpoint => {
-      const figures = others.at(endpoint.incarnation)
+      const figures = others.forEndpoint(endpoint.incarnation)
       return { endpoint, others: figures, failureShare: sharedFailureShare(endpoint, figures, now) }
     })
     const meanShare = observed.reduce((sum, entry) => sum + entry.failureShare, 0) / Math.max(1, observed.length)
--- a/packages/routing/src/lib/endpoints/EndpointState.ts
+++ b/packages/routing/src/lib/endpoints/EndpointState.ts
@@ -1,6 +1,6 @@
 /** State that one entry host keeps about one endpoint. */
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { LONG_AGO_MS, type WorkFigures } from '../load/loadReport.js'
+import { MAX_REPORTED_AGE_MS, type LoadFigures } from '../load/loadReport.js'
 import { EndpointHealth } from './EndpointHealth.js'
 import { incarnationName } from './incarnationName.js'
 import { RequestedPause } from './RequestedPause.js'
@@ -92,7 +92,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  work (now: number): WorkFigures {
+  work (now: number): LoadFigures {
     const { outcomes, failures } = this.health.recentOutcomes(now)
     return {
       inFlight: this.#inFlight,
@@ -112,7 +112,7 @@
    * @returns milliseconds since this host last received a byte from the endpoint
    */
   lastByteAgoMs (now: number): number {
-    return Math.min(LONG_AGO_MS, now - this.#lastByteAt)
+    return Math.min(MAX_REPORTED_AGE_MS, now - this.#lastByteAt)
   }
 
   /**
@@ -120,7 +120,7 @@
    * @returns milliseconds for which this host has had requests in flight at the endpoint without a break
    */
   waitedMs (now: number): number {
-    return this.#inFlight === 0 ? 0 : Math.min(LONG_AGO_MS, now - this.#busySince)
+    return this.#inFlight === 0 ? 0 : Math.min(MAX_REPORTED_AGE_MS, now - this.#busySince)
   }
 
   /**
--- a/packages/routing/src/lib/endpoints/candidates.ts
+++ b/packages/routing/src/lib/endpoints/candidates.ts
@@ -1,5 +1,5 @@
 /** Selects the endpoints that may take a request. */
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
 import type { AllHeldBack, EndpointQuery, HoldBackReason, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import { ejectionReason, isUnreachableByAll, sharedFailureShare } from './sharedObservations.js'
@@ -7,7 +7,7 @@
 /** An endpoint with the work and observations that other hosts have reported for it. */
 export interface Candidate {
   readonly endpoint: EndpointState
-  readonly others: WorkFigures
+  readonly others: LoadFigures
   readonly failureShare: number
 }
 
@@ -55,7 +55,7 @@
 }
 
 function asCandidate (endpoint: EndpointState, query: EndpointQuery, now: number): Candidate {
-  const others = query.others?.at(endpoint.incarnation) ?? NO_WORK
+  const others = query.others?.forEndpoint(endpoint.incarnation) ?? NO_ENDPOINT_LOAD
   return { endpoint, others, failureShare: sharedFailureShare(endpoint, others, now) }
 }
 
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
-import { OthersWork } from '../load/OthersWork.js'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
+import { PeerLoad } from '../load/PeerLoad.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 import type { StorePlan } from '../stores/StoredPartsIndex.js'
@@ -62,7 +62,7 @@
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       for (const random of [0, 0.3, 0.6, 0.99]) {
-        expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, random)).endpoint.id).toBe(home)
+        expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 0, random)).endpoint.id).toBe(home)
       }
     })
 
@@ -70,14 +70,14 @@
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       fleet.find(engine => engine.id === home)?.beginRequest(60_000, 60_000, 0)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('go where this host has sent them before', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const other = fleet.find(engine => engine.id !== home)
-      const memory = new PromptMemory()
+      const memory = new PromptResidencyTracker()
       memory.recordSend('v1', promptQuery().description.parts.slice(0, 2), other?.id ?? '', 0)
       expect(chosen(chooseEndpoint(fleet, query(promptQuery()), memory, 1000, 0)).endpoint.id).toBe(other?.id)
     })
@@ -85,7 +85,7 @@
     it('need only their own part prefilled where a store holds the rest', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 590_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
-      const choice = chosen(chooseEndpoint(engines(8), query(promptQuery({ stored: () => stored })), new PromptMemory(), 0, 0))
+      const choice = chosen(chooseEndpoint(engines(8), query(promptQuery({ stored: () => stored })), new PromptResidencyTracker(), 0, 0))
       expect(choice.prefill.tokensToRead).toBe(2900)
     })
 
@@ -93,7 +93,7 @@
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'south', cacheTokens: 1e6, linkMbps: 100_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const fleet = [new EndpointState(listed('a')), new EndpointState(listed('b', { dataCentre: 'south' }))]
-      const choice = chosen(chooseEndpoint(fleet, query(promptQuery({ stored: () => stored })), new PromptMemory(), 0, 0))
+      const choice = chosen(chooseEndpoint(fleet, query(promptQuery({ stored: () => stored })), new PromptResidencyTracker(), 0, 0))
       expect(choice.endpoint.listed.dataCentre).toBe('south')
     })
   })
@@ -102,19 +102,19 @@
     it('do not all choose the engine that is busy with work of the others', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 6, pendingTokens: 40_000, heldTokens: 70_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: home, inFlight: 6, pendingTokens: 40_000, heldTokens: 70_000 }], links: [] }, 0)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('avoid an engine whose memory is full, though it has nothing to prefill', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 9, pendingTokens: 0, heldTokens: 105_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: home, inFlight: 9, pendingTokens: 0, heldTokens: 105_000 }], links: [] }, 0)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery(), { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
   })
 
@@ -124,8 +124,8 @@
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const slow = fleet.find(engine => engine.id === home)
       for (let request = 0; request < 20; request += 1) slow?.slowness.observe(1500, 200, 0)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 60_000, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 60_000, 0)).endpoint.id).toBe(home)
     })
   })
 
@@ -134,28 +134,28 @@
     const fresh = (): EndpointState => new EndpointState(listed('fresh', { models: [{ model: MODEL, version: 2 }] }))
 
     it('are the newest if any engine holds them', () => {
-      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2 })), new PromptResidencyTracker(), 0, 0)).version).toBe(2)
     })
 
     it('are older ones if no engine holds the newest', () => {
-      expect(chosen(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(1)
+      expect(chosen(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2 })), new PromptResidencyTracker(), 0, 0)).version).toBe(1)
     })
 
     it('are not used if the request would start on them too late', () => {
-      expect(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
-      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chooseEndpoint([old()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptResidencyTracker(), 0, 0)).toBe('none-of-version')
+      expect(chosen(chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptResidencyTracker(), 0, 0)).version).toBe(2)
     })
 
     // Guards against a stream that resumes on another engine long after its weights may no longer be used.
     it('have the same time limit for a resumed stream, which continues on no other version', () => {
       const resume = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
-        chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptMemory(), 0, 0)
+        chooseEndpoint([old(), fresh()], query(promptQuery({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptResidencyTracker(), 0, 0)
       expect(resume(0)).toBe('none-of-version')
       expect(chosen(resume(60_000)).version).toBe(1)
     })
 
     it('never change during a request', () => {
-      expect(chooseEndpoint([fresh()], query(promptQuery({ requiredVersion: 1 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
+      expect(chooseEndpoint([fresh()], query(promptQuery({ requiredVersion: 1 })), new PromptResidencyTracker(), 0, 0)).toBe('none-of-version')
     })
   })
 
@@ -163,13 +163,13 @@
     it('include those that are leaving, whatever an older list says', () => {
       const leaving = new EndpointState(listed('a', { isLeaving: true }))
       leaving.update(listed('a'))
-      expect(chooseEndpoint([leaving], query(), new PromptMemory(), 0, 0)).toBe('none-listed')
+      expect(chooseEndpoint([leaving], query(), new PromptResidencyTracker(), 0, 0)).toBe('none-listed')
     })
 
     it('include those that load weights, while others can take it', () => {
       const fleet = [new EndpointState(listed('a', { isBusy: true })), new EndpointState(listed('b'))]
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('b')
-      expect(chosen(chooseEndpoint(fleet.slice(0, 1), query(promptQuery()), new PromptMemory(), 0, 0)).endpoint.id).toBe('a')
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('b')
+      expect(chosen(chooseEndpoint(fleet.slice(0, 1), query(promptQuery()), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('a')
     })
 
     it('include those that have work and have been silent for long, while others can take it', () => {
@@ -177,32 +177,32 @@
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const silent = fleet.find(engine => engine.id === home)
       silent?.beginRequest(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 100, 0)).endpoint.id).toBe(home)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 1500, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 100, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 1500, 0)).endpoint.id).not.toBe(home)
       silent?.observeBytes(1500)
-      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptMemory(), 1600, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, query(promptQuery()), new PromptResidencyTracker(), 1600, 0)).endpoint.id).toBe(home)
     })
 
     it('include those that were unreachable a moment ago, unless all were', () => {
       const [first, second] = engines(2)
       first?.health.observe('unreachable', 0)
       const both = [first, second].filter(engine => engine !== undefined)
-      expect(chosen(chooseEndpoint(both, query(), new PromptMemory(), 10, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(both, query(), new PromptResidencyTracker(), 10, 0)).endpoint.id).toBe('e1')
       second?.health.observe('unreachable', 0)
-      expect(typeof chooseEndpoint(both, query(), new PromptMemory(), 10, 0)).toBe('object')
+      expect(typeof chooseEndpoint(both, query(), new PromptResidencyTracker(), 10, 0)).toBe('object')
     })
   })
 
   describe('observations of other hosts', () => {
-    function othersWith (figures: Partial<WorkFigures>, endpoint = 'e0'): OthersWork {
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint, ...figures }], links: [] }, 0)
+    function othersWith (figures: Partial<LoadFigures>, endpoint = 'e0'): PeerLoad {
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint, ...figures }], links: [] }, 0)
       return others
     }
 
-    const chooses = (figures: Partial<WorkFigures>, fleet = engines(2)): string =>
-      chosen(chooseEndpoint(fleet, query(undefined, { others: othersWith(figures) }), new PromptMemory(), 0, 0)).endpoint.id
+    const chooses = (figures: Partial<LoadFigures>, fleet = engines(2)): string =>
+      chosen(chooseEndpoint(fleet, query(undefined, { others: othersWith(figures) }), new PromptResidencyTracker(), 0, 0)).endpoint.id
 
     it('keep a host from an endpoint that is silent to all, though it never sent there itself', () => {
       expect(chooses({ inFlight: 0 })).toBe('e0')
@@ -240,29 +240,29 @@
     it('that are open are preferred to new ones, while the difference is small', () => {
       const fleet = engines(2)
       const hasConnection = (endpoint: EndpointState): boolean => endpoint.id === 'e1'
-      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e1')
       for (let request = 0; request < 8; request += 1) fleet[1]?.beginRequest(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e0')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { hasConnection }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e0')
     })
   })
 
   describe('plain services', () => {
     it('use the endpoint with the fewest requests of all hosts', () => {
       const fleet = engines(3)
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({
         sequence: 1,
-        work: [{ ...NO_WORK, endpoint: 'e0', inFlight: 9, pendingTokens: 0, heldTokens: 0 }, { ...NO_WORK, endpoint: 'e2', inFlight: 7, pendingTokens: 0, heldTokens: 0 }],
+        work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'e0', inFlight: 9, pendingTokens: 0, heldTokens: 0 }, { ...NO_ENDPOINT_LOAD, endpoint: 'e2', inFlight: 7, pendingTokens: 0, heldTokens: 0 }],
         links: []
       }, 0)
-      expect(chosen(chooseEndpoint(fleet, query(undefined, { others }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(undefined, { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e1')
     })
 
     it('avoid an endpoint at which many requests fail', () => {
       const fleet = engines(2)
       for (let request = 0; request < 12; request += 1) fleet[0]?.health.observe('failure', 0)
-      expect(chosen(chooseEndpoint(fleet, query(), new PromptMemory(), 100_000, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, query(), new PromptResidencyTracker(), 100_000, 0)).endpoint.id).toBe('e1')
     })
   })
 })
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.ts
@@ -9,7 +9,7 @@
  */
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { sharedPartOf } from '../prompts/promptDescription.js'
-import type { PromptHolders, PromptMemory } from '../prompts/PromptMemory.js'
+import type { PromptHolders, PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { candidatesFor, type Candidate } from './candidates.js'
 import type { EndpointQuery, EndpointChoice, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
@@ -30,7 +30,7 @@
  * @returns the choice, or the reason why there is none
  */
 export function chooseEndpoint (
-  endpoints: readonly EndpointState[], query: EndpointQuery, memory: PromptMemory, now: number, random: number
+  endpoints: readonly EndpointState[], query: EndpointQuery, memory: PromptResidencyTracker, now: number, random: number
 ): EndpointChoice | NoEndpointReason {
   const candidates = candidatesFor(endpoints, query, now)
   if (typeof candidates === 'string') return candidates
@@ -64,7 +64,7 @@
 
 /** Looks the holders up once per version of the weights, whatever the number of engines. */
 function holdersFor (
-  endpoint: EndpointState, prompt: PromptQuery | undefined, memory: PromptMemory, known: Map<number, PromptHolders>, now: number
+  endpoint: EndpointState, prompt: PromptQuery | undefined, memory: PromptResidencyTracker, known: Map<number, PromptHolders>, now: number
 ): PromptHolders | undefined {
   if (prompt === undefined) return undefined
   const version = endpoint.version(prompt.description.model) ?? 0
--- a/packages/routing/src/lib/endpoints/endpointQuery.ts
+++ b/packages/routing/src/lib/endpoints/endpointQuery.ts
@@ -1,5 +1,5 @@
 /** Input and result of the choice of an endpoint. */
-import type { OthersWork } from '../load/OthersWork.js'
+import type { PeerLoad } from '../load/PeerLoad.js'
 import type { RegionBound } from '../places/RegionBound.js'
 import type { PromptDescription } from '../prompts/promptDescription.js'
 import type { StoreLinks } from '../stores/StoreLinks.js'
@@ -15,7 +15,7 @@
   /** Data centre of this host; traffic between data centres has a cost. */
   readonly dataCentre: string
   /** Work that the other entry hosts have reported; undefined while it is not known. */
-  readonly others: OthersWork | undefined
+  readonly others: PeerLoad | undefined
   /** Returns whether this host has an idle connection to an endpoint; opening a new one costs the endpoint time. */
   hasConnection? (endpoint: EndpointState): boolean
   /** Data centres whose endpoints get no new work; none by default. */
--- a/packages/routing/src/lib/endpoints/estimateEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/estimateEndpoint.ts
@@ -1,6 +1,6 @@
 /** Estimates the time and cost of a request at an endpoint. */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
-import type { WorkFigures } from '../load/loadReport.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { Candidate } from './candidates.js'
 import type { EndpointQuery, EndpointChoice, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
@@ -67,7 +67,7 @@
   return { endpoint, version, prefill, tokensHeld, estimatedMs, costMs, waitMs, memoryWaitMs, workMs, load, memoryShare: share }
 }
 
-function estimatePlainMs (endpoint: EndpointState, query: EndpointQuery, others: WorkFigures, now: number): number {
+function estimatePlainMs (endpoint: EndpointState, query: EndpointQuery, others: LoadFigures, now: number): number {
   const { slots } = endpoint.occupancy(now)
   const requests = requestsAt(endpoint, query, others, now)
   const serviceMs = endpoint.latencyMs ?? INITIAL_PLAIN_MS
@@ -76,10 +76,10 @@
 }
 
 /** Counts the requests at an endpoint from the reports of all hosts, or from the endpoint's own load while those are not known. */
-function requestsAt (endpoint: EndpointState, query: EndpointQuery, others: WorkFigures, now: number): number {
+function requestsAt (endpoint: EndpointState, query: EndpointQuery, others: LoadFigures, now: number): number {
   return query.others === undefined ? endpoint.occupancy(now).total : endpoint.inFlight + others.inFlight
 }
 
-function memoryShare (endpoint: EndpointState, others: WorkFigures, prompt: PromptQuery, tokensHeld: number): number {
+function memoryShare (endpoint: EndpointState, others: LoadFigures, prompt: PromptQuery, tokensHeld: number): number {
   return prompt.memoryTokens === 0 ? 0 : (endpoint.heldTokens + others.heldTokens + tokensHeld) / prompt.memoryTokens
 }
--- a/packages/routing/src/lib/endpoints/planPrefill.ts
+++ b/packages/routing/src/lib/endpoints/planPrefill.ts
@@ -6,7 +6,7 @@
  * other transfers queue behind it. Parts are therefore fetched only while that costs less than
  * prefilling them, where repeating work that was done once and missing the objective have a cost.
  */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
 import type { PromptPart } from '../prompts/promptDescription.js'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import type { PromptQuery } from './endpointQuery.js'
--- a/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
 import type { PromptQuery } from './endpointQuery.js'
@@ -66,7 +66,7 @@
     for (let request = 0; request < 85; request += 1) {
       const engines = numbered(98).map(number => new EndpointState(listed(number)))
       engines.forEach((engine, number) => { engine.beginRequest(number === 7 ? 0 : 4000 + number, 40_000, 0) })
-      const choice = chooseEndpoint(engines, { excluded: new Set(), dataCentre: 'north', others: undefined, prompt: prompt(request) }, new PromptMemory(), 0, random())
+      const choice = chooseEndpoint(engines, { excluded: new Set(), dataCentre: 'north', others: undefined, prompt: prompt(request) }, new PromptResidencyTracker(), 0, random())
       if (typeof choice === 'string') throw new Error(choice)
       sent.set(choice.endpoint.id, (sent.get(choice.endpoint.id) ?? 0) + 1)
     }
--- a/packages/routing/src/lib/endpoints/sharedObservations.ts
+++ b/packages/routing/src/lib/endpoints/sharedObservations.ts
@@ -7,7 +7,7 @@
  * evidence for all. A host's own observations take precedence over those of others,
  * because its own path to an endpoint may work while theirs does not.
  */
-import type { WorkFigures } from '../load/loadReport.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 
 /**
@@ -45,7 +45,7 @@
  * @param now - monotonic milliseconds
  * @returns whether the endpoint has requests in flight and has sent nothing to any host for long
  */
-function isSilentToAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+function isSilentToAll (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   if (endpoint.inFlight + others.inFlight < MIN_SILENT_REQUESTS) return false
   const lastByteAgoMs = Math.min(endpoint.lastByteAgoMs(now), others.lastByteAgoMs)
   const waitedMs = Math.max(endpoint.waitedMs(now), others.waitedMs)
@@ -58,7 +58,7 @@
  * @param now - monotonic milliseconds
  * @returns whether the endpoint was found to answer no host, and has sent nothing to this host recently
  */
-export function isUnresponsive (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+export function isUnresponsive (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return others.unresponsive > 0 && endpoint.lastByteAgoMs(now) > ALIVE_AFTER_BYTE_MS
 }
 
@@ -68,7 +68,7 @@
  * @param now - monotonic milliseconds
  * @returns whether several other hosts could not reach the endpoint and this host has had no recent contact with it
  */
-function isAvoidedByOthers (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+function isAvoidedByOthers (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return others.avoiders >= MIN_AVOIDERS && endpoint.lastByteAgoMs(now) > OWN_CONTACT_MS
 }
 
@@ -78,7 +78,7 @@
  * @param now - monotonic milliseconds
  * @returns whether no host reaches the endpoint, as far as all hosts have observed
  */
-export function isUnreachableByAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+export function isUnreachableByAll (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return isUnresponsive(endpoint, others, now) || isAvoidedByOthers(endpoint, others, now)
 }
 
@@ -88,7 +88,7 @@
  * @param now - monotonic milliseconds
  * @returns share of the recent requests to it that failed, over all hosts
  */
-export function sharedFailureShare (endpoint: EndpointState, others: WorkFigures, now: number): number {
+export function sharedFailureShare (endpoint: EndpointState, others: LoadFigures, now: number): number {
   const own = endpoint.health.recentOutcomes(now)
   const outcomes = own.outcomes + others.outcomes
   const failures = own.failures + others.failures
@@ -105,7 +105,7 @@
  * @param now - monotonic milliseconds
  * @returns why the endpoint is ejected, or undefined if it is not
  */
-export function ejectionReason (endpoint: EndpointState, others: WorkFigures, excessShare: number, now: number): EjectionReason | undefined {
+export function ejectionReason (endpoint: EndpointState, others: LoadFigures, excessShare: number, now: number): EjectionReason | undefined {
   if (isUnresponsive(endpoint, others, now)) return 'unresponsive'
   if (isSilentToAll(endpoint, others, now)) return 'silent-to-all'
   if (isAvoidedByOthers(endpoint, others, now)) return 'avoided-by-others'
--- a/packages/routing/src/lib/places/RegionBound.test.ts
+++ b/packages/routing/src/lib/places/RegionBound.test.ts
@@ -4,7 +4,7 @@
 import { chooseEndpoint } from '../endpoints/chooseEndpoint.js'
 import { EndpointState } from '../endpoints/EndpointState.js'
 import { cacheScope } from '../prompts/cacheScope.js'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoredPartsIndex } from '../stores/StoredPartsIndex.js'
 import { regionBoundOf } from './RegionBound.js'
 
@@ -39,11 +39,11 @@
   it('goes to an endpoint in its regions, however far and busy that is', () => {
     const far = new EndpointState(listed('far', 'hall-c'))
     for (let sent = 0; sent < 30; sent += 1) far.beginRequest(0, 0, 0)
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], query, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], query, new PromptResidencyTracker(), 0, 0)).toMatchObject({ endpoint: far })
   })
 
   it('gets no endpoint if its regions have none, and the reason says so', () => {
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], query, new PromptMemory(), 0, 0)).toBe('none-in-regions')
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], query, new PromptResidencyTracker(), 0, 0)).toBe('none-in-regions')
   })
 
   it('is stored only in its regions, and under a different scope than other prompts', () => {
