--- a/packages/routing/src/lib/endpoints/sample.test.ts
+++ b/packages/routing/src/lib/endpoints/sampleCandidates.test.ts
@@ -3,13 +3,13 @@
 import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
-import type { PromptAsk } from './endpointAsk.js'
+import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
-import { sample } from './sample.js'
+import { sampleCandidates } from './sampleCandidates.js'
 
-/** Repeatable numbers in [0, 1). */
-function numbers (seed: number): () => number {
+/** Makes a seeded generator of numbers in [0, 1). */
+function seededRandom (seed: number): () => number {
   let state = seed
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0
@@ -19,16 +19,16 @@
 
 const numbered = (count: number): number[] => Array.from({ length: count }, (_, number) => number)
 
-describe('sample', () => {
-  it('looks at all of a few', () => {
-    expect(sample(numbered(13), 0.3, () => false)).toEqual(numbered(13))
+describe('sampleCandidates', () => {
+  it('returns all of a few candidates', () => {
+    expect(sampleCandidates(numbered(13), 0.3, () => false)).toEqual(numbered(13))
   })
 
-  it('draws a few of many, evenly, and never leaves out what is always looked at', () => {
-    const random = numbers(5)
+  it('draws a few of many evenly, and always includes the required ones', () => {
+    const random = seededRandom(5)
     const counts = new Map<number, number>()
     for (let request = 0; request < 5000; request += 1) {
-      const looked = sample(numbered(98), random(), candidate => candidate === 42)
+      const looked = sampleCandidates(numbered(98), random(), candidate => candidate === 42)
       expect(looked.length).toBeLessThanOrEqual(9)
       expect(looked).toContain(42)
       for (const candidate of looked) counts.set(candidate, (counts.get(candidate) ?? 0) + 1)
@@ -44,12 +44,12 @@
     id: `e${number}`, service: 'pool', address: `10.0.0.${number}:1`, dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: [{ model: 'm', version: 1 }]
   })
 
-  function prompt (request: number): PromptAsk {
+  function prompt (request: number): PromptQuery {
     return {
       description: { model: 'm', promptTokens: 12_000, outputTokens: 60, parts: [{ id: `session-${request}`, tokens: 9000 }, { id: `own-${request}`, tokens: 3000 }] },
       desiredVersion: 1,
-      leftToObjectiveMs: 600,
-      leftMsOn: () => Number.POSITIVE_INFINITY,
+      objectiveRemainingMs: 600,
+      remainingMsOn: () => Number.POSITIVE_INFINITY,
       requiredVersion: undefined,
       engine: new EngineModel(),
       memoryTokens: 102_801,
@@ -60,12 +60,12 @@
     }
   }
 
-  it('do not send what arrives in a tenth of a second to the one that is least busy', () => {
-    const random = numbers(11)
+  it('do not all send the requests of a tenth of a second to the least busy engine', () => {
+    const random = seededRandom(11)
     const sent = new Map<string, number>()
     for (let request = 0; request < 85; request += 1) {
       const engines = numbered(98).map(number => new EndpointState(listed(number)))
-      engines.forEach((engine, number) => { engine.begin(number === 7 ? 0 : 4000 + number, 40_000, 0) })
+      engines.forEach((engine, number) => { engine.beginRequest(number === 7 ? 0 : 4000 + number, 40_000, 0) })
       const choice = chooseEndpoint(engines, { excluded: new Set(), dataCentre: 'north', others: undefined, prompt: prompt(request) }, new PromptResidencyTracker(), 0, random())
       if (typeof choice === 'string') throw new Error(choice)
       sent.set(choice.endpoint.id, (sent.get(choice.endpoint.id) ?? 0) + 1)
