--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -24,7 +24,7 @@
 import { planShards } from './hosts/planShards.js'
 import { LoadBoardTask, type EndpointProbe } from './load/LoadBoardTask.js'
 import { OrderTask } from './orders/OrderTask.js'
-import { GroupKeeper } from './raft/GroupKeeper.js'
+import { MembershipTask } from './raft/MembershipTask.js'
 import { RaftSender } from './raft/RaftSender.js'
 import { RaftTask } from './raft/RaftTask.js'
 import { ConfiguredCrashDetector } from './quarantine/ConfiguredCrashDetector.js'
@@ -79,16 +79,16 @@
 }
 
 /** Interval between looks at shard owners, in milliseconds. */
-const SHARD_PLAN_MS = 500
+const SHARD_PLAN_INTERVAL_MS = 500
 
 /** Interval between sweeps of expired records, in milliseconds. */
-const EXPIRE_MS = 60_000
+const EXPIRY_INTERVAL_MS = 60_000
 
 /** Start of this process on its monotonic clock, in milliseconds. */
 const PROCESS_START_MS = 0
 
 /** Longest wait for another leader at a planned stop, in milliseconds. */
-const TRANSFER_WAIT_MS = 2000
+const TRANSFER_TIMEOUT_MS = 2000
 
 /** The control host's program. */
 export const controlProgram: DaemonProgram<ControlSettings> = {
@@ -120,14 +120,14 @@
   const sender = new RaftSender(peers, rpc, reason => { messageFailures.count(reason) })
   const orderOutcomes = telemetry.labelledCounter('orders_total', 'Orders to endpoints by outcome', 'outcome')
 
-  const learnt = new Map<string, string>()
+  const addressesById = new Map<string, string>()
   const self: Replica = { id: replicaId, address: '' }
   // What an earlier process promised a leader, it promised before this one began.
   const core = new RaftCore(self, persisted, raftSettings(settings), Math.random, PROCESS_START_MS)
   const state = new StateMachine({ ...DEFAULT_STATE_SETTINGS, recordWindowMs: settings.recordWindowHours * HOUR_MS })
   const raft = new RaftTask(core, storage, state, {
     send: (to, message) => {
-      const address = to.address === '' ? learnt.get(to.id) : to.address
+      const address = to.address === '' ? addressesById.get(to.id) : to.address
       if (address !== undefined) sender.send(address, { from: self, to: to.id, message })
     },
     applied: () => {
@@ -152,9 +152,9 @@
     : new RolloutTask(raft, endpoints, platform.engines, settings.host, settings.orderLeaseMs, telemetry)
   const stores = platform === undefined ? undefined : new StoreTask(raft, platform.stores, () => endpoints?.endpointsOfSite ?? [], rejected, telemetry)
   const sites = { service, ...(endpoints === undefined ? {} : { endpoints }), ...(stores === undefined ? {} : { stores }) }
-  const controlServer = new ControlServer(raft, hosts, orders, sites, replica => { learnt.set(replica.id, replica.address) })
+  const controlServer = new ControlServer(raft, hosts, orders, sites, replica => { addressesById.set(replica.id, replica.address) })
   controlServer.register(server)
-  const surroundings = {
+  const endpointPorts = {
     probe: platform?.probe,
     endpoints: () => endpoints?.endpointsOfSite ?? [],
     service: (name: string) => state.sites.put?.site.services.find(service => service.type === 'replicated' && service.name === name) as ReplicatedService | undefined,
@@ -164,7 +164,7 @@
     isLeader: () => core.role === 'leader',
     register: state.quarantine,
     propose: async command => await raft.propose(command),
-    detector: platform === undefined ? new ConfiguredCrashDetector(() => state.configuration) : new ListedCrashDetector(surroundings),
+    detector: platform === undefined ? new ConfiguredCrashDetector(() => state.configuration) : new ListedCrashDetector(endpointPorts),
     telemetry
   })
   quarantine.register(server)
@@ -174,7 +174,7 @@
   const datagramOutcomes = telemetry.labelledCounter('datagrams_total', 'Datagrams of hosts by what they ask, or why they were not taken', 'outcome')
   const datagrams = new DatagramServer(outcome => { datagramOutcomes.count(outcome) })
   controlServer.registerDatagrams(datagrams)
-  const loads = new LoadBoardTask(surroundings)
+  const loads = new LoadBoardTask(endpointPorts)
   loads.register(datagrams)
   await datagrams.listen(settings.host, port)
   registerGauges(telemetry, raft, hosts)
@@ -185,25 +185,25 @@
     telemetry.stateChanged('group-founded', { replica: replicaId, address: self.address })
   }
   const contacts = (): readonly string[] => platform?.contacts() ?? settings.join
-  const keeper = new GroupKeeper(raft, rpc, contacts, settings.minimumVoters, telemetry)
-  keeper.run().catch(fail)
+  const membershipTask = new MembershipTask(raft, rpc, contacts, settings.minimumVoters, telemetry)
+  membershipTask.run().catch(fail)
   const operators = await platform?.openOperatorApi(service, telemetry)
   const startedAt = performance.now()
-  const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_MS)
-  const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRE_MS)
+  const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_INTERVAL_MS)
+  const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRY_INTERVAL_MS)
 
   return {
     addresses: { rpc: `${settings.host}:${port}`, replicaId, ...(operators === undefined ? {} : { operators: operators.address }) },
     isReady: () => core.leader !== undefined,
     drain: async () => {
       raft.transfer()
-      const deadline = performance.now() + TRANSFER_WAIT_MS
+      const deadline = performance.now() + TRANSFER_TIMEOUT_MS
       while (core.role === 'leader' && core.membership.voters.length > 1 && performance.now() < deadline) await sleep(20)
     },
     close: async () => {
       clearInterval(shardTimer)
       clearInterval(expireTimer)
-      keeper.stop()
+      membershipTask.stop()
       datagrams.close()
       loads.stop()
       quarantine.stop()
@@ -228,8 +228,8 @@
 }
 
 function raftSettings ({ heartbeatMs, electionTimeoutMs, minimumVoters }: ControlSettings): RaftSettings {
-  const { leaseMs, electionTimeoutMs: usualTimeoutMs } = DEFAULT_RAFT_SETTINGS
-  return { ...DEFAULT_RAFT_SETTINGS, heartbeatMs, electionTimeoutMs, minimumVoters, leaseMs: electionTimeoutMs * leaseMs / usualTimeoutMs }
+  const { leaseMs, electionTimeoutMs: defaultTimeoutMs } = DEFAULT_RAFT_SETTINGS
+  return { ...DEFAULT_RAFT_SETTINGS, heartbeatMs, electionTimeoutMs, minimumVoters, leaseMs: electionTimeoutMs * leaseMs / defaultTimeoutMs }
 }
 
 async function assignShards (raft: RaftTask, hosts: HostTable, settings: ControlSettings, startedAt: number): Promise<void> {
--- a/apps/control/src/lib/ControlServer.ts
+++ b/apps/control/src/lib/ControlServer.ts
@@ -19,7 +19,7 @@
 import { quarantineMessage } from './quarantine/quarantineMessage.js'
 
 /** The parts of a control host that serve sites. */
-export interface SiteParts {
+export interface SiteServices {
   readonly service: SiteService
   /** Absent where the platform has no list of endpoints. */
   readonly endpoints?: EndpointListTask
@@ -39,14 +39,14 @@
    * @param hosts - hosts that report here
    * @param orders - reconciliation of engines
    * @param sites - what this host does for sites
-   * @param learnReplica - told of each replica that sent a message
+   * @param onReplicaSeen - told of each replica that sent a message
    */
   constructor (
     private readonly raft: RaftTask,
     private readonly hosts: HostTable,
     private readonly orders: OrderTask,
-    private readonly sites: SiteParts,
-    private readonly learnReplica: (replica: Replica) => void
+    private readonly sites: SiteServices,
+    private readonly onReplicaSeen: (replica: Replica) => void
   ) {
     this.#changes.setMaxListeners(0)
   }
@@ -59,7 +59,7 @@
   /** @param server - where to register all methods */
   register (server: RpcServer): void {
     server.handle(exchangeRaft, async envelope => {
-      this.#receive(envelope)
+      this.#receiveRaft(envelope)
       return {}
     })
     server.handle(propose, async ({ command }) => await this.raft.propose(command))
@@ -83,27 +83,27 @@
     })
     server.handle(listOrders, async () => ({ orders: this.orders.reports() }))
     server.handle(changeMembershipMethod, async change => await changeMembership(this.raft, change))
-    server.handleStream(watchView, async ({ viewRevision }, stream) => { await this.#watch(viewRevision, stream) })
+    server.handleStream(watchView, async ({ viewRevision }, stream) => { await this.#watchView(viewRevision, stream) })
     server.handleStream(watchEndpoints, async (_request, stream) => { await this.#watchEndpoints(stream) })
     server.handleStream(watchStoredParts, async (_request, stream) => { await this.#watchStoredParts(stream) })
   }
 
   /** @param datagrams - where to register what hosts ask again and again */
   registerDatagrams (datagrams: DatagramServer): void {
-    datagrams.handle(reportStatus, report => this.#answerReport(report))
+    datagrams.handle(reportStatus, report => this.#respondToReport(report))
     datagrams.handle(tellRaft, envelope => {
-      this.#receive(envelope)
+      this.#receiveRaft(envelope)
       return undefined
     })
   }
 
-  #receive ({ from, to, message }: RaftEnvelope): void {
-    this.learnReplica(from)
+  #receiveRaft ({ from, to, message }: RaftEnvelope): void {
+    this.onReplicaSeen(from)
     // A message for another identity at this address is for a replica that has lost its disk.
     if (to === this.raft.core.self.id) this.raft.receive(message)
   }
 
-  #answerReport ({ membershipIndex: known, wantsPeers, ...status }: StatusRequest): StatusResponse {
+  #respondToReport ({ membershipIndex: known, wantsPeers, ...status }: StatusRequest): StatusResponse {
     const now = performance.now()
     const { membership, membershipIndex, core, state } = this.raft
     const { endpoints, stores } = this.sites
@@ -127,7 +127,7 @@
     }
   }
 
-  async #watch (from: number, stream: ResponseStream<ViewMessage>): Promise<void> {
+  async #watchView (from: number, stream: ResponseStream<ViewMessage>): Promise<void> {
     let sent = from
     while (!stream.signal.aborted) {
       if (this.raft.state.viewRevision > sent) {
@@ -170,7 +170,7 @@
     const watcher = stores.addWatcher(() => { changes.emit('change') })
     try {
       while (!stream.signal.aborted) {
-        await stream.send({ incarnation: this.#incarnation, ...stores.take(watcher) })
+        await stream.send({ incarnation: this.#incarnation, ...stores.takePending(watcher) })
         if (watcher.pending.length === 0) await nextChange(changes, stream.signal)
       }
     } finally {
@@ -192,13 +192,13 @@
     }
     const upserts = new Map(changes.flatMap(change => change.upserts.map(document => [`${document.kind}/${document.name}`, document])))
     const removes = changes.flatMap(change => change.removes)
-    const kept = this.#stillRemoved(removes)
-    for (const { kind, name } of kept) upserts.delete(`${kind}/${name}`)
-    return { kind: 'changes', fromViewRevision: known, viewRevision, revision, upserts: [...upserts.values()], removes: kept, shards, weights, ...site, ...evacuation, ...quarantineMessage(state.quarantine, changes.flatMap(change => change.quarantineChanged), Date.now()) }
+    const effectiveRemoves = this.#withoutRecreated(removes)
+    for (const { kind, name } of effectiveRemoves) upserts.delete(`${kind}/${name}`)
+    return { kind: 'changes', fromViewRevision: known, viewRevision, revision, upserts: [...upserts.values()], removes: effectiveRemoves, shards, weights, ...site, ...evacuation, ...quarantineMessage(state.quarantine, changes.flatMap(change => change.quarantineChanged), Date.now()) }
   }
 
   /** A document removed and later created again within the same changes is not removed. */
-  #stillRemoved<Name extends { readonly kind: string, readonly name: string }> (removes: readonly Name[]): Name[] {
+  #withoutRecreated<Name extends { readonly kind: string, readonly name: string }> (removes: readonly Name[]): Name[] {
     return removes.filter(({ kind, name }) => !this.raft.state.hasDocument(kind, name))
   }
 }
--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -31,7 +31,7 @@
 /** Keeps the newest list. */
 export class EndpointListTask {
   readonly #changes = new EventEmitter()
-  readonly #register = new EndpointRegistry()
+  readonly #registry = new EndpointRegistry()
   #overlays = new Map<string, EndpointOverlay>()
   #endpoints: readonly ListedEndpoint[] = []
   #fingerprint = ''
@@ -108,7 +108,7 @@
    * @param overlay - what is known of it since it was asked, with its start
    */
   observeStart (id: string, overlay: EndpointOverlay): void {
-    const restart = this.#register.observeStart(id, overlay.startedAtMs)
+    const restart = this.#registry.observeStart(id, overlay.startedAtMs)
     if (restart === undefined) return
     this.#logRestarts([restart])
     this.#overlays.set(id, overlay)
@@ -120,22 +120,22 @@
     this.#isReading = true
     try {
       const answer = await this.source.list()
-      const lostBecause = answer.ok ? answer.value.incompleteBecause : answer.error.kind
-      this.#noteReachable(lostBecause)
-      if (answer.ok) this.#take(answer.value, performance.now())
+      const failureReason = answer.ok ? answer.value.incompleteBecause : answer.error.kind
+      this.#updateReachability(failureReason)
+      if (answer.ok) this.#applyListing(answer.value, performance.now())
     } finally {
       this.#isReading = false
     }
   }
 
-  #take (reading: EndpointListing, now: number): void {
-    if (reading.incompleteBecause === undefined) this.#readAt = now
-    this.#logRestarts(this.#register.take(reading))
+  #applyListing (listing: EndpointListing, now: number): void {
+    if (listing.incompleteBecause === undefined) this.#readAt = now
+    this.#logRestarts(this.#registry.applyListing(listing))
     this.#publish()
-    this.rejected.note('endpoint-list', [...reading.rejected, ...this.#strangers()], now)
+    this.rejected.note('endpoint-list', [...listing.rejected, ...this.#rejectUnknownServices()], now)
   }
 
-  #strangers (): RejectedEntry[] {
+  #rejectUnknownServices (): RejectedEntry[] {
     const known = new Set(this.endpointsOfSite)
     return this.#endpoints.filter(endpoint => !known.has(endpoint)).map(({ id, service }) => rejectEntry('service: unknown', { id, service }))
   }
@@ -144,15 +144,15 @@
     for (const { id, startedAtMs } of restarts) this.telemetry.stateChanged('endpoint-restarted', { endpoint: id, startedAtMs })
   }
 
-  #noteReachable (lostBecause: string | undefined): void {
-    const isReachable = lostBecause === undefined
+  #updateReachability (failureReason: string | undefined): void {
+    const isReachable = failureReason === undefined
     if (isReachable === this.#isReachable) return
     this.#isReachable = isReachable
-    this.telemetry.stateChanged(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: lostBecause ?? '' })
+    this.telemetry.stateChanged(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: failureReason ?? '' })
   }
 
   #publish (): void {
-    const endpoints = this.#register.endpoints.map(endpoint => overlaid(endpoint, this.#overlays.get(endpoint.id)))
+    const endpoints = this.#registry.endpoints.map(endpoint => applyOverlay(endpoint, this.#overlays.get(endpoint.id)))
     const fingerprint = JSON.stringify(endpoints)
     if (fingerprint === this.#fingerprint) return
     this.#fingerprint = fingerprint
@@ -164,7 +164,7 @@
   }
 }
 
-function overlaid (endpoint: ListedEndpoint, overlay: EndpointOverlay | undefined): ListedEndpoint {
+function applyOverlay (endpoint: ListedEndpoint, overlay: EndpointOverlay | undefined): ListedEndpoint {
   if (overlay === undefined || overlay.startedAtMs !== endpoint.startedAtMs) return endpoint
   return { ...endpoint, models: [...overlay.models], isBusy: overlay.isBusy }
 }
--- a/apps/control/src/lib/endpoints/EndpointRegistry.ts
+++ b/apps/control/src/lib/endpoints/EndpointRegistry.ts
@@ -19,7 +19,7 @@
 }
 
 /** Starts remembered of endpoints; beyond this the ones that were heard of first are forgotten. */
-const REMEMBERED_STARTS = 5000
+const MAX_REMEMBERED_STARTS = 5000
 
 /** Stands for weights of an engine that has started again and was not asked yet: lower than any that is named. */
 const UNKNOWN_VERSION = 0
@@ -29,26 +29,26 @@
  * earlier start tells only where the endpoint is.
  */
 export class EndpointRegistry {
-  #listed = new Map<string, ListedEndpoint>()
+  #entries = new Map<string, ListedEndpoint>()
   readonly #starts = new Map<string, number>()
 
   /** Listed endpoints, each under its latest start. */
   get endpoints (): ListedEndpoint[] {
-    return [...this.#listed.values()].map(entry => underLatestStart(entry, this.#starts.get(entry.id)))
+    return [...this.#entries.values()].map(entry => withLatestStart(entry, this.#starts.get(entry.id)))
   }
 
   /**
-   * @param reading - of the list
+   * @param listing - of the list
    * @returns endpoints that have started again since the last reading
    */
-  take (reading: EndpointListing): EndpointRestart[] {
-    const restarts = reading.endpoints.flatMap(({ id, startedAtMs }) => this.observeStart(id, startedAtMs) ?? [])
-    const before = this.#listed
-    this.#listed = reading.incompleteBecause === undefined ? new Map() : new Map(before)
-    for (const entry of reading.endpoints) {
-      const present = this.#listed.get(entry.id) ?? before.get(entry.id)
-      const isFormer = entry.startedAtMs !== undefined && isLaterStart(present?.startedAtMs, entry.startedAtMs)
-      this.#listed.set(entry.id, isFormer && present !== undefined ? present : entry)
+  applyListing (listing: EndpointListing): EndpointRestart[] {
+    const restarts = listing.endpoints.flatMap(({ id, startedAtMs }) => this.observeStart(id, startedAtMs) ?? [])
+    const previous = this.#entries
+    this.#entries = listing.incompleteBecause === undefined ? new Map() : new Map(previous)
+    for (const entry of listing.endpoints) {
+      const present = this.#entries.get(entry.id) ?? previous.get(entry.id)
+      const isFromEarlierStart = entry.startedAtMs !== undefined && isLaterStart(present?.startedAtMs, entry.startedAtMs)
+      this.#entries.set(entry.id, isFromEarlierStart && present !== undefined ? present : entry)
     }
     return restarts
   }
@@ -63,18 +63,18 @@
     if (startedAtMs === undefined || !isLaterStart(startedAtMs, known)) return undefined
     this.#starts.delete(id)
     this.#starts.set(id, startedAtMs)
-    this.#forgetOldest()
+    this.#evictOldestStart()
     return known === undefined ? undefined : { id, startedAtMs }
   }
 
-  #forgetOldest (): void {
-    if (this.#starts.size <= REMEMBERED_STARTS) return
-    const oldest = [...this.#starts.keys()].find(id => !this.#listed.has(id))
+  #evictOldestStart (): void {
+    if (this.#starts.size <= MAX_REMEMBERED_STARTS) return
+    const oldest = [...this.#starts.keys()].find(id => !this.#entries.has(id))
     if (oldest !== undefined) this.#starts.delete(oldest)
   }
 }
 
-function underLatestStart (entry: ListedEndpoint, startedAtMs: number | undefined): ListedEndpoint {
+function withLatestStart (entry: ListedEndpoint, startedAtMs: number | undefined): ListedEndpoint {
   if (!isLaterStart(startedAtMs, entry.startedAtMs)) return entry
   if (entry.startedAtMs === undefined) return { ...entry, startedAtMs }
   // What the former start held and that it was leaving ended with it; the new one has just begun.
--- a/apps/control/src/lib/formation.test.ts
+++ b/apps/control/src/lib/formation.test.ts
@@ -12,10 +12,10 @@
 import { startControl, type ControlSettings } from './ControlDaemon.js'
 
 const VOTERS = 5
-const CALL_MS = 1000
+const CALL_TIMEOUT_MS = 1000
 
 /** Longest wait for anything, in milliseconds; reached only when a test fails. */
-const PATIENCE_MS = 20_000
+const WAIT_TIMEOUT_MS = 20_000
 
 const SITE: Site = { version: 4, routes: [], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } }
 
@@ -54,13 +54,13 @@
 
   async function views (): Promise<HostsResponse[]> {
     const answers = await Promise.all(ports.map(async (_port, host) =>
-      hosts[host] === undefined ? undefined : await rpc.call(address(host), listHosts, {}, CALL_MS)))
+      hosts[host] === undefined ? undefined : await rpc.call(address(host), listHosts, {}, CALL_TIMEOUT_MS)))
     return answers.flatMap(answer => answer?.ok === true ? [answer.value] : [])
   }
 
   /** Waits until all running hosts state the same five voters, which are themselves, and returns their ids. */
-  async function untilComplete (): Promise<string[]> {
-    const deadline = performance.now() + PATIENCE_MS
+  async function waitUntilComplete (): Promise<string[]> {
+    const deadline = performance.now() + WAIT_TIMEOUT_MS
     for (;;) {
       const seen = await views()
       const stated = seen.map(view => view.voters.map(voter => voter.id).sort())
@@ -75,8 +75,8 @@
   }
 
   async function put (): Promise<string> {
-    for (let turn = 0; turn < 200; turn += 1) {
-      const answer = await rpc.call(address(turn % VOTERS), propose, { command: { kind: 'put-site', site: SITE, source: Buffer.from('source') } }, CALL_MS)
+    for (let attempt = 0; attempt < 200; attempt += 1) {
+      const answer = await rpc.call(address(attempt % VOTERS), propose, { command: { kind: 'put-site', site: SITE, source: Buffer.from('source') } }, CALL_TIMEOUT_MS)
       if (answer.ok && answer.value.kind === 'applied') return answer.value.result.kind
       await sleep(50)
     }
@@ -84,8 +84,8 @@
   }
 
   async function read (): Promise<string> {
-    for (let turn = 0; turn < 200; turn += 1) {
-      const answer = await rpc.call(address(turn % VOTERS), readSite, {}, CALL_MS)
+    for (let attempt = 0; attempt < 200; attempt += 1) {
+      const answer = await rpc.call(address(attempt % VOTERS), readSite, {}, CALL_TIMEOUT_MS)
       if (answer.ok && answer.value.kind === 'site') return Buffer.from(answer.value.source).toString()
       await sleep(50)
     }
@@ -93,23 +93,23 @@
   }
 
   /** Gives a host the first address in order. */
-  function letFound (host: number): void {
+  function makeFounder (host: number): void {
     const [first = 0, ...others] = [...ports].sort((left, right) => left - right)
     ports = [...others.slice(0, host), first, ...others.slice(host)]
   }
 
   it.each([0, 2, 4])('forms once, also if its founder (host %i) does not start first, and takes nothing before it is complete', async founder => {
-    letFound(founder)
+    makeFounder(founder)
     for (const host of [3, 4, 1]) await start(host, `disk-${host}`, true)
     await start(2, 'disk-2', true)
     // Host 0 has not started.
     if (founder !== 0) {
       // Four voters at most: a command now would be lost with three disks of a group meant to bear two.
-      const early = await rpc.call(address(founder), propose, { command: { kind: 'put-site', site: SITE, source: Buffer.from('early') } }, CALL_MS)
+      const early = await rpc.call(address(founder), propose, { command: { kind: 'put-site', site: SITE, source: Buffer.from('early') } }, CALL_TIMEOUT_MS)
       expect(early.ok && early.value.kind, `hosts after the answer: ${JSON.stringify(await views())}`).not.toBe('applied')
     }
     await start(0, 'disk-0', true)
-    const ids = await untilComplete()
+    const ids = await waitUntilComplete()
     expect(new Set(ids).size).toBe(VOTERS)
     expect(await put()).toBe('site-accepted')
     expect(await read()).toBe('source')
@@ -117,28 +117,28 @@
 
   it('takes two hosts with lost disks back under new ids and loses nothing', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
-    const before = await untilComplete()
+    const before = await waitUntilComplete()
     expect(await put()).toBe('site-accepted')
     await Promise.all([stop(0), stop(1)])
     await Promise.all([start(0, 'empty-0', false), start(1, 'empty-1', false)])
-    const after = await untilComplete()
+    const after = await waitUntilComplete()
     expect(after.filter(id => before.includes(id))).toHaveLength(VOTERS - 2)
     expect(await read()).toBe('source')
   })
 
   it('replaces a host that is gone by one at a new address', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
-    const before = await untilComplete()
+    const before = await waitUntilComplete()
     await stop(3)
     ports.push(await freePort())
     await start(VOTERS, 'new-host', false)
-    const after = await untilComplete()
+    const after = await waitUntilComplete()
     expect(after.filter(id => before.includes(id))).toHaveLength(VOTERS - 1)
   })
 
   it('is not founded a second time by a host whose disk was emptied', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
-    await untilComplete()
+    await waitUntilComplete()
     for (let host = 0; host < VOTERS; host += 1) await stop(host)
     const founder = [0, 2, 4].find(host => address(host) === [0, 2, 4].map(address).sort()[0]) ?? 0
     await start(founder, 'emptied', false)
--- a/apps/control/src/lib/hosts/HostTable.ts
+++ b/apps/control/src/lib/hosts/HostTable.ts
@@ -2,13 +2,13 @@
 import type { HostReport, HostStatus } from '@eelgrassmux/rpc/methods/controlMethods'
 
 /** Reports older than this are forgotten, in milliseconds. */
-const FORGET_MS = 60_000
+const REPORT_EXPIRY_MS = 60_000
 
 /** Interval between looks for such reports, in milliseconds: looked through with each of 340 hosts' reports they would cost more than those. */
-const FORGET_LOOK_MS = 1000
+const EXPIRY_CHECK_INTERVAL_MS = 1000
 
 /** Most entry hosts that tell each other of every dispatch: the messages grow with the square of their number. */
-const LARGEST_PEER_GROUP = 16
+const MAX_PEER_GROUP_SIZE = 16
 
 interface ReportedHost {
   readonly report: HostStatus
@@ -18,7 +18,7 @@
 /** Last report of each host. */
 export class HostTable {
   readonly #hosts = new Map<string, ReportedHost>()
-  #forgottenAt = Number.NEGATIVE_INFINITY
+  #lastExpiryCheckAt = Number.NEGATIVE_INFINITY
 
   /** @param freshnessMs - time for which a host may act on what it last confirmed */
   constructor (private readonly freshnessMs: number) {}
@@ -29,10 +29,10 @@
    */
   observe (report: HostStatus, now: number): void {
     this.#hosts.set(`${report.role}/${report.host}`, { report, reportedAt: now })
-    if (now - this.#forgottenAt < FORGET_LOOK_MS) return
-    this.#forgottenAt = now
+    if (now - this.#lastExpiryCheckAt < EXPIRY_CHECK_INTERVAL_MS) return
+    this.#lastExpiryCheckAt = now
     for (const [name, { reportedAt }] of this.#hosts) {
-      if (now - reportedAt > FORGET_MS) this.#hosts.delete(name)
+      if (now - reportedAt > REPORT_EXPIRY_MS) this.#hosts.delete(name)
     }
   }
 
@@ -58,7 +58,7 @@
    */
   entryPeers (now: number): string[] {
     const entries = this.#live(now).filter(report => report.role === 'entry')
-    return entries.length > LARGEST_PEER_GROUP ? [] : entries.map(report => report.address)
+    return entries.length > MAX_PEER_GROUP_SIZE ? [] : entries.map(report => report.address)
   }
 
   /**
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -16,8 +16,8 @@
 type Answer = (report: LoadReport) => Uint8Array | undefined
 
 /** A task whose hosts report as a test says, on a virtual clock. */
-class World {
-  questions = 0
+class LoadBoardFixture {
+  probes = 0
   isAlive = false
   readonly #answers = new Map<unknown, Answer>()
   #sequence = 0
@@ -27,7 +27,7 @@
     this.task = new LoadBoardTask({
       probe: {
         isResponsive: async () => {
-          this.questions += 1
+          this.probes += 1
           return await Promise.resolve(this.isAlive)
         },
         hasCrashed: async () => await Promise.resolve(undefined)
@@ -51,7 +51,7 @@
     return bytes === undefined ? undefined : decodeLoadTotals(Buffer.from(bytes)).work.find(({ endpoint }) => endpoint === INCARNATION)
   }
 
-  async pass (milliseconds: number): Promise<void> { await vi.advanceTimersByTimeAsync(milliseconds) }
+  async advance (milliseconds: number): Promise<void> { await vi.advanceTimersByTimeAsync(milliseconds) }
 }
 
 describe('LoadBoardTask', () => {
@@ -59,36 +59,36 @@
   afterEach(() => { vi.useRealTimers() })
 
   it('tells all hosts of an endpoint that answers neither them nor it, until it answers', async () => {
-    const world = new World()
+    const world = new LoadBoardFixture()
     world.tell([silent])
-    await world.pass(300)
-    expect(world.questions).toBe(1)
+    await world.advance(300)
+    expect(world.probes).toBe(1)
     expect(world.ask()?.unresponsive).toBe(1)
     world.isAlive = true
-    for (let turn = 0; turn < 20; turn += 1) {
+    for (let round = 0; round < 20; round += 1) {
       world.tell([])
-      await world.pass(100)
+      await world.advance(100)
     }
     expect(world.ask()).toBeUndefined()
     world.task.stop()
   })
 
   it('asks nobody while all hosts are silent, nor where it has nobody to ask through', async () => {
-    const world = new World()
+    const world = new LoadBoardFixture()
     world.tell([silent])
-    await world.pass(3000)
-    const { questions } = world
-    await world.pass(10_000)
-    expect(world.questions).toBe(questions)
-    const withoutProbe = new World({ probe: undefined })
+    await world.advance(3000)
+    const { probes: questions } = world
+    await world.advance(10_000)
+    expect(world.probes).toBe(questions)
+    const withoutProbe = new LoadBoardFixture({ probe: undefined })
     withoutProbe.tell([silent])
     expect(vi.getTimerCount()).toBe(0)
   })
 
   it('asks no endpoint that the site does not have', async () => {
-    const world = new World({ endpoints: () => [] })
+    const world = new LoadBoardFixture({ endpoints: () => [] })
     world.tell([silent])
-    await world.pass(500)
-    expect(world.questions).toBe(0)
+    await world.advance(500)
+    expect(world.probes).toBe(0)
   })
 })
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -16,7 +16,7 @@
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** Interval between looks at who is silent, in milliseconds: a quarter of the silence that counts. */
-const LOOK_MS = 100
+const SILENCE_CHECK_INTERVAL_MS = 100
 
 /** Asks an endpoint whether it lives. */
 export interface EndpointProbe {
@@ -49,26 +49,26 @@
 /** Adds up while hosts report. */
 export class LoadBoardTask {
   readonly #board = new LoadBoard()
-  readonly #silence = new SilentEndpoints()
+  readonly #silentEndpoints = new SilentEndpoints()
   #encoded: { readonly totals: Totals, readonly bytes: Uint8Array } | undefined
   #timer: NodeJS.Timeout | undefined
 
   /** @param ports - surroundings */
   constructor (private readonly ports: LoadBoardPorts) {
-    ports.telemetry.gauge('endpoints_unresponsive', 'Endpoints that answer neither hosts nor this control host', () => this.#silence.unresponsive.length)
+    ports.telemetry.gauge('endpoints_unresponsive', 'Endpoints that answer neither hosts nor this control host', () => this.#silentEndpoints.unresponsive.length)
   }
 
   /** @param datagrams - where to register */
   register (datagrams: DatagramServer): void {
     datagrams.handle(tellLoad, report => {
       this.#board.observe(report, performance.now())
-      this.#watch()
+      this.#startChecks()
       return undefined
     })
     datagrams.handle(askLoad, report => {
       this.#board.observe(report, performance.now())
-      this.#watch()
-      return this.#answer(report.host)
+      this.#startChecks()
+      return this.#totalsFor(report.host)
     })
   }
 
@@ -78,7 +78,7 @@
     this.#timer = undefined
   }
 
-  #answer (host: string): Uint8Array | undefined {
+  #totalsFor (host: string): Uint8Array | undefined {
     const totals = this.#board.totals(performance.now())
     const sequence = totals.sequences.get(host)
     // A host that was added since hears of the totals with its next report.
@@ -88,41 +88,41 @@
   }
 
   /** Looks only while hosts report here: they report to the leader. */
-  #watch (): void {
+  #startChecks (): void {
     if (this.ports.probe === undefined || this.#timer !== undefined) return
-    this.#timer = setInterval(() => { this.#look() }, LOOK_MS)
+    this.#timer = setInterval(() => { this.#checkSilence() }, SILENCE_CHECK_INTERVAL_MS)
   }
 
-  #look (): void {
+  #checkSilence (): void {
     const now = performance.now()
     const { work } = this.#board.totals(now)
     if (this.#board.isIdle) {
       this.stop()
       return
     }
-    for (const change of this.#silence.observe(work, now)) this.#note(change)
-    const due = this.#silence.takeDue(now)
-    if (due.length > 0) this.#askAll(due)
-    this.#board.setUnresponsive(this.#silence.unresponsive)
+    for (const change of this.#silentEndpoints.observe(work, now)) this.#logChange(change)
+    const due = this.#silentEndpoints.takeDue(now)
+    if (due.length > 0) this.#probeAll(due)
+    this.#board.setUnresponsive(this.#silentEndpoints.unresponsive)
   }
 
-  #askAll (incarnations: readonly string[]): void {
+  #probeAll (incarnations: readonly string[]): void {
     const listed = new Map(this.ports.endpoints().map(endpoint => [incarnationName(endpoint), endpoint]))
-    this.#silence.retain(incarnation => listed.has(incarnation))
+    this.#silentEndpoints.retain(incarnation => listed.has(incarnation))
     for (const incarnation of incarnations) {
       const endpoint = listed.get(incarnation)
-      if (endpoint !== undefined) void this.#ask(incarnation, endpoint)
+      if (endpoint !== undefined) void this.#probe(incarnation, endpoint)
     }
   }
 
-  async #ask (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
+  async #probe (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
     const service = this.ports.service(endpoint.service)
     const hasAnswered = service === undefined || await this.ports.probe?.isResponsive(endpoint, service) === true
-    const change = this.#silence.settle(incarnation, hasAnswered, performance.now())
-    if (change !== undefined) this.#note(change)
+    const change = this.#silentEndpoints.settle(incarnation, hasAnswered, performance.now())
+    if (change !== undefined) this.#logChange(change)
   }
 
-  #note ({ endpoint, isUnresponsive }: ResponseChange): void {
+  #logChange ({ endpoint, isUnresponsive }: ResponseChange): void {
     const work = this.#board.totals(performance.now()).work.find(entry => entry.endpoint === endpoint)
     this.ports.telemetry.stateChanged(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
       endpoint, inFlight: work?.inFlight ?? 0, lastByteAgoMs: Math.round(work?.lastByteAgoMs ?? -1), avoiders: work?.avoiders ?? 0
--- a/apps/control/src/lib/orders/OrderTask.test.ts
+++ b/apps/control/src/lib/orders/OrderTask.test.ts
@@ -48,30 +48,30 @@
     vi.useRealTimers()
   })
 
-  const pass = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
+  const advance = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
 
   it('waits out the last order of the leader before it', async () => {
-    await pass(WAIT_MS)
+    await advance(WAIT_MS)
     expect(orders).toBe(0)
-    await pass(1000)
+    await advance(1000)
     expect(orders).toBeGreaterThan(0)
   })
 
   it('waits again if another host led between two looks', async () => {
-    await pass(900)
+    await advance(900)
     core.term = 4
-    await pass(WAIT_MS)
+    await advance(WAIT_MS)
     expect(orders).toBe(0)
-    await pass(1000)
+    await advance(1000)
     expect(orders).toBeGreaterThan(0)
   })
 
   it('gives no order if another host led while the engines were asked', async () => {
     // Looks come every 300 ms, the first at 300; the one at 1800 is the first after the wait.
-    await pass(1700)
+    await advance(1700)
     expect(orders).toBe(0)
     whileReporting = () => { core.term = 4 }
-    await pass(200)
+    await advance(200)
     expect(orders).toBe(0)
   })
 })
--- a/apps/control/src/lib/orders/OrderTask.ts
+++ b/apps/control/src/lib/orders/OrderTask.ts
@@ -12,18 +12,18 @@
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { EngineEndpoint } from '@eelgrassmux/schema/configuration'
 import type { OrderReport } from '@eelgrassmux/rpc/methods/controlMethods'
-import { LeadershipClock, type Leadership } from '../raft/LeadershipClock.js'
+import { LeadershipTracker, type Leadership } from '../raft/LeadershipTracker.js'
 import type { RaftTask } from '../raft/RaftTask.js'
 import { planLoads, type ObservedEngine } from './planLoads.js'
 
 /** Interval between looks at the engines, in milliseconds. */
-const OBSERVE_MS = 300
+const RECONCILE_INTERVAL_MS = 300
 
 /** Bound on one order, in milliseconds. */
 const ORDER_TIMEOUT_MS = 1000
 
 /** After this time without an effect an order counts as lost, in milliseconds. */
-const ORDER_EFFECT_MS = 3000
+const ORDER_EFFECT_TIMEOUT_MS = 3000
 
 /** Counts what became of each order. */
 export type OrderCounter = (outcome: 'sent' | 'accepted' | 'stale-fence' | 'failed' | 'lease-lost') => void
@@ -33,10 +33,10 @@
   readonly #clients = new Map<string, EngineBackend & { close (): Promise<void> }>()
   readonly #reports = new Map<string, EngineReport>()
   readonly #orderedAt = new Map<string, number>()
-  readonly #leadership = new LeadershipClock()
+  readonly #leadership = new LeadershipTracker()
   #index = new ConfigurationIndex(0, { documents: [] })
   #timer: NodeJS.Timeout | undefined
-  #busy = false
+  #isReconciling = false
 
   /**
    * @param raft - log, lease and state
@@ -51,7 +51,7 @@
 
   /** Starts to look at the engines. */
   start (): void {
-    this.#timer = setInterval(() => { void this.#turn() }, OBSERVE_MS)
+    this.#timer = setInterval(() => { void this.#reconcile() }, RECONCILE_INTERVAL_MS)
   }
 
   /** Stops and closes all connections. */
@@ -75,11 +75,11 @@
     })
   }
 
-  async #turn (): Promise<void> {
-    if (this.#busy) return
-    this.#busy = true
+  async #reconcile (): Promise<void> {
+    if (this.#isReconciling) return
+    this.#isReconciling = true
     try {
-      const leadership = this.#leadership.look(this.raft.core, performance.now())
+      const leadership = this.#leadership.observe(this.raft.core, performance.now())
       if (leadership !== undefined) {
         await this.#observe()
         await this.#orderNext(leadership)
@@ -88,7 +88,7 @@
         this.#orderedAt.clear()
       }
     } finally {
-      this.#busy = false
+      this.#isReconciling = false
     }
   }
 
@@ -119,7 +119,7 @@
       endpoint,
       runningVersion: report?.version,
       loadingVersion: report?.loadingVersion,
-      orderPending: now - orderedAt < ORDER_EFFECT_MS && report?.version !== desired
+      orderPending: now - orderedAt < ORDER_EFFECT_TIMEOUT_MS && report?.version !== desired
     }
   }
 
--- a/apps/control/src/lib/orders/planLoads.ts
+++ b/apps/control/src/lib/orders/planLoads.ts
@@ -18,21 +18,21 @@
 }
 
 /** Weight loads allowed at once: the weight store slows down for everybody beyond this. */
-export const LOADS_AT_ONCE = 2
+export const MAX_CONCURRENT_LOADS = 2
 
 /**
  * Plans the next orders under the permits and each model's serving floor.
  *
  * @param models - desired versions
  * @param engines - all configured engines
- * @param loadsAtOnce - engines that may load at the same time
+ * @param maxConcurrentLoads - engines that may load at the same time
  * @returns engines to order now, each with the version to load
  */
 export function planLoads<Endpoint extends { readonly model: string }> (
-  models: ReadonlyMap<string, LoadTarget>, engines: ReadonlyArray<ObservedEngine<Endpoint>>, loadsAtOnce = LOADS_AT_ONCE
+  models: ReadonlyMap<string, LoadTarget>, engines: ReadonlyArray<ObservedEngine<Endpoint>>, maxConcurrentLoads = MAX_CONCURRENT_LOADS
 ): Array<{ readonly engine: ObservedEngine<Endpoint>, readonly version: string }> {
   const isLoading = (engine: ObservedEngine<Endpoint>): boolean => engine.loadingVersion !== undefined || engine.orderPending
-  let permits = loadsAtOnce - engines.filter(isLoading).length
+  let permits = maxConcurrentLoads - engines.filter(isLoading).length
   const planned: Array<{ engine: ObservedEngine<Endpoint>, version: string }> = []
   for (const model of models.values()) {
     const fleet = engines.filter(engine => engine.endpoint.model === model.name && engine.runningVersion !== undefined)
--- a/apps/control/src/lib/quarantine/ConfiguredCrashDetector.ts
+++ b/apps/control/src/lib/quarantine/ConfiguredCrashDetector.ts
@@ -8,7 +8,7 @@
 import type { CrashKnowledge, CrashDetector } from './CrashDetector.js'
 
 /** Asks an endpoint for its incarnation. */
-export type IncarnationQuestion = (endpoint: EngineEndpoint | PlainEndpoint) => Promise<Result<{ readonly incarnation: number }, BackendError>>
+export type IncarnationQuery = (endpoint: EngineEndpoint | PlainEndpoint) => Promise<Result<{ readonly incarnation: number }, BackendError>>
 
 /** Knows the endpoints of the configuration in force. */
 export class ConfiguredCrashDetector implements CrashDetector {
@@ -16,14 +16,14 @@
    * @param configuration - in force, as of now
    * @param ask - asks an endpoint
    */
-  constructor (private readonly configuration: () => Configuration, private readonly ask: IncarnationQuestion = askIncarnation) {}
+  constructor (private readonly configuration: () => Configuration, private readonly ask: IncarnationQuery = queryIncarnation) {}
 
-  look (names: readonly string[]): Map<string, CrashKnowledge> {
+  check (names: readonly string[]): Map<string, CrashKnowledge> {
     const endpoints = new Map(this.configuration().documents.flatMap(document => document.kind === 'endpoint' ? [[document.name, document]] : []))
     return new Map(names.map(name => {
-      const end = parseConfiguredIncarnation(name)
-      const endpoint = end === undefined ? undefined : endpoints.get(end.endpoint)
-      return [name, end === undefined || endpoint === undefined ? 'ended' : async () => await this.#hasCrashed(endpoint, end.incarnation)]
+      const parsed = parseConfiguredIncarnation(name)
+      const endpoint = parsed === undefined ? undefined : endpoints.get(parsed.endpoint)
+      return [name, parsed === undefined || endpoint === undefined ? 'ended' : async () => await this.#hasCrashed(endpoint, parsed.incarnation)]
     }))
   }
 
@@ -34,7 +34,7 @@
   }
 }
 
-async function askIncarnation ({ type, address }: EngineEndpoint | PlainEndpoint): Promise<Result<{ readonly incarnation: number }, BackendError>> {
+async function queryIncarnation ({ type, address }: EngineEndpoint | PlainEndpoint): Promise<Result<{ readonly incarnation: number }, BackendError>> {
   if (type === 'engine') {
     const engine = new EngineClient(address)
     const report = await engine.report()
--- a/apps/control/src/lib/quarantine/CrashDetector.ts
+++ b/apps/control/src/lib/quarantine/CrashDetector.ts
@@ -5,10 +5,10 @@
 import type { EndpointProbe } from '../load/LoadBoardTask.js'
 
 /** Asks an endpoint; the answer is undefined where it can't be told yet. */
-export type CrashQuestion = () => Promise<boolean | undefined>
+export type CrashProbe = () => Promise<boolean | undefined>
 
 /** What is known without asking: that it has ended, how to ask, or nothing. */
-export type CrashKnowledge = 'ended' | CrashQuestion | undefined
+export type CrashKnowledge = 'ended' | CrashProbe | undefined
 
 /** Knows endpoints. */
 export interface CrashDetector {
@@ -16,7 +16,7 @@
    * @param names - incarnations
    * @returns what is known of each
    */
-  look (names: readonly string[]): Map<string, CrashKnowledge>
+  check (names: readonly string[]): Map<string, CrashKnowledge>
 }
 
 /** What {@link ListedCrashDetector} needs from around it. */
@@ -34,7 +34,7 @@
   /** @param ports - surroundings */
   constructor (private readonly ports: ListedCrashDetectorPorts) {}
 
-  look (names: readonly string[]): Map<string, CrashKnowledge> {
+  check (names: readonly string[]): Map<string, CrashKnowledge> {
     const listed = new Map(this.ports.endpoints().map(endpoint => [incarnationName(endpoint), endpoint]))
     return new Map(names.map(name => [name, this.#knowledge(listed.get(name))]))
   }
--- a/apps/control/src/lib/quarantine/QuarantineTask.test.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.test.ts
@@ -18,21 +18,21 @@
 const service = { type: 'replicated' as const, name: 's', connectionsPerEndpoint: 1, healthPath: '/' }
 
 /** A leader whose commands are applied at once, and endpoints that answer as a test says. */
-class Leader {
+class FakeLeader {
   readonly state = new StateMachine()
-  readonly asked: string[] = []
+  readonly probed: string[] = []
   readonly commands: Command[] = []
   readonly listed = new Map<string, ListedEndpoint>()
   isLeader = true
   /** Of endpoints that are listed; undefined where it can't be told. */
   hasCrashed: boolean | undefined = true
-  loses = 0
+  failedProposals = 0
   readonly task = new QuarantineTask({
     isLeader: () => this.isLeader,
     register: this.state.quarantine,
     propose: async command => {
       this.commands.push(command)
-      if (this.loses > 0) this.loses -= 1
+      if (this.failedProposals > 0) this.failedProposals -= 1
       else this.state.apply({ stampedAt: Date.now(), command })
       await Promise.resolve()
     },
@@ -42,7 +42,7 @@
       probe: {
         isResponsive: async () => await Promise.resolve(true),
         hasCrashed: async ({ id }) => {
-          this.asked.push(id)
+          this.probed.push(id)
           return await Promise.resolve(this.hasCrashed)
         }
       }
@@ -50,7 +50,7 @@
     telemetry: new Telemetry('test')
   })
 
-  lose (endpoint: string, ...fingerprints: string[]): boolean {
+  reportLoss (endpoint: string, ...fingerprints: string[]): boolean {
     const losses = fingerprints.map(fingerprint => ({ fingerprint, service: 's', endpoint, agoMs: 0, ranMs: 100 }))
     return this.task.observe({ host: 'h', losses, completed: [] }).isTaken
   }
@@ -61,11 +61,11 @@
 }
 
 describe('QuarantineTask', () => {
-  let leader: Leader
+  let leader: FakeLeader
 
   beforeEach(() => {
     vi.useFakeTimers()
-    leader = new Leader()
+    leader = new FakeLeader()
   })
 
   afterEach(() => {
@@ -73,76 +73,76 @@
     vi.useRealTimers()
   })
 
-  async function endThree (names = ['e1', 'e2', 'e3']): Promise<void> {
+  async function crashThree (names = ['e1', 'e2', 'e3']): Promise<void> {
     for (const [index, endpoint] of names.entries()) {
-      leader.lose(endpoint, POISON, String(index).padEnd(32, '0'))
+      leader.reportLoss(endpoint, POISON, String(index).padEnd(32, '0'))
       await vi.advanceTimersByTimeAsync(1000)
     }
   }
 
   it('quarantines what was at three ends, and asks nothing of endpoints that are listed no more', async () => {
-    await endThree()
+    await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
     expect(leader.state.quarantine.all).toHaveLength(1)
-    expect(leader.asked).toEqual([])
+    expect(leader.probed).toEqual([])
   })
 
   it('asks each endpoint that is still listed once', async () => {
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, listed(id))
-    await endThree()
+    await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
-    expect(leader.asked).toEqual(['e1', 'e2', 'e3'])
+    expect(leader.probed).toEqual(['e1', 'e2', 'e3'])
   })
 
   it('charges nobody with endpoints that live', async () => {
     leader.hasCrashed = false
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, listed(id))
-    await endThree()
+    await crashThree()
     expect(leader.state.quarantine.all).toEqual([])
   })
 
   it('leaves the word to the list where the endpoint may start again under its id, or says nothing', async () => {
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, { ...listed(id), startedAtMs: 7 })
     leader.hasCrashed = false
-    await endThree(['e1@7', 'e2@7', 'e3@7'])
+    await crashThree(['e1@7', 'e2@7', 'e3@7'])
     await vi.advanceTimersByTimeAsync(8000)
     expect(leader.stateOf(POISON)).toBeUndefined()
-    expect(leader.asked.filter(id => id === 'e1')).toHaveLength(6)
+    expect(leader.probed.filter(id => id === 'e1')).toHaveLength(6)
     leader.listed.clear()
     await vi.advanceTimersByTimeAsync(2000)
     expect(leader.stateOf(POISON)).toBe('quarantined')
   })
 
   it('proposes again what was not appended', async () => {
-    leader.loses = 2
-    await endThree()
+    leader.failedProposals = 2
+    await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
   })
 
   it('clears a request that came through, also one that is quarantined', async () => {
-    await endThree()
+    await crashThree()
     leader.task.observe({ host: 'h', losses: [], completed: [POISON, OTHER] })
     await vi.advanceTimersByTimeAsync(100)
     expect(leader.state.quarantine.all).toEqual([])
   })
 
   it('takes no report where it does not lead, and forgets what it held when it leads no more', async () => {
-    leader.lose('e1', POISON)
-    leader.lose('e2', POISON)
+    leader.reportLoss('e1', POISON)
+    leader.reportLoss('e2', POISON)
     leader.isLeader = false
     await vi.advanceTimersByTimeAsync(200)
-    expect(leader.lose('e3', POISON)).toBe(false)
+    expect(leader.reportLoss('e3', POISON)).toBe(false)
     leader.isLeader = true
-    leader.lose('e4', POISON)
+    leader.reportLoss('e4', POISON)
     await vi.advanceTimersByTimeAsync(1000)
     expect(leader.state.quarantine.all).toEqual([])
   })
 
   it('releases when the time is over, and quarantines again after one more end, for longer', async () => {
-    await endThree()
+    await crashThree()
     await vi.advanceTimersByTimeAsync(15 * MINUTE_MS)
     expect(leader.stateOf(POISON)).toBe('released')
-    leader.lose('e4', POISON)
+    leader.reportLoss('e4', POISON)
     await vi.advanceTimersByTimeAsync(1000)
     expect(leader.state.quarantine.find(POISON)).toMatchObject({ state: 'quarantined', quarantines: 2 })
     await vi.advanceTimersByTimeAsync(29 * MINUTE_MS)
@@ -150,7 +150,7 @@
   })
 
   it('does nothing at rest', async () => {
-    await endThree()
+    await crashThree()
     const { length } = leader.commands
     await vi.advanceTimersByTimeAsync(5 * MINUTE_MS)
     expect(leader.commands).toHaveLength(length)
@@ -163,7 +163,7 @@
   const engine: EngineEndpoint = { kind: 'endpoint', type: 'engine', name: 'engine-0', address: '10.0.0.1:80', dataCentre: 'n', model: 'base', honoursFencing: true }
 
   async function hasCrashed (name: string, answer: Awaited<ReturnType<ConstructorParameters<typeof ConfiguredCrashDetector>[1] & object>>): Promise<boolean | undefined> {
-    const knowledge = new ConfiguredCrashDetector(() => ({ documents: [engine] }), async () => await Promise.resolve(answer)).look([name]).get(name)
+    const knowledge = new ConfiguredCrashDetector(() => ({ documents: [engine] }), async () => await Promise.resolve(answer)).check([name]).get(name)
     return typeof knowledge === 'function' ? await knowledge() : knowledge === 'ended'
   }
 
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -12,23 +12,23 @@
 import type { Command } from '@eelgrassmux/state/commands'
 import type { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { CrashCheck } from './CrashCheck.js'
+import { CrashChecker } from './CrashChecker.js'
 import type { CrashDetector } from './CrashDetector.js'
 
 /** Interval between looks while reports settle and endpoints answer, in milliseconds. */
-const LOOK_MS = 100
+const SETTLING_CHECK_INTERVAL_MS = 100
 
 /** Time after the last news in which that may go on, in milliseconds. */
-const SETTLING_MS = 1000
+const SETTLING_PERIOD_MS = 1000
 
 /** Interval between looks after that, in milliseconds. */
-const SLOW_LOOK_MS = 500
+const ACTIVE_CHECK_INTERVAL_MS = 500
 
 /** Time after the last news in which the list may still tell that an endpoint has ended, in milliseconds. */
-const ACTIVE_MS = 15_000
+const ACTIVE_PERIOD_MS = 15_000
 
 /** Interval between looks at entries that are over, in milliseconds. */
-const EXPIRE_MS = 1000
+const EXPIRY_CHECK_INTERVAL_MS = 1000
 
 /** What the task needs from around it. */
 export interface QuarantinePorts {
@@ -42,15 +42,15 @@
 /** Works while hosts report. */
 export class QuarantineTask {
   readonly #correlator = new CrashCorrelator()
-  readonly #check: CrashCheck
+  readonly #crashChecker: CrashChecker
   readonly #decisions: LabelledCounter
   readonly #reports: LabelledCounter
   readonly #expireTimer: NodeJS.Timeout
-  #lookTimer: NodeJS.Timeout | undefined
-  #newsAt = 0
+  #checkTimer: NodeJS.Timeout | undefined
+  #lastEvidenceAt = 0
   #isProposing = false
   /** Decided while a proposal was under way. */
-  #waiting: QuarantineDecision[] = []
+  #queuedDecisions: QuarantineDecision[] = []
 
   /** @param ports - surroundings */
   constructor (private readonly ports: QuarantinePorts) {
@@ -59,8 +59,8 @@
     this.#reports = telemetry.labelledCounter('crash_reports_total', 'Reports of requests that were lost with an endpoint, by what became of them', 'outcome')
     telemetry.gauge('requests_quarantined', 'Requests that are kept from endpoints', () => ports.register.all.filter(({ state }) => state === 'quarantined').length)
     telemetry.gauge('endpoint_crashes_held', 'Ends of endpoints that still count against the requests that were there', () => this.#correlator.crashCount)
-    this.#check = new CrashCheck((endpoint, hasCrashed) => { this.#settle(endpoint, hasCrashed) })
-    this.#expireTimer = setInterval(() => { this.#expire() }, EXPIRE_MS)
+    this.#crashChecker = new CrashChecker((endpoint, hasCrashed) => { this.#settleCrash(endpoint, hasCrashed) })
+    this.#expireTimer = setInterval(() => { this.#expire() }, EXPIRY_CHECK_INTERVAL_MS)
   }
 
   /** @param server - where to register */
@@ -80,58 +80,58 @@
     const now = performance.now()
     for (const loss of losses) this.#correlator.observe(loss, now)
     this.#reports.count('taken', losses.length)
-    this.#clear(completed, now)
-    this.#wake(now)
+    this.#clearCompleted(completed, now)
+    this.#restartChecks(now)
     return { isTaken: true }
   }
 
   /** Ends judging. */
   stop (): void {
     clearInterval(this.#expireTimer)
-    clearTimeout(this.#lookTimer)
+    clearTimeout(this.#checkTimer)
   }
 
-  #wake (now: number): void {
-    this.#newsAt = now
-    clearTimeout(this.#lookTimer)
-    this.#scheduleLook(LOOK_MS)
+  #restartChecks (now: number): void {
+    this.#lastEvidenceAt = now
+    clearTimeout(this.#checkTimer)
+    this.#scheduleCheck(SETTLING_CHECK_INTERVAL_MS)
   }
 
-  #scheduleLook (delayMs: number): void {
-    this.#lookTimer = setTimeout(() => { this.#look() }, delayMs)
+  #scheduleCheck (delayMs: number): void {
+    this.#checkTimer = setTimeout(() => { this.#runCheck() }, delayMs)
   }
 
-  #look (): void {
+  #runCheck (): void {
     const now = performance.now()
     if (!this.ports.isLeader()) {
       this.#correlator.reset()
       return
     }
-    const quietMs = now - this.#newsAt
-    if (quietMs < ACTIVE_MS) this.#scheduleLook(quietMs < SETTLING_MS ? LOOK_MS : SLOW_LOOK_MS)
-    this.#verify(now)
+    const idleMs = now - this.#lastEvidenceAt
+    if (idleMs < ACTIVE_PERIOD_MS) this.#scheduleCheck(idleMs < SETTLING_PERIOD_MS ? SETTLING_CHECK_INTERVAL_MS : ACTIVE_CHECK_INTERVAL_MS)
+    this.#verifyCrashes(now)
     // What is under way would be decided a second time.
     if (!this.#isProposing) this.#propose(this.#correlator.decide(this.ports.register, now))
   }
 
-  #verify (now: number): void {
-    const uncertain = this.#correlator.unconfirmedCrashes(this.ports.register)
-    this.#check.retain(name => uncertain.includes(name))
-    if (uncertain.length === 0) return
-    for (const [name, knowledge] of this.ports.detector.look(uncertain)) {
-      if (knowledge === 'ended') this.#settle(name, true)
-      else if (knowledge !== undefined) this.#check.ask(name, knowledge, now)
+  #verifyCrashes (now: number): void {
+    const unconfirmed = this.#correlator.unconfirmedCrashes(this.ports.register)
+    this.#crashChecker.retain(name => unconfirmed.includes(name))
+    if (unconfirmed.length === 0) return
+    for (const [name, knowledge] of this.ports.detector.check(unconfirmed)) {
+      if (knowledge === 'ended') this.#settleCrash(name, true)
+      else if (knowledge !== undefined) this.#crashChecker.ask(name, knowledge, now)
     }
   }
 
-  #settle (endpoint: string, hasCrashed: boolean): void {
+  #settleCrash (endpoint: string, hasCrashed: boolean): void {
     const now = performance.now()
     this.#correlator.settle(endpoint, hasCrashed, now)
     this.ports.telemetry.stateChanged('endpoint-crash-checked', { endpoint, hasCrashed })
-    this.#wake(now)
+    this.#restartChecks(now)
   }
 
-  #clear (fingerprints: readonly string[], now: number): void {
+  #clearCompleted (fingerprints: readonly string[], now: number): void {
     const decisions = fingerprints.flatMap((fingerprint): QuarantineDecision[] => {
       const entry = this.ports.register.find(fingerprint)
       this.#correlator.clear(fingerprint, now)
@@ -142,7 +142,7 @@
 
   #propose (decisions: readonly QuarantineDecision[]): void {
     if (this.#isProposing) {
-      this.#waiting.push(...decisions)
+      this.#queuedDecisions.push(...decisions)
       return
     }
     if (decisions.length === 0) return
@@ -153,8 +153,8 @@
     }
     const finish = (): void => {
       this.#isProposing = false
-      this.#wake(performance.now())
-      this.#propose(this.#waiting.splice(0))
+      this.#restartChecks(performance.now())
+      this.#propose(this.#queuedDecisions.splice(0))
     }
     this.ports.propose({ kind: 'change-quarantine', decisions: [...decisions] }).then(finish, finish)
   }
--- a/apps/control/src/lib/quarantine/quarantineMessage.ts
+++ b/apps/control/src/lib/quarantine/quarantineMessage.ts
@@ -15,7 +15,7 @@
  */
 export function quarantineMessage (register: QuarantineRegister, changedFingerprints: readonly string[] | undefined, clock: number): QuarantineMessage {
   const changed = changedFingerprints === undefined ? register.all : [...new Set(changedFingerprints)].flatMap(fingerprint => register.find(fingerprint) ?? [])
-  const gone = [...new Set(changedFingerprints)].filter(fingerprint => register.find(fingerprint) === undefined)
+  const removed = [...new Set(changedFingerprints)].filter(fingerprint => register.find(fingerprint) === undefined)
   const quarantine = changed.map(({ endsAt, ...entry }) => ({ ...entry, leftMs: Math.max(0, endsAt - clock) }))
-  return { ...(quarantine.length === 0 ? {} : { quarantine }), ...(gone.length === 0 ? {} : { quarantineRemoved: gone }) }
+  return { ...(quarantine.length === 0 ? {} : { quarantine }), ...(removed.length === 0 ? {} : { quarantineRemoved: removed }) }
 }
--- a/apps/control/src/lib/raft/DecisionNotice.ts
+++ b/apps/control/src/lib/raft/DecisionNotifier.ts
@@ -11,17 +11,17 @@
 }
 
 /** Passes on a decision that differs from the one before in its outcome or its membership. */
-export class DecisionNotice {
+export class DecisionNotifier {
   #last: CommandDecision | undefined
 
-  /** @param tell - takes each decision that is new */
-  constructor (private readonly tell: (decision: CommandDecision) => void) {}
+  /** @param notify - takes each decision that is new */
+  constructor (private readonly notify: (decision: CommandDecision) => void) {}
 
   /** @param decision - made just now */
-  notice (decision: CommandDecision): void {
+  observe (decision: CommandDecision): void {
     const last = this.#last
     this.#last = decision
     const isSame = last?.isTaken === decision.isTaken && last.formation.membershipIndex === decision.formation.membershipIndex
-    if (!isSame) this.tell(decision)
+    if (!isSame) this.notify(decision)
   }
 }
--- a/apps/control/src/lib/raft/LeadershipClock.ts
+++ b/apps/control/src/lib/raft/LeadershipTracker.ts
@@ -9,17 +9,17 @@
 }
 
 /** Begins anew with each term, because another host may have led and given orders before it. */
-export class LeadershipClock {
-  #present: Leadership | undefined
+export class LeadershipTracker {
+  #current: Leadership | undefined
 
   /**
    * @param core - this host's replica
    * @param now - monotonic milliseconds
    * @returns the present leadership, or undefined on any other replica
    */
-  look ({ role, term }: Pick<RaftCore, 'role' | 'term'>, now: number): Leadership | undefined {
-    if (role !== 'leader') this.#present = undefined
-    else if (this.#present?.term !== term) this.#present = { term, since: now }
-    return this.#present
+  observe ({ role, term }: Pick<RaftCore, 'role' | 'term'>, now: number): Leadership | undefined {
+    if (role !== 'leader') this.#current = undefined
+    else if (this.#current?.term !== term) this.#current = { term, since: now }
+    return this.#current
   }
 }
--- a/apps/control/src/lib/raft/GroupKeeper.ts
+++ b/apps/control/src/lib/raft/MembershipTask.ts
@@ -10,21 +10,21 @@
 import { listHosts } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { findSurplusReplica, removeIfStillSurplus } from './MembershipKeeper.js'
+import { findSurplusReplica, removeIfStillSurplus } from './surplusReplicas.js'
 import { joinGroup } from './joinGroup.js'
 import type { RaftTask } from './RaftTask.js'
 
 /** Interval between looks at the membership, in milliseconds. */
-const LOOK_MS = 300
+const CHECK_INTERVAL_MS = 300
 
 /** Time without a leader after which a replica asks whether it still belongs to the group, in milliseconds. */
-const LEADERLESS_MS = 1500
+const LEADERLESS_TIMEOUT_MS = 1500
 
 /** Deadline of that question, in milliseconds. */
-const ASK_MS = 500
+const MEMBERSHIP_QUERY_TIMEOUT_MS = 500
 
 /** Looks after the membership until stopped. */
-export class GroupKeeper {
+export class MembershipTask {
   #isStopped = false
   #leaderlessSince: number | undefined
 
@@ -43,11 +43,11 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Runs until {@link GroupKeeper.stop}. */
+  /** Runs until {@link MembershipTask.stop}. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      await this.#turn()
-      await sleep(LOOK_MS)
+      await this.#checkMembership()
+      await sleep(CHECK_INTERVAL_MS)
     }
   }
 
@@ -56,13 +56,13 @@
     this.#isStopped = true
   }
 
-  async #turn (): Promise<void> {
+  async #checkMembership (): Promise<void> {
     const { core } = this.raft
     if (core.role === 'leader') {
       await this.#removeSurplus(core)
       return
     }
-    if (this.#others().length === 0) return
+    if (this.#otherContacts().length === 0) return
     const isVoter = core.membership.voters.some(voter => voter.id === core.self.id)
     if (!isVoter || await this.#wasRemoved(core)) await this.#join(core)
   }
@@ -83,9 +83,9 @@
       return false
     }
     this.#leaderlessSince ??= now
-    if (now - this.#leaderlessSince < LEADERLESS_MS) return false
-    for (const contact of this.#others()) {
-      const answer = await this.rpc.call(contact, listHosts, {}, ASK_MS)
+    if (now - this.#leaderlessSince < LEADERLESS_TIMEOUT_MS) return false
+    for (const contact of this.#otherContacts()) {
+      const answer = await this.rpc.call(contact, listHosts, {}, MEMBERSHIP_QUERY_TIMEOUT_MS)
       // Only the leader's committed membership is newer than our own for certain.
       if (!answer.ok || answer.value.leader !== answer.value.replicaId) continue
       return ![...answer.value.voters, ...answer.value.learners].some(replica => replica.id === core.self.id)
@@ -94,13 +94,13 @@
   }
 
   async #join (core: RaftCore): Promise<void> {
-    this.telemetry.stateChanged('joining', { replica: core.self.id, contacts: this.#others().join(' ') })
-    await joinGroup(this.rpc, core, () => this.#others(), () => this.#isStopped)
+    this.telemetry.stateChanged('joining', { replica: core.self.id, contacts: this.#otherContacts().join(' ') })
+    await joinGroup(this.rpc, core, () => this.#otherContacts(), () => this.#isStopped)
     this.#leaderlessSince = undefined
     this.telemetry.stateChanged('joined', { replica: core.self.id })
   }
 
-  #others (): string[] {
+  #otherContacts (): string[] {
     const { self, membership } = this.raft.core
     const known = [...this.contacts(), ...membership.voters.map(voter => voter.address)]
     return [...new Set(known)].filter(address => address !== self.address && address !== '')
--- a/apps/control/src/lib/raft/RaftSender.test.ts
+++ b/apps/control/src/lib/raft/RaftSender.test.ts
@@ -7,32 +7,32 @@
   ({ kind: 'append-request', ...header, previousIndex: 1, previousTerm: 1, entries, commitIndex: 1, sentAt: 0 })
 
 /** @returns whether a message went as a datagram or as a call */
-function wayOf (message: RaftMessage): string {
-  const ways: string[] = []
+function transportOf (message: RaftMessage): string {
+  const transports: string[] = []
   const sender = new RaftSender(
-    { tell: () => { ways.push('datagram') } },
+    { tell: () => { transports.push('datagram') } },
     {
       call: async () => {
-        ways.push('call')
+        transports.push('call')
         return { ok: false, error: { kind: 'unreachable', address: 'b', detail: '' } } as never
       }
     },
     () => {})
   sender.send('b', { from: { id: 'a', address: 'a' }, to: 'b', message })
-  return ways.join(' ')
+  return transports.join(' ')
 }
 
 describe('RaftSender', () => {
   it('sends as a datagram what is said again if it is lost', () => {
-    expect(wayOf(append([]))).toBe('datagram')
-    expect(wayOf({ kind: 'append-response', ...header, success: true, matchIndex: 1, sentAt: 0 })).toBe('datagram')
-    expect(wayOf({ kind: 'vote-request', ...header, preVote: true, lastIndex: 1, lastTerm: 1, transfer: false })).toBe('datagram')
+    expect(transportOf(append([]))).toBe('datagram')
+    expect(transportOf({ kind: 'append-response', ...header, success: true, matchIndex: 1, sentAt: 0 })).toBe('datagram')
+    expect(transportOf({ kind: 'vote-request', ...header, preVote: true, lastIndex: 1, lastTerm: 1, transfer: false })).toBe('datagram')
   })
 
   it('calls with what is long, or is said only once', () => {
-    expect(wayOf(append([{ kind: 'command', index: 2, term: 3, command: new Uint8Array(10) }]))).toBe('call')
-    expect(wayOf({ kind: 'snapshot-request', ...header, sentAt: 0, snapshot: { index: 1, term: 1, membership: { voters: [], learners: [] }, state: new Uint8Array(1) } })).toBe('call')
-    expect(wayOf({ kind: 'timeout-now', ...header })).toBe('call')
+    expect(transportOf(append([{ kind: 'command', index: 2, term: 3, command: new Uint8Array(10) }]))).toBe('call')
+    expect(transportOf({ kind: 'snapshot-request', ...header, sentAt: 0, snapshot: { index: 1, term: 1, membership: { voters: [], learners: [] }, state: new Uint8Array(1) } })).toBe('call')
+    expect(transportOf({ kind: 'timeout-now', ...header })).toBe('call')
   })
 
   it('counts calls that fail', async () => {
--- a/apps/control/src/lib/raft/RaftSender.ts
+++ b/apps/control/src/lib/raft/RaftSender.ts
@@ -12,7 +12,7 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 
 /** Deadline of a call, in milliseconds. */
-const CALL_MS = 1000
+const CALL_TIMEOUT_MS = 1000
 
 /** Sends without waiting. */
 export class RaftSender {
@@ -32,18 +32,18 @@
    * @param envelope - message with its sender
    */
   send (address: string, envelope: RaftEnvelope): void {
-    if (isRepeated(envelope.message)) {
+    if (isLossTolerant(envelope.message)) {
       this.datagrams.tell(address, tellRaft, envelope)
       return
     }
-    void this.rpc.call(address, exchangeRaft, envelope, CALL_MS).then(answer => {
+    void this.rpc.call(address, exchangeRaft, envelope, CALL_TIMEOUT_MS).then(answer => {
       if (!answer.ok) this.onFailure(answer.error.kind)
     })
   }
 }
 
 /** Whether the message is short, and said again if it is lost. */
-function isRepeated (message: RaftMessage): boolean {
+function isLossTolerant (message: RaftMessage): boolean {
   switch (message.kind) {
     case 'append-request': return message.entries.length === 0
     case 'append-response':
--- a/apps/control/src/lib/raft/RaftTask.test.ts
+++ b/apps/control/src/lib/raft/RaftTask.test.ts
@@ -5,21 +5,21 @@
 import { InvariantViolation } from '@eelgrassmux/schema/invariant'
 import type { Command } from '@eelgrassmux/state/commands'
 import { DEFAULT_STATE_SETTINGS, StateMachine } from '@eelgrassmux/state/StateMachine'
-import type { CommandDecision } from './DecisionNotice.js'
+import type { CommandDecision } from './DecisionNotifier.js'
 import { RaftTask } from './RaftTask.js'
 
 const COMMAND: Command = { kind: 'name-weights', model: 'base', version: 1 }
 
 /** Steps the tests' disk may wait on; each resolves when it is called. */
-class Step {
-  readonly reached: Promise<void>
+class Signal {
+  readonly raised: Promise<void>
   #resolve = (): void => {}
 
   constructor () {
-    this.reached = new Promise(resolve => { this.#resolve = resolve })
+    this.raised = new Promise(resolve => { this.#resolve = resolve })
   }
 
-  reach (): void {
+  raise (): void {
     this.#resolve()
   }
 }
@@ -46,23 +46,23 @@
   }, Date.now)
 }
 
-const nothing = async (): Promise<void> => {}
+const noop = async (): Promise<void> => {}
 
 describe('RaftTask', () => {
   it('closes its disk only when the write under way is done', async () => {
     const order: string[] = []
-    const writing = new Step()
-    const mayWrite = new Step()
+    const writing = new Signal()
+    const mayWrite = new Signal()
     const task = newTask(async () => {
-      writing.reach()
-      await mayWrite.reached
+      writing.raise()
+      await mayWrite.raised
       order.push('written')
     }, async () => { order.push('closed') }, 1)
     void task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
-    await writing.reached
+    await writing.raised
     const closing = task.close()
     await new Promise(resolve => setImmediate(resolve))
-    mayWrite.reach()
+    mayWrite.raise()
     await closing
     expect(order).toEqual(['written', 'closed'])
   })
@@ -71,17 +71,17 @@
     /** Founds a group on a disk whose write waits, lets the task begin to close or not, and lets the write fail. */
     async function failWrite (error: Error, isClosing: boolean): Promise<DecisionRecorder> {
       const recorder = new DecisionRecorder()
-      const writing = new Step()
-      const mayFail = new Step()
+      const writing = new Signal()
+      const mayFail = new Signal()
       const task = newTask(async () => {
-        writing.reach()
-        await mayFail.reached
+        writing.raise()
+        await mayFail.raised
         throw error
-      }, nothing, 1, recorder)
+      }, noop, 1, recorder)
       void task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
-      await writing.reached
+      await writing.raised
       const closing = isClosing ? task.close() : undefined
-      mayFail.reach()
+      mayFail.raise()
       await new Promise(resolve => setImmediate(resolve))
       await (closing ?? task.close())
       return recorder
@@ -106,7 +106,7 @@
   describe('in a group that is still forming', () => {
     it('holds back a command that came before the founder was elected and is stepped after', async () => {
       const recorder = new DecisionRecorder()
-      const task = newTask(nothing, nothing, 5, recorder)
+      const task = newTask(noop, noop, 5, recorder)
       const founded = task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
       const elected = task.change((group, now) => ({ ok: true, value: group.tick(now) }))
       expect(task.core.role).toBe('follower')
@@ -121,7 +121,7 @@
 
     it('tells of a decision once, and again when it has changed', async () => {
       const recorder = new DecisionRecorder()
-      const task = newTask(nothing, nothing, 5, recorder)
+      const task = newTask(noop, noop, 5, recorder)
       await task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
       await task.change((group, now) => ({ ok: true, value: group.tick(now) }))
       await task.propose(COMMAND)
@@ -135,7 +135,7 @@
 
     it('takes a command of a group that needs one voter only', async () => {
       const recorder = new DecisionRecorder()
-      const task = newTask(nothing, nothing, 1, recorder)
+      const task = newTask(noop, noop, 1, recorder)
       await task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
       await task.change((group, now) => ({ ok: true, value: group.tick(now) }))
       expect(await task.propose(COMMAND)).toMatchObject({ kind: 'applied' })
--- a/apps/control/src/lib/raft/RaftTask.ts
+++ b/apps/control/src/lib/raft/RaftTask.ts
@@ -15,7 +15,7 @@
 import { decodeCommand, encodeCommand } from '@eelgrassmux/state/commandCodec'
 import { stateImageSchema, type Command, type CommandResult, type StampedCommand } from '@eelgrassmux/state/commands'
 import type { StateMachine } from '@eelgrassmux/state/StateMachine'
-import { DecisionNotice, type CommandDecision } from './DecisionNotice.js'
+import { DecisionNotifier, type CommandDecision } from './DecisionNotifier.js'
 import { membershipIndexOf, newestViewBound } from './logBounds.js'
 
 /** What became of a proposed command. */
@@ -53,16 +53,16 @@
   | { readonly kind: 'read', readonly resolve: (isConfirmed: boolean) => void }
 
 /** Interval of the core's timers, in milliseconds. */
-const TICK_MS = 20
+const TICK_INTERVAL_MS = 20
 
 /** Log entries after which the state is saved as a snapshot. */
-const SNAPSHOT_EVERY = 5000
+const SNAPSHOT_LOG_ENTRIES = 5000
 
 /** Bytes of commands after which it is, too: sites are large, and the log is held in memory. */
-const SNAPSHOT_BYTES = 8 * 1024 * 1024
+const SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 
 /** Longest wait for a quorum to confirm a read, in milliseconds; callers turn to another host after a second. */
-const READ_WAIT_MS = 700
+const READ_TIMEOUT_MS = 700
 
 /** A read that waits for a quorum to follow this leader. */
 interface PendingRead {
@@ -73,15 +73,15 @@
 /** Owns one replica. */
 export class RaftTask {
   #mailbox: MailboxItem[] = []
-  #working = false
-  #closed = false
-  #turn: Promise<void> = Promise.resolve()
+  #isProcessing = false
+  #isClosed = false
+  #processing: Promise<void> = Promise.resolve()
   #pending = new Map<number, PendingProposal>()
   #reads: PendingRead[] = []
   #appliedIndex: number
   #lastRole = 'follower'
-  #turns = 0
-  readonly #decisions = new DecisionNotice(decision => { this.ports.commandDecided(decision) })
+  #syncCount = 0
+  readonly #decisionNotifier = new DecisionNotifier(decision => { this.ports.commandDecided(decision) })
   readonly #ticker: NodeJS.Timeout
 
   /**
@@ -101,12 +101,12 @@
     this.#appliedIndex = core.commitIndex
     const { snapshot } = core
     if (snapshot !== undefined) this.#restore(snapshot.state)
-    this.#ticker = setInterval(() => { this.#post({ kind: 'tick' }) }, TICK_MS)
+    this.#ticker = setInterval(() => { this.#post({ kind: 'tick' }) }, TICK_INTERVAL_MS)
   }
 
   get appliedIndex (): number { return this.#appliedIndex }
   /** Turns that wrote to the disk; one sync each. */
-  get syncs (): number { return this.#turns }
+  get syncs (): number { return this.#syncCount }
   get membership (): Membership { return this.core.membership }
 
   /** Upper bound of any view in this replica's log, committed or not. */
@@ -156,43 +156,43 @@
 
   /** Stops the task and closes the storage. */
   async close (): Promise<void> {
-    this.#closed = true
+    this.#isClosed = true
     clearInterval(this.#ticker)
     // A turn under way may still write; the file must stay open for it.
-    await this.#turn
+    await this.#processing
     await this.storage.close()
   }
 
   #post (item: MailboxItem): void {
-    if (this.#closed) return
+    if (this.#isClosed) return
     this.#mailbox.push(item)
-    if (this.#working) return
-    this.#working = true
-    setImmediate(() => { this.#turn = this.#work().catch((error: unknown) => { this.#failed(error) }) })
+    if (this.#isProcessing) return
+    this.#isProcessing = true
+    setImmediate(() => { this.#processing = this.#processMailbox().catch((error: unknown) => { this.#handleFailure(error) }) })
   }
 
-  #failed (error: unknown): void {
-    const isLostOnly = this.#closed && !(error instanceof InvariantViolation)
-    if (isLostOnly) this.ports.lostWhileClosing(error)
+  #handleFailure (error: unknown): void {
+    const isWriteLostOnClose = this.#isClosed && !(error instanceof InvariantViolation)
+    if (isWriteLostOnClose) this.ports.lostWhileClosing(error)
     else this.ports.fail(error)
   }
 
-  async #work (): Promise<void> {
-    while (this.#mailbox.length > 0 && !this.#closed) {
+  async #processMailbox (): Promise<void> {
+    while (this.#mailbox.length > 0 && !this.#isClosed) {
       const batch = this.#mailbox
       this.#mailbox = []
       const effects = batch.flatMap(item => this.#step(item))
       const writes = effects.flatMap(effect => effect.writes)
       if (writes.length > 0) {
-        this.#turns += 1
+        this.#syncCount += 1
         await this.storage.persist(writes)
       }
-      for (const effect of effects) this.#carryOut(effect)
-      this.#settleReads()
-      this.#noticeRole()
-      await this.#maybeSnapshot()
+      for (const effect of effects) this.#executeEffects(effect)
+      this.#resolveReads()
+      this.#reportRoleChange()
+      await this.#snapshotIfDue()
     }
-    this.#working = false
+    this.#isProcessing = false
   }
 
   #step (item: MailboxItem): RaftEffects[] {
@@ -220,7 +220,7 @@
     const { formation } = this.core
     const proposed = this.core.propose(encodeCommand(stamped), now)
     const isHeldBack = !proposed.ok && proposed.error.kind === 'forming'
-    if (proposed.ok || isHeldBack) this.#decisions.notice({ isTaken: proposed.ok, term: this.core.term, formation })
+    if (proposed.ok || isHeldBack) this.#decisionNotifier.observe({ isTaken: proposed.ok, term: this.core.term, formation })
     if (!proposed.ok) {
       const leader = proposed.error.kind === 'not-leader' ? proposed.error.leader?.address ?? '' : ''
       resolve({ kind: 'not-leader', leader })
@@ -232,18 +232,18 @@
     return [effects]
   }
 
-  #settleReads (): void {
+  #resolveReads (): void {
     if (this.#reads.length === 0) return
     const now = performance.now()
     this.#reads = this.#reads.filter(({ readAt, resolve }) => {
       const isConfirmed = this.core.isReadConfirmed(readAt, now)
-      const isHopeless = this.core.role !== 'leader' || now - readAt > READ_WAIT_MS
-      if (isConfirmed || isHopeless) resolve(isConfirmed)
-      return !isConfirmed && !isHopeless
+      const hasFailed = this.core.role !== 'leader' || now - readAt > READ_TIMEOUT_MS
+      if (isConfirmed || hasFailed) resolve(isConfirmed)
+      return !isConfirmed && !hasFailed
     })
   }
 
-  #carryOut (effects: RaftEffects): void {
+  #executeEffects (effects: RaftEffects): void {
     for (const { to, message } of effects.messages) this.ports.send(to, message)
     if (effects.installed !== undefined) {
       this.#restore(effects.installed.state)
@@ -268,7 +268,7 @@
     pending.resolve(pending.term === entry.term ? { kind: 'applied', result } : { kind: 'uncertain' })
   }
 
-  #noticeRole (): void {
+  #reportRoleChange (): void {
     const { role, term } = this.core
     if (role === this.#lastRole) return
     this.#lastRole = role
@@ -278,8 +278,8 @@
     this.#pending.clear()
   }
 
-  async #maybeSnapshot (): Promise<void> {
-    if (this.core.logLength < SNAPSHOT_EVERY && this.core.logBytes < SNAPSHOT_BYTES) return
+  async #snapshotIfDue (): Promise<void> {
+    if (this.core.logLength < SNAPSHOT_LOG_ENTRIES && this.core.logBytes < SNAPSHOT_LOG_BYTES) return
     if (this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
     const effects = this.core.compact(this.#appliedIndex, encode(this.state.image(), { ignoreUndefined: true }))
     await this.storage.persist(effects.writes)
--- a/apps/control/src/lib/raft/changeMembership.ts
+++ b/apps/control/src/lib/raft/changeMembership.ts
@@ -7,8 +7,8 @@
 import type { RaftTask } from './RaftTask.js'
 
 /** Longest wait for a membership change to be committed, and interval between looks, in milliseconds. */
-const COMMIT_WAIT_MS = 1500
-const COMMIT_LOOK_MS = 10
+const COMMIT_TIMEOUT_MS = 1500
+const COMMIT_POLL_INTERVAL_MS = 10
 
 /**
  * Changes the membership and waits until that is committed: whoever waits for a
@@ -32,14 +32,14 @@
     }
   })
   if (error !== undefined) return toResponse(error)
-  const deadline = performance.now() + COMMIT_WAIT_MS
-  while (raft.core.isMembershipPending && performance.now() < deadline) await sleep(COMMIT_LOOK_MS)
+  const deadline = performance.now() + COMMIT_TIMEOUT_MS
+  while (raft.core.isMembershipPending && performance.now() < deadline) await sleep(COMMIT_POLL_INTERVAL_MS)
   // Nothing pending can also mean that another leader has overwritten the change.
-  const isDone = !raft.core.isMembershipPending && isInForce(change, raft.core.committedMembership)
+  const isDone = !raft.core.isMembershipPending && isReflectedIn(change, raft.core.committedMembership)
   return isDone ? { kind: 'done' } : { kind: 'refused', reason: 'not-committed' }
 }
 
-function isInForce (change: Exclude<MembershipChange, { kind: 'transfer' }>, { voters, learners }: Membership): boolean {
+function isReflectedIn (change: Exclude<MembershipChange, { kind: 'transfer' }>, { voters, learners }: Membership): boolean {
   const isVoter = (id: string): boolean => voters.some(voter => voter.id === id)
   const isLearner = (id: string): boolean => learners.some(learner => learner.id === id)
   switch (change.kind) {
--- a/apps/control/src/lib/raft/joinGroup.test.ts
+++ b/apps/control/src/lib/raft/joinGroup.test.ts
@@ -11,7 +11,7 @@
 const FRESH: Replica = { id: 'fresh', address: 'fresh' }
 
 /** A leader that does what it is asked, and a contact that has not joined any group yet. */
-class Contacts {
+class FakeContacts {
   readonly changes: MembershipChange[] = []
 
   async call (address: string, method: unknown, request: unknown): Promise<Result<unknown, never>> {
@@ -24,7 +24,7 @@
 
 describe('joinGroup', () => {
   it('removes its former identity although the first contact knows of no group', async () => {
-    const contacts = new Contacts()
+    const contacts = new FakeContacts()
     const core: JoiningReplica = { self: SELF, leader: LEADER, membership: { voters: [LEADER, FORMER], learners: [SELF] } }
     await joinGroup(contacts as unknown as RpcClient, core, () => [FRESH.address, LEADER.address], () => false)
     expect(contacts.changes).toEqual([{ kind: 'add-learner', replica: SELF }, { kind: 'remove', id: FORMER.id }, { kind: 'promote', id: SELF.id }])
--- a/apps/control/src/lib/raft/joinGroup.ts
+++ b/apps/control/src/lib/raft/joinGroup.ts
@@ -10,13 +10,13 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 
 /** Pause between attempts, in milliseconds. */
-const RETRY_MS = 200
+const RETRY_INTERVAL_MS = 200
 
 /** Deadline of each call, in milliseconds. */
-const CALL_MS = 2000
+const CALL_TIMEOUT_MS = 2000
 
 /** Wait for the first messages of the leader before it is asked again, in milliseconds; they come at once. */
-const CATCH_UP_MS = 1500
+const CATCH_UP_TIMEOUT_MS = 1500
 
 /** What joining needs to know of this replica, as of now. */
 export type JoiningReplica = Pick<RaftCore, 'self' | 'membership' | 'leader'>
@@ -34,30 +34,30 @@
  */
 export async function joinGroup (rpc: RpcClient, core: JoiningReplica, contacts: Contacts, isStopped: () => boolean): Promise<void> {
   const { self } = core
-  const isCaughtUp = (): boolean => hasReceivedItself(core)
+  const isCaughtUp = (): boolean => isInReceivedMembership(core)
   do {
-    await untilDone(rpc, contacts, { kind: 'add-learner', replica: self }, isStopped)
+    await retryUntilDone(rpc, contacts, { kind: 'add-learner', replica: self }, isStopped)
     await waitFor(isCaughtUp, isStopped)
     // Whoever added us may have been replaced, or may have removed us again: ask anew.
   } while (!isCaughtUp() && !isStopped())
-  for (const old of formerIdentities(core)) await untilDone(rpc, contacts, { kind: 'remove', id: old }, isStopped)
-  await untilDone(rpc, contacts, { kind: 'promote', id: self.id }, isStopped)
+  for (const formerId of formerIdentities(core)) await retryUntilDone(rpc, contacts, { kind: 'remove', id: formerId }, isStopped)
+  await retryUntilDone(rpc, contacts, { kind: 'promote', id: self.id }, isStopped)
 }
 
 async function waitFor (isReached: () => boolean, isStopped: () => boolean): Promise<void> {
-  const deadline = performance.now() + CATCH_UP_MS
-  while (!isReached() && !isStopped() && performance.now() < deadline) await sleep(RETRY_MS)
+  const deadline = performance.now() + CATCH_UP_TIMEOUT_MS
+  while (!isReached() && !isStopped() && performance.now() < deadline) await sleep(RETRY_INTERVAL_MS)
 }
 
-async function untilDone (rpc: RpcClient, contacts: Contacts, change: MembershipChange, isStopped: () => boolean): Promise<void> {
+async function retryUntilDone (rpc: RpcClient, contacts: Contacts, change: MembershipChange, isStopped: () => boolean): Promise<void> {
   let target: string | undefined
-  for (let turn = 0; !isStopped(); turn += 1) {
+  for (let attempt = 0; !isStopped(); attempt += 1) {
     const known = contacts()
-    const address = target ?? known[turn % known.length] ?? ''
-    const answer = await rpc.call(address, changeMembership, change, CALL_MS)
+    const address = target ?? known[attempt % known.length] ?? ''
+    const answer = await rpc.call(address, changeMembership, change, CALL_TIMEOUT_MS)
     if (answer.ok && isDone(answer.value, change)) return
     target = answer.ok && answer.value.kind === 'not-leader' && answer.value.leader !== '' ? answer.value.leader : undefined
-    await sleep(RETRY_MS)
+    await sleep(RETRY_INTERVAL_MS)
   }
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** Whether a leader has sent this replica a membership with itself in it. */
-function hasReceivedItself ({ self, membership, leader }: JoiningReplica): boolean {
+function isInReceivedMembership ({ self, membership, leader }: JoiningReplica): boolean {
   return leader !== undefined && [...membership.voters, ...membership.learners].some(replica => replica.id === self.id)
 }
 
--- a/apps/control/src/lib/raft/MembershipKeeper.test.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.test.ts
@@ -2,12 +2,12 @@
 import { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import { DEFAULT_RAFT_SETTINGS } from '@eelgrassmux/consensus/RaftSettings'
 import type { Replica } from '@eelgrassmux/consensus/messages/raftMessages'
-import { findSurplusReplica, LEARNER_SILENCE_MS, removeIfStillSurplus, SURPLUS_SILENCE_MS } from './MembershipKeeper.js'
+import { findSurplusReplica, LEARNER_SILENCE_MS, removeIfStillSurplus, SURPLUS_VOTER_SILENCE_MS } from './surplusReplicas.js'
 
 const replica = (id: string): Replica => ({ id, address: `10.0.0.${id.length}:${id}` })
 
 /** A leader whose peers answer as long as they are named. */
-class Group {
+class SimulatedGroup {
   readonly leader = new RaftCore(replica('self'), { term: 0, votedFor: undefined, snapshot: undefined, entries: [] }, DEFAULT_RAFT_SETTINGS, () => 0.5, 0)
   readonly #answering = new Set<string>()
   now = 0
@@ -58,23 +58,23 @@
 
 describe('findSurplusReplica', () => {
   it('keeps a silent voter while it has no successor', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.silence('d')
-    group.run(SURPLUS_SILENCE_MS * 3)
+    group.run(SURPLUS_VOTER_SILENCE_MS * 3)
     expect(group.surplus(5)).toBeUndefined()
   })
 
   it('names the silent voter once there is one more than needed', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS - 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS - 500)
     expect(group.surplus(5)).toBeUndefined()
     group.run(1000)
     expect(group.surplus(5)).toBe('b')
   })
 
   it('does not take a learner that was just added for silent, however long the leader has led', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.run(LEARNER_SILENCE_MS * 2)
     group.add('late', false)
     group.run(200)
@@ -83,7 +83,7 @@
   })
 
   it('names a learner that fell silent', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.add('late')
     group.run(500)
     group.silence('late')
@@ -94,9 +94,9 @@
 
 describe('removeIfStillSurplus', () => {
   it('leaves the group as it is when a host removed its former identity in between', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS + 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS + 500)
     expect(group.surplus(5)).toBe('b')
     group.leader.remove('d', group.now)
     group.run(100)
@@ -106,9 +106,9 @@
   })
 
   it('removes what is still surplus', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS + 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS + 500)
     expect(removeIfStillSurplus(group.leader, 'b', 5, group.now).ok).toBe(true)
     expect(group.leader.membership.voters.map(voter => voter.id)).not.toContain('b')
   })
@@ -116,7 +116,7 @@
 
 describe('RaftCore.isReadConfirmed', () => {
   it('needs a quorum that followed after the read began, whatever the lease says', () => {
-    const group = new Group('a', 'b')
+    const group = new SimulatedGroup('a', 'b')
     const readAt = group.now
     expect(group.leader.holdsLease(group.now)).toBe(true)
     expect(group.leader.isReadConfirmed(readAt, group.now)).toBe(false)
@@ -125,7 +125,7 @@
   })
 
   it('is never given by a quorum that can not be reached', () => {
-    const group = new Group('a', 'b')
+    const group = new SimulatedGroup('a', 'b')
     group.silence('a')
     group.silence('b')
     const readAt = group.now
--- a/apps/control/src/lib/raft/MembershipKeeper.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.ts
@@ -9,7 +9,7 @@
  * than an election and a process restart together, shorter than the four seconds
  * after which the platform counts a successor as caught up.
  */
-export const SURPLUS_SILENCE_MS = 2500
+export const SURPLUS_VOTER_SILENCE_MS = 2500
 
 /** Silence after which a learner is taken for gone, in milliseconds; it has no vote, so nothing hurries. */
 export const LEARNER_SILENCE_MS = 10_000
@@ -30,7 +30,7 @@
   const silence = (replica: Replica): number => core.silentFor(replica.id, now)
   if (voters.length > targetVoters) {
     const mostSilent = [...voters].sort((left, right) => silence(right) - silence(left))[0]
-    if (mostSilent !== undefined && silence(mostSilent) > SURPLUS_SILENCE_MS) return mostSilent
+    if (mostSilent !== undefined && silence(mostSilent) > SURPLUS_VOTER_SILENCE_MS) return mostSilent
   }
   return learners.find(learner => silence(learner) > LEARNER_SILENCE_MS)
 }
--- a/apps/control/src/lib/rollout/RolloutPlan.test.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.test.ts
@@ -16,11 +16,11 @@
 }
 
 /** Plays turns of 50 ms against engines that load for a while; the list never catches up. */
-class Rollout {
+class RolloutSimulation {
   readonly plan = new RolloutPlan()
   readonly engines = new Map<string, FakeEngine>()
   readonly orders: Array<LoadOrder & { at: number }> = []
-  mostAtOnce = 0
+  maxConcurrentLoads = 0
   now = 0
 
   constructor (count: number, private readonly loadMs: number, private readonly unanswered: (order: number) => boolean = () => false) {
@@ -31,24 +31,24 @@
   get isDone (): boolean { return [...this.engines.values()].every(engine => engine.version === 2) }
 
   play (forMs: number, mayOrder = true): void {
-    for (const end = this.now + forMs; this.now < end && !this.isDone; this.now += 50) this.#turn(mayOrder)
+    for (const end = this.now + forMs; this.now < end && !this.isDone; this.now += 50) this.#runTurn(mayOrder)
   }
 
-  #turn (mayOrder: boolean): void {
+  #runTurn (mayOrder: boolean): void {
     for (const engine of this.engines.values()) {
       if (engine.busyUntil >= 0 && this.now >= engine.busyUntil) {
         engine.version = 2
         engine.busyUntil = -1
       }
     }
-    const { looks, orders } = this.plan.next(NAMED, this.list, mayOrder, this.now)
-    for (const { id } of looks) {
+    const { polls, orders } = this.plan.next(NAMED, this.list, mayOrder, this.now)
+    for (const { id } of polls) {
       const engine = this.engines.get(id)
       if (engine === undefined) continue
       this.plan.observeStatus(id, { startedAtMs: undefined, versions: new Map([[MODEL, engine.version]]), isBusy: engine.busyUntil >= 0, acceptedOrders: engine.orders }, this.now)
     }
     for (const order of orders) this.#carryOut(order)
-    this.mostAtOnce = Math.max(this.mostAtOnce, [...this.engines.values()].filter(engine => engine.busyUntil >= 0).length)
+    this.maxConcurrentLoads = Math.max(this.maxConcurrentLoads, [...this.engines.values()].filter(engine => engine.busyUntil >= 0).length)
   }
 
   #carryOut (order: LoadOrder): void {
@@ -67,34 +67,34 @@
 
 describe('RolloutPlan', () => {
   it('brings every engine to the named weights with one order each', () => {
-    const rollout = new Rollout(8, 270)
+    const rollout = new RolloutSimulation(8, 270)
     rollout.play(6000)
     expect(rollout.isDone).toBe(true)
     expect(rollout.orders).toHaveLength(8)
   })
 
   it.each([[8, 2], [13, 3], [63, 18], [98, 28], [1, 1]])('loads on at most so many of %i engines at once: %i', (count, atOnce) => {
-    const rollout = new Rollout(count, 1300)
+    const rollout = new RolloutSimulation(count, 1300)
     rollout.play(20_000)
     expect(rollout.isDone).toBe(true)
-    expect(rollout.mostAtOnce).toBe(atOnce)
+    expect(rollout.maxConcurrentLoads).toBe(atOnce)
   })
 
   it('announces an engine before it is ordered, so that hosts hear of it first', () => {
-    const rollout = new Rollout(8, 270)
+    const rollout = new RolloutSimulation(8, 270)
     rollout.play(50)
     expect(rollout.orders).toHaveLength(0)
     expect(rollout.plan.isBusy('e0', rollout.now)).toBe(true)
   })
 
   it('orders again when an order got no answer and was not carried out', () => {
-    const rollout = new Rollout(8, 270, order => order % 2 === 1)
+    const rollout = new RolloutSimulation(8, 270, order => order % 2 === 1)
     rollout.play(20_000)
     expect(rollout.isDone).toBe(true)
   })
 
   it('binds each order to the orders that the engine has accepted, so that a late one has no effect', () => {
-    const rollout = new Rollout(2, 270)
+    const rollout = new RolloutSimulation(2, 270)
     const engine = rollout.engines.get('e0')
     if (engine !== undefined) engine.orders = 7
     rollout.play(6000)
@@ -102,13 +102,13 @@
   })
 
   it('gives no order while it may not', () => {
-    const rollout = new Rollout(8, 270)
+    const rollout = new RolloutSimulation(8, 270)
     rollout.play(3000, false)
     expect(rollout.orders).toHaveLength(0)
   })
 
   it('does not go back when the list still shows the old weights', () => {
-    const rollout = new Rollout(2, 100)
+    const rollout = new RolloutSimulation(2, 100)
     rollout.play(6000)
     const sent = rollout.orders.length
     expect(rollout.plan.next(NAMED, rollout.list, true, rollout.now + 5000).orders).toHaveLength(0)
@@ -122,11 +122,11 @@
       const fleet = Array.from({ length: 8 }, (_, number) => listed(`e${number}`))
       const loaded = new Map<string, number>()
       for (let now = 0; now < turns * 50; now += 50) {
-        const { looks, orders } = plan.next(NAMED, fleet, true, now)
-        for (const { id } of looks) {
+        const { polls, orders } = plan.next(NAMED, fleet, true, now)
+        for (const { id } of polls) {
           const at = loaded.get(id)
           const version = at !== undefined && now >= at ? 2 : 1
-          if (isDown(now) && (id === 'e0' || id === 'e1')) plan.observeSilence(id, undefined)
+          if (isDown(now) && (id === 'e0' || id === 'e1')) plan.observeNoAnswer(id, undefined)
           else plan.observeStatus(id, { startedAtMs: undefined, versions: new Map([[MODEL, version]]), isBusy: at !== undefined && version === 1, acceptedOrders: at === undefined ? 0 : 1 }, now)
         }
         for (const order of orders) {
@@ -167,7 +167,7 @@
       plan.observeOrder(order, 'accepted', 110)
       const steps = plan.next(NAMED, [at(2000, 1)], true, 200)
       expect(steps.orders).toEqual([])
-      expect(steps.looks.map(endpoint => endpoint.id)).toEqual(['e'])
+      expect(steps.polls.map(endpoint => endpoint.id)).toEqual(['e'])
       plan.observeStatus('e', status(2000, 1, 0), 210)
       expect(plan.next(NAMED, [at(2000, 1)], true, 300).orders).toMatchObject([{ version: 2, expectedOrders: 0, startedAtMs: 2000 }])
     })
@@ -208,7 +208,7 @@
       plan.next(newer, [at(2000, 3)], true, 300)
       plan.observeStatus('e', status(2000, 3, 0), 310)
       expect(plan.isWatching(5000)).toBe(true)
-      expect(plan.next(newer, [at(2000, 3)], true, 5000).looks.map(endpoint => endpoint.id)).toEqual(['e'])
+      expect(plan.next(newer, [at(2000, 3)], true, 5000).polls.map(endpoint => endpoint.id)).toEqual(['e'])
       // The late order finds the count that it expects.
       plan.observeStatus('e', status(2000, 2, 1), 5010)
       expect(plan.versionOf(at(2000, 3), MODEL)).toBe(2)
--- a/apps/control/src/lib/rollout/RolloutPlan.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.ts
@@ -40,42 +40,42 @@
  * Share of a fleet that loads at once. The users' sheets say that loads slow
  * down beyond 2 of 8, 3 of 13, 18 of 63 and 28 of 98 engines at once: 2/7 of each.
  */
-const LOADING_SHARE = 2 / 7
+const CONCURRENT_LOAD_SHARE = 2 / 7
 
 /** Time between the announcement that an engine will be busy and the order itself, in milliseconds: hosts hear of it first. */
-const ANNOUNCE_MS = 60
+const ANNOUNCEMENT_LEAD_MS = 60
 
 /** Interval between looks at an engine that loads or is to load, in milliseconds; reports lag by 100 to 200. */
-const LOOK_MS = 150
+const POLL_INTERVAL_MS = 150
 
 /** Time after which an accepted order without an effect counts as lost, in milliseconds. */
-const EFFECT_MS = 3000
+const ORDER_EFFECT_TIMEOUT_MS = 3000
 
 /**
  * Time within which an order without an answer may still be carried out, in
  * milliseconds, as the platform states it. An engine that starts again in it counts
  * from 0, so the late order may meet the count that it expects.
  */
-const LATE_ORDER_MS = 12_000
+const LATE_ORDER_WINDOW_MS = 12_000
 
 /** Interval between looks at an engine that a late order may reach, in milliseconds: looks are priced. */
-const WATCH_LOOK_MS = 1000
+const WATCH_POLL_INTERVAL_MS = 1000
 
 /** Interval between looks at an engine that did not answer the last one, in milliseconds: the list names engines that are gone for seconds. */
-const SILENT_LOOK_MS = 500
+const SILENT_POLL_INTERVAL_MS = 500
 
 /** Of one incarnation. */
 interface EngineProgress {
   readonly startedAtMs: number | undefined
   status: EngineStatus | undefined
-  lookedAt: number
+  polledAt: number
   announcedAt: number | undefined
   orderedAt: number
   wasAccepted: boolean
   /** Whether the last look brought no answer; such an engine keeps no other from being ordered. */
   isSilent: boolean
   /** Until when an order without an answer may be carried out. */
-  lateUntil: number
+  lateOrderUntil: number
   /** Until when an order to a former incarnation may reach this one; its status then goes before the list. */
   watchedUntil: number | undefined
 }
@@ -83,7 +83,7 @@
 /** Next steps of a rollout. */
 export interface RolloutSteps {
   /** Engines to ask for their status. */
-  readonly looks: ListedEndpoint[]
+  readonly polls: ListedEndpoint[]
   readonly orders: LoadOrder[]
 }
 
@@ -103,10 +103,10 @@
    */
   observeStatus (id: string, status: EngineStatus, now: number): void {
     const progress = this.#progressOf(id, status.startedAtMs)
-    if (isFormer(status.startedAtMs, progress)) return
+    if (isFromEarlierStart(status.startedAtMs, progress)) return
     progress.status = status
     progress.isSilent = false
-    progress.lookedAt = now
+    progress.polledAt = now
   }
 
   /**
@@ -115,9 +115,9 @@
    * @param id - endpoint
    * @param startedAtMs - start under which it was listed
    */
-  observeSilence (id: string, startedAtMs: number | undefined): void {
+  observeNoAnswer (id: string, startedAtMs: number | undefined): void {
     const progress = this.#progressOf(id, startedAtMs)
-    if (!isFormer(startedAtMs, progress)) progress.isSilent = true
+    if (!isFromEarlierStart(startedAtMs, progress)) progress.isSilent = true
   }
 
   /**
@@ -127,16 +127,16 @@
    */
   observeOrder (order: LoadOrder, outcome: OrderOutcome, now: number): void {
     const progress = this.#progressOf(order.endpoint.id, order.startedAtMs)
-    const lateUntil = outcome === 'unanswered' ? now + LATE_ORDER_MS : Number.NEGATIVE_INFINITY
+    const lateOrderUntil = outcome === 'unanswered' ? now + LATE_ORDER_WINDOW_MS : Number.NEGATIVE_INFINITY
     if (progress.startedAtMs !== order.startedAtMs) {
-      if (outcome === 'unanswered') progress.watchedUntil = Math.max(lateUntil, progress.watchedUntil ?? lateUntil)
+      if (outcome === 'unanswered') progress.watchedUntil = Math.max(lateOrderUntil, progress.watchedUntil ?? lateOrderUntil)
       return
     }
-    progress.lateUntil = Math.max(progress.lateUntil, lateUntil)
+    progress.lateOrderUntil = Math.max(progress.lateOrderUntil, lateOrderUntil)
     progress.wasAccepted = outcome === 'accepted'
     progress.announcedAt = undefined
     // Look again before the next step: the answer may have been lost, or another order may be in progress.
-    progress.lookedAt = outcome === 'accepted' ? now : Number.NEGATIVE_INFINITY
+    progress.polledAt = outcome === 'accepted' ? now : Number.NEGATIVE_INFINITY
   }
 
   /**
@@ -148,7 +148,7 @@
    * @param now - monotonic milliseconds
    */
   next (weights: readonly NamedWeights[], endpoints: readonly ListedEndpoint[], mayOrder: boolean, now: number): RolloutSteps {
-    const looks: ListedEndpoint[] = []
+    const polls: ListedEndpoint[] = []
     const orders: LoadOrder[] = []
     for (const { id, startedAtMs } of endpoints) {
       if (this.#engines.has(id)) this.#progressOf(id, startedAtMs)
@@ -158,16 +158,16 @@
       const fleet = endpoints.filter(endpoint => endpoint.models.some(held => held.model === model) && !endpoint.isLeaving)
       const observed = fleet.map(endpoint => this.#observed(endpoint, model, now))
       const target: LoadTarget = { name: model, version: String(version), servingFloor: 0 }
-      const permits = Math.max(1, Math.floor(fleet.length * LOADING_SHARE))
+      const permits = Math.max(1, Math.floor(fleet.length * CONCURRENT_LOAD_SHARE))
       const planned = planLoads(new Map([[model, target]]), observed, permits).map(({ engine }) => engine.endpoint.listed)
-      for (const endpoint of fleet) this.#lookIfDue(endpoint, model, version, planned, now, looks)
+      for (const endpoint of fleet) this.#pollIfDue(endpoint, model, version, planned, now, polls)
       if (!mayOrder) continue
       for (const endpoint of planned) {
         const order = this.#orderIfAnnounced(endpoint, model, version, now)
         if (order !== undefined) orders.push(order)
       }
     }
-    return { looks, orders }
+    return { polls, orders }
   }
 
   /**
@@ -180,8 +180,8 @@
     const progress = this.#engines.get(endpoint.id)
     const stated = progress?.status?.versions.get(model)
     if (progress === undefined || stated === undefined || isLaterStart(endpoint.startedAtMs, progress.startedAtMs)) return listed
-    const isListFormer = isFormer(endpoint.startedAtMs, progress)
-    return isListFormer || progress.watchedUntil !== undefined ? stated : Math.max(listed, stated)
+    const isListOutdated = isFromEarlierStart(endpoint.startedAtMs, progress)
+    return isListOutdated || progress.watchedUntil !== undefined ? stated : Math.max(listed, stated)
   }
 
   /**
@@ -214,13 +214,13 @@
     }
   }
 
-  #lookIfDue (endpoint: ListedEndpoint, model: string, version: number, planned: readonly ListedEndpoint[], now: number, looks: ListedEndpoint[]): void {
+  #pollIfDue (endpoint: ListedEndpoint, model: string, version: number, planned: readonly ListedEndpoint[], now: number, polls: ListedEndpoint[]): void {
     const isDone = this.versionOf(endpoint, model) >= version
     const progress = this.#engines.get(endpoint.id)
-    const sinceLook = now - (progress?.lookedAt ?? Number.NEGATIVE_INFINITY)
-    if (isDone && progress?.watchedUntil !== undefined && sinceLook >= WATCH_LOOK_MS) {
-      progress.lookedAt = now
-      looks.push(endpoint)
+    const sincePoll = now - (progress?.polledAt ?? Number.NEGATIVE_INFINITY)
+    if (isDone && progress?.watchedUntil !== undefined && sincePoll >= WATCH_POLL_INTERVAL_MS) {
+      progress.polledAt = now
+      polls.push(endpoint)
     }
     if (isDone && progress?.status?.isBusy !== true) {
       // Complete: whatever was pending has had its effect. The version stays known, because the list lags.
@@ -232,40 +232,40 @@
     }
     const isSilent = progress?.isSilent === true
     const isInvolved = isSilent || planned.includes(endpoint) || this.isBusy(endpoint.id, now)
-    if (isInvolved && sinceLook >= (isSilent ? SILENT_LOOK_MS : LOOK_MS)) {
-      this.#progressOf(endpoint.id, endpoint.startedAtMs).lookedAt = now
-      looks.push(endpoint)
+    if (isInvolved && sincePoll >= (isSilent ? SILENT_POLL_INTERVAL_MS : POLL_INTERVAL_MS)) {
+      this.#progressOf(endpoint.id, endpoint.startedAtMs).polledAt = now
+      polls.push(endpoint)
     }
   }
 
   #orderIfAnnounced (endpoint: ListedEndpoint, model: string, version: number, now: number): LoadOrder | undefined {
     const progress = this.#progressOf(endpoint.id, endpoint.startedAtMs)
     progress.announcedAt ??= now
-    if (progress.status === undefined || now - progress.announcedAt < ANNOUNCE_MS) return undefined
+    if (progress.status === undefined || now - progress.announcedAt < ANNOUNCEMENT_LEAD_MS) return undefined
     progress.orderedAt = now
     progress.wasAccepted = true
     return { endpoint, startedAtMs: progress.startedAtMs, model, version, expectedOrders: progress.status.acceptedOrders }
   }
 
   #isPending (progress: EngineProgress, now: number): boolean {
-    return progress.wasAccepted && now - progress.orderedAt < EFFECT_MS
+    return progress.wasAccepted && now - progress.orderedAt < ORDER_EFFECT_TIMEOUT_MS
   }
 
   /** Progress of the latest incarnation known; a later start than that begins anew. */
   #progressOf (id: string, startedAtMs: number | undefined): EngineProgress {
     const present = this.#engines.get(id)
     if (present !== undefined && !isLaterStart(startedAtMs, present.startedAtMs)) return present
-    const mayBeLate = present !== undefined && (present.lateUntil > Number.NEGATIVE_INFINITY || present.watchedUntil !== undefined)
+    const mayHaveLateOrder = present !== undefined && (present.lateOrderUntil > Number.NEGATIVE_INFINITY || present.watchedUntil !== undefined)
     const fresh: EngineProgress = {
       startedAtMs,
       status: undefined,
-      lookedAt: Number.NEGATIVE_INFINITY,
+      polledAt: Number.NEGATIVE_INFINITY,
       announcedAt: undefined,
       orderedAt: Number.NEGATIVE_INFINITY,
       wasAccepted: false,
       isSilent: false,
-      lateUntil: Number.NEGATIVE_INFINITY,
-      watchedUntil: mayBeLate ? Math.max(present.lateUntil, present.watchedUntil ?? present.lateUntil) : undefined
+      lateOrderUntil: Number.NEGATIVE_INFINITY,
+      watchedUntil: mayHaveLateOrder ? Math.max(present.lateOrderUntil, present.watchedUntil ?? present.lateOrderUntil) : undefined
     }
     this.#engines.set(id, fresh)
     return fresh
@@ -279,6 +279,6 @@
 }
 
 /** Whether a statement is of an earlier start than the one that is known. */
-function isFormer (startedAtMs: number | undefined, progress: EngineProgress): boolean {
+function isFromEarlierStart (startedAtMs: number | undefined, progress: EngineProgress): boolean {
   return startedAtMs !== undefined && isLaterStart(progress.startedAtMs, startedAtMs)
 }
--- a/apps/control/src/lib/rollout/RolloutTask.test.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.test.ts
@@ -58,58 +58,58 @@
     vi.useRealTimers()
   })
 
-  const pass = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
+  const advance = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
 
   it('orders at once where nobody has given orders before', async () => {
-    await pass(500)
+    await advance(500)
     expect(orders).not.toEqual([])
   })
 
   it('waits out the last order of the host before it', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
   it('waits also for a host whose claim it has not applied yet when it is elected', async () => {
     replica.whileConfirming = () => { replica.state.sites.orderHolder ??= PREDECESSOR }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
   it('goes on waiting when it is elected anew in between', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
-    await pass(500)
+    await advance(500)
     replica.core.role = 'follower'
-    await pass(100)
+    await advance(100)
     replica.core.role = 'leader'
     replica.core.term = 3
-    await pass(ORDER_LEASE_MS - 600)
+    await advance(ORDER_LEASE_MS - 600)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
   it('waits for a host that led and took the right over between two looks', async () => {
-    await pass(5000)
+    await advance(5000)
     expect(orders).toHaveLength(2)
     replica.core.term = 4
     replica.state.sites.orderHolder = { replicaId: 'other', term: 3 }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toHaveLength(2)
-    await pass(1000)
+    await advance(1000)
     expect(orders).toHaveLength(3)
   })
 
   it('waits also for what its own process ordered before a restart', async () => {
     replica.state.sites.orderHolder = { replicaId: 'self', term: 1 }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
@@ -118,7 +118,7 @@
       replica.core.term = 4
       replica.state.sites.orderHolder = { replicaId: 'other', term: 3 }
     }
-    await pass(500)
+    await advance(500)
     expect(orders).toEqual([])
   })
 })
--- a/apps/control/src/lib/rollout/RolloutTask.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.ts
@@ -11,7 +11,7 @@
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { EndpointListTask, EndpointOverlay } from '../endpoints/EndpointListTask.js'
-import { LeadershipClock, type Leadership } from '../raft/LeadershipClock.js'
+import { LeadershipTracker, type Leadership } from '../raft/LeadershipTracker.js'
 import type { RaftTask } from '../raft/RaftTask.js'
 import { RolloutPlan, type EngineStatus, type LoadOrder, type OrderOutcome } from './RolloutPlan.js'
 
@@ -31,7 +31,7 @@
 }
 
 /** Interval between turns, in milliseconds. */
-const TURN_MS = 50
+const RECONCILE_INTERVAL_MS = 50
 
 /** Added to the time for which another host's orders may count, in milliseconds: its last order may still be on its way. */
 const HANDOVER_MARGIN_MS = 300
@@ -39,18 +39,18 @@
 /** Reconciles engines with the named weights. */
 export class RolloutTask {
   readonly #plan = new RolloutPlan()
-  readonly #leadership = new LeadershipClock()
+  readonly #leadership = new LeadershipTracker()
   #isLeading = false
   /** Until when another host's last order may count; kept over elections, because that host's order does not know of them. */
-  #waitsOutUntil: number | undefined
+  #handoverWaitUntil: number | undefined
   /** Whether this process has claimed the right; an earlier one of this host may have waited for somebody, too. */
   #hasClaimed = false
-  #isWatching = false
+  #isWatchingList = false
   #timer: NodeJS.Timeout | undefined
-  #isBusy = false
+  #isReconciling = false
   #wasActive = false
   /** Engines whose status is on its way. */
-  readonly #asked = new Set<string>()
+  readonly #pendingPolls = new Set<string>()
 
   /**
    * @param raft - log and state
@@ -71,7 +71,7 @@
 
   /** Starts to look after the engines. */
   start (): void {
-    this.#timer = setInterval(() => { void this.#turn() }, TURN_MS)
+    this.#timer = setInterval(() => { void this.#reconcile() }, RECONCILE_INTERVAL_MS)
   }
 
   /** Stops. */
@@ -79,19 +79,19 @@
     clearInterval(this.#timer)
   }
 
-  async #turn (): Promise<void> {
-    if (this.#isBusy) return
-    this.#isBusy = true
+  async #reconcile (): Promise<void> {
+    if (this.#isReconciling) return
+    this.#isReconciling = true
     try {
-      const leadership = this.#leadership.look(this.raft.core, performance.now())
+      const leadership = this.#leadership.observe(this.raft.core, performance.now())
       if (leadership !== undefined) await this.#lead(leadership)
-      else this.#standBack()
+      else this.#stopLeading()
     } finally {
-      this.#isBusy = false
+      this.#isReconciling = false
     }
   }
 
-  #standBack (): void {
+  #stopLeading (): void {
     if (!this.#isLeading) return
     this.#isLeading = false
     this.#wasActive = false
@@ -109,12 +109,12 @@
     const isDue = this.#isRolloutDue()
     this.#wasActive = isDue || this.#plan.isWatching(performance.now())
     if (!this.#wasActive && !wasActive) return
-    const mayOrder = isDue && await this.#holdsOrders(since)
+    const mayOrder = isDue && await this.#holdsOrderRight(since)
     const steps = this.#plan.next(weights, this.list.endpointsOfSite, mayOrder, performance.now())
-    this.#publish()
+    this.#publishOverlays()
     // Nobody waits for these: one engine without an answer must not hold up the others.
-    for (const endpoint of steps.looks) void this.#look(endpoint)
-    void this.#give(steps.orders)
+    for (const endpoint of steps.polls) void this.#poll(endpoint)
+    void this.#sendOrders(steps.orders)
   }
 
   #isRolloutDue (): boolean {
@@ -123,15 +123,15 @@
   }
 
   /** Claims the right to give orders; true once it is held and nobody else's order may count any more. */
-  async #holdsOrders (leaderSince: number): Promise<boolean> {
+  async #holdsOrderRight (leaderSince: number): Promise<boolean> {
     const { core, state } = this.raft
-    if (this.#isHolder()) return this.#waitsOutUntil === undefined || performance.now() >= this.#waitsOutUntil
+    if (this.#isHolder()) return this.#handoverWaitUntil === undefined || performance.now() >= this.#handoverWaitUntil
     // A new leader may not have applied its predecessor's claim yet.
     if (!await this.raft.confirmRead()) return false
     const present = state.sites.orderHolder
     const isOwn = present?.replicaId === core.self.id && this.#hasClaimed
     const isTakenOver = present !== undefined && !isOwn
-    if (isTakenOver) this.#waitsOutUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
+    if (isTakenOver) this.#handoverWaitUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
     this.#hasClaimed = true
     const outcome = await this.raft.propose({ kind: 'claim-orders', holder: { replicaId: core.self.id, term: core.term } })
     this.telemetry.stateChanged('order-right-claimed', {
@@ -146,14 +146,14 @@
     return orderHolder?.replicaId === core.self.id && orderHolder.term === core.term
   }
 
-  async #look (endpoint: ListedEndpoint): Promise<void> {
-    if (this.#asked.has(endpoint.id)) return
-    this.#asked.add(endpoint.id)
+  async #poll (endpoint: ListedEndpoint): Promise<void> {
+    if (this.#pendingPolls.has(endpoint.id)) return
+    this.#pendingPolls.add(endpoint.id)
     const status = await this.backend.status(endpoint)
-    this.#asked.delete(endpoint.id)
+    this.#pendingPolls.delete(endpoint.id)
     if (!this.#isLeading) return
     if (!status.ok) {
-      this.#plan.observeSilence(endpoint.id, endpoint.startedAtMs)
+      this.#plan.observeNoAnswer(endpoint.id, endpoint.startedAtMs)
       return
     }
     this.#plan.observeStatus(endpoint.id, status.value, performance.now())
@@ -161,7 +161,7 @@
     this.list.observeStart(endpoint.id, this.#overlayOf({ ...endpoint, startedAtMs }))
   }
 
-  async #give (orders: readonly LoadOrder[]): Promise<void> {
+  async #sendOrders (orders: readonly LoadOrder[]): Promise<void> {
     if (orders.length === 0) return
     // A lease would not do: this host may have been suspended since it was confirmed.
     // While the quorum was asked, another host may have taken the right over.
@@ -178,7 +178,7 @@
     }))
   }
 
-  #publish (): void {
+  #publishOverlays (): void {
     this.list.setOverlays(new Map(this.list.endpointsOfSite.map(endpoint => [endpoint.id, this.#overlayOf(endpoint)])))
   }
 
@@ -188,8 +188,8 @@
   }
 
   #watchList (isWanted: boolean): void {
-    if (isWanted === this.#isWatching) return
-    this.#isWatching = isWanted
+    if (isWanted === this.#isWatchingList) return
+    this.#isWatchingList = isWanted
     if (isWanted) this.list.addWatcher()
     else this.list.removeWatcher()
   }
--- a/apps/control/src/lib/rollout/rolloutEngines.test.ts
+++ b/apps/control/src/lib/rollout/rolloutEngines.test.ts
@@ -26,7 +26,7 @@
 
 /** Engines that started at 2000, while the list says 1000. */
 class RestartedEngines implements RolloutBackend {
-  readonly asked = new Set<string>()
+  readonly polled = new Set<string>()
   readonly ordered: Promise<LoadOrder>
   #resolve: (order: LoadOrder) => void = () => {}
 
@@ -35,7 +35,7 @@
   }
 
   async status ({ id }: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>> {
-    this.asked.add(id)
+    this.polled.add(id)
     return succeed({ startedAtMs: 2000, versions: new Map([['m', 1]]), isBusy: false, acceptedOrders: 3 })
   }
 
@@ -83,15 +83,15 @@
 
   it('tells the list of a start that an engine states, and orders only engines of the site', async () => {
     const telemetry = new Telemetry('test')
-    const reading: EndpointListing = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
-    const list = new EndpointListTask({ list: async () => succeed(reading) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
+    const listing: EndpointListing = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
+    const list = new EndpointListTask({ list: async () => succeed(listing) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
     const engines = new RestartedEngines()
     const task = new RolloutTask(RAFT, list, engines, 'host', 3000, telemetry)
     task.start()
     const order = await engines.ordered
     task.stop()
     list.stop()
-    expect([...engines.asked]).toEqual(['a'])
+    expect([...engines.polled]).toEqual(['a'])
     expect(order).toMatchObject({ endpoint: { id: 'a' }, startedAtMs: 2000, expectedOrders: 3 })
     expect(list.endpoints).toMatchObject([{ id: 'b', startedAtMs: 1000 }, { id: 'a', startedAtMs: 2000, models: [{ version: 1 }] }])
   })
--- a/apps/control/src/lib/site/SiteService.test.ts
+++ b/apps/control/src/lib/site/SiteService.test.ts
@@ -6,16 +6,16 @@
 import { SiteService } from './SiteService.js'
 
 /** A leader whose proposals are applied at once, after what others have proposed in between. */
-class Leader {
+class FakeLeader {
   readonly state = new StateMachine()
   readonly proposed: Command[] = []
   /** Applied before each proposal. */
-  before: () => void = () => {}
+  beforePropose: () => void = () => {}
   outcome: ProposeOutcome | undefined
 
   async propose (command: Command): Promise<ProposeOutcome> {
     this.proposed.push(command)
-    this.before()
+    this.beforePropose()
     return await Promise.resolve(this.outcome ?? { kind: 'applied', result: this.apply(command) })
   }
 
@@ -24,54 +24,54 @@
   }
 
   /** An order of another operator that knows all others. */
-  orderElsewhere (dataCentre: string, isEvacuated: boolean): void {
+  applyOtherOrder (dataCentre: string, isEvacuated: boolean): void {
     this.apply({ kind: 'order-evacuation', dataCentre, isEvacuated, knownRevision: this.state.evacuations.revision })
   }
 }
 
 describe('SiteService', () => {
   describe('orders of evacuations', () => {
-    const stays = (): boolean => false
-    const serve = (): { leader: Leader, service: SiteService } => {
-      const leader = new Leader()
+    const isStillWaiting = (): boolean => false
+    const createService = (): { leader: FakeLeader, service: SiteService } => {
+      const leader = new FakeLeader()
       return { leader, service: new SiteService(leader as unknown as RaftTask, {} as RpcClient) }
     }
 
     it('are acknowledged once they are applied, also when they come again', async () => {
-      const { leader, service } = serve()
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
+      const { leader, service } = createService()
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
     it('are proposed anew if another came in between and the caller still waits', async () => {
-      const { leader, service } = serve()
-      leader.before = () => {
-        leader.before = () => {}
-        leader.orderElsewhere('north', false)
+      const { leader, service } = createService()
+      leader.beforePropose = () => {
+        leader.beforePropose = () => {}
+        leader.applyOtherOrder('north', false)
       }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(leader.proposed).toHaveLength(2)
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
     it('change nothing once their caller has left', async () => {
-      const { leader, service } = serve()
+      const { leader, service } = createService()
       expect(await service.orderEvacuation('north', true, () => true)).toEqual({ kind: 'overtaken' })
       expect(leader.proposed).toEqual([])
     })
 
     it('are given up when others keep coming in between', async () => {
-      const { leader, service } = serve()
-      leader.before = () => { leader.orderElsewhere('north', false) }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'overtaken' })
+      const { leader, service } = createService()
+      leader.beforePropose = () => { leader.applyOtherOrder('north', false) }
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'overtaken' })
       expect(leader.state.evacuations.evacuated).toEqual([])
     })
 
     it('are not acknowledged while nobody takes them', async () => {
-      const { leader, service } = serve()
+      const { leader, service } = createService()
       leader.outcome = { kind: 'uncertain' }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'unavailable' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'unavailable' })
     })
   })
 })
--- a/apps/control/src/lib/site/SiteService.ts
+++ b/apps/control/src/lib/site/SiteService.ts
@@ -22,10 +22,10 @@
   | { readonly kind: 'unavailable' }
 
 /** Times that an order is proposed anew after others about the same data centre came in between. */
-const MOST_PROPOSALS = 3
+const MAX_PROPOSALS = 3
 
 /** Deadline of a call to the leader, in milliseconds; operators turn to another host after a second. */
-const LEADER_CALL_MS = 900
+const LEADER_CALL_TIMEOUT_MS = 900
 
 /** Carries operators' calls to the leader, wherever they arrive. */
 export class SiteService {
@@ -60,11 +60,11 @@
    *
    * @param dataCentre - checked name
    * @param isEvacuated - false to end the evacuation
-   * @param hasLeft - whether the caller has left: it sends the order again, or has sent a newer one since
+   * @param hasCallerLeft - whether the caller has left: it sends the order again, or has sent a newer one since
    */
-  async orderEvacuation (dataCentre: string, isEvacuated: boolean, hasLeft: () => boolean): Promise<EvacuationOutcome> {
+  async orderEvacuation (dataCentre: string, isEvacuated: boolean, hasCallerLeft: () => boolean): Promise<EvacuationOutcome> {
     let knownRevision = this.raft.state.evacuations.revision
-    for (let proposals = 0; proposals < MOST_PROPOSALS && !hasLeft(); proposals += 1) {
+    for (let proposals = 0; proposals < MAX_PROPOSALS && !hasCallerLeft(); proposals += 1) {
       const outcome = await this.#propose({ kind: 'order-evacuation', dataCentre, isEvacuated, knownRevision })
       if (outcome.kind !== 'applied') return outcome
       const { result } = outcome
@@ -79,7 +79,7 @@
   async readSite (): Promise<ReadSiteResponse> {
     const own = await this.readAsLeader()
     if (own.kind !== 'unconfirmed' || own.leader === '') return own
-    const answer = await this.rpc.call(own.leader, readSite, {}, LEADER_CALL_MS)
+    const answer = await this.rpc.call(own.leader, readSite, {}, LEADER_CALL_TIMEOUT_MS)
     return answer.ok ? answer.value : { kind: 'unconfirmed', leader: '' }
   }
 
@@ -95,7 +95,7 @@
   async #propose (command: Command): Promise<CommandOutcome> {
     const own = await this.raft.propose(command)
     if (own.kind !== 'not-leader' || own.leader === '') return toOutcome(own)
-    const answer = await this.rpc.call(own.leader, propose, { command }, LEADER_CALL_MS)
+    const answer = await this.rpc.call(own.leader, propose, { command }, LEADER_CALL_TIMEOUT_MS)
     return answer.ok ? toOutcome(answer.value) : { kind: 'unavailable' }
   }
 }
--- a/apps/control/src/lib/stores/StoreFollower.ts
+++ b/apps/control/src/lib/stores/StoreFollower.ts
@@ -54,13 +54,13 @@
 }
 
 /** How long a call for events waits for one, in milliseconds; the platform prices shorter ones. */
-const WAIT_MS = 1000
+const EVENT_WAIT_MS = 1000
 
 /** Pause after a call that failed, in milliseconds. */
-const RETRY_MS = 250
+const RETRY_DELAY_MS = 250
 
 /** Interval between whole lists, in milliseconds: one event in a hundred never comes. */
-const LISTING_MS = 10_000
+const LISTING_INTERVAL_MS = 10_000
 
 /** Follows one store until stopped. */
 export class StoreFollower {
@@ -70,7 +70,7 @@
   #epoch: number | undefined
   #next = 0
   #listedAt = Number.NEGATIVE_INFINITY
-  #isAnswering = false
+  #isAvailable = false
   #isStopped = false
 
   /**
@@ -91,7 +91,7 @@
   ) {}
 
   /** Whether the store answers, so that its parts may be used. */
-  get isAnswering (): boolean { return this.#isAnswering }
+  get isAvailable (): boolean { return this.#isAvailable }
   get epoch (): number | undefined { return this.#epoch }
   get parts (): readonly StoredPart[] { return [...this.#parts.values()] }
   /** Incomplete parts as last listed. */
@@ -100,9 +100,9 @@
   /** Runs until {@link StoreFollower.stop}. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      const isListingDue = performance.now() - this.#listedAt > LISTING_MS
-      const isFine = isListingDue ? await this.#list() : await this.#follow()
-      if (!isFine) await sleep(RETRY_MS)
+      const isListingDue = performance.now() - this.#listedAt > LISTING_INTERVAL_MS
+      const hasSucceeded = isListingDue ? await this.#refreshListing() : await this.#pollEvents()
+      if (!hasSucceeded) await sleep(RETRY_DELAY_MS)
     }
   }
 
@@ -112,48 +112,48 @@
   }
 
   /** @param parts - parts that were freed, before their events come */
-  forget (parts: readonly StoredPart[]): void {
-    for (const part of parts) this.#parts.delete(keyOf(part))
+  removeFreed (parts: readonly StoredPart[]): void {
+    for (const part of parts) this.#parts.delete(partKey(part))
     this.#emit({ kind: 'delta', added: [], removed: [...parts] })
   }
 
-  async #follow (): Promise<boolean> {
-    const answer = await this.source.events(this.store, this.#next, WAIT_MS)
-    if (!answer.ok) return this.#lose(answer.error.kind)
+  async #pollEvents (): Promise<boolean> {
+    const answer = await this.source.events(this.store, this.#next, EVENT_WAIT_MS)
+    if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, hasGap, events, clockMs, rejected } = answer.value
     this.rejected.note(this.store.name, rejected, performance.now())
-    if (this.#isFormer(startedAtMs)) return false
+    if (this.#isFromEarlierStart(startedAtMs)) return false
     if (clockMs !== undefined) this.onClock(clockMs)
     if (epoch !== this.#epoch || hasGap || isLaterStart(startedAtMs, this.#startedAtMs)) {
       this.#listedAt = Number.NEGATIVE_INFINITY
       return true
     }
     this.#next = next
-    if (events.length > 0) this.#take(events)
+    if (events.length > 0) this.#applyEvents(events)
     return true
   }
 
-  #take (events: StoreEvents['events']): void {
+  #applyEvents (events: StoreEvents['events']): void {
     const added = new Map<string, StoredPart>()
     const removed = new Map<string, StoredPart>()
     for (const { kind, part } of events) {
-      const key = keyOf(part)
-      const [into, outOf] = kind === 'stored' ? [added, removed] : [removed, added]
-      into.set(key, part)
-      outOf.delete(key)
+      const key = partKey(part)
+      const [target, opposite] = kind === 'stored' ? [added, removed] : [removed, added]
+      target.set(key, part)
+      opposite.delete(key)
       if (kind === 'stored') this.#parts.set(key, part)
       else this.#parts.delete(key)
     }
     this.#emit({ kind: 'delta', added: [...added.values()], removed: [...removed.values()] })
   }
 
-  async #list (): Promise<boolean> {
+  async #refreshListing (): Promise<boolean> {
     const answer = await this.source.listing(this.store)
-    if (!answer.ok) return this.#lose(answer.error.kind)
+    if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, parts, partial, rejected } = answer.value
     this.rejected.note(this.store.name, rejected, performance.now())
-    if (this.#isFormer(startedAtMs)) return false
-    const isNew = !this.#isAnswering || epoch !== this.#epoch || isLaterStart(startedAtMs, this.#startedAtMs)
+    if (this.#isFromEarlierStart(startedAtMs)) return false
+    const isNew = !this.#isAvailable || epoch !== this.#epoch || isLaterStart(startedAtMs, this.#startedAtMs)
     if (isNew) {
       this.telemetry.stateChanged('store-followed', { store: this.store.name, epoch, parts: parts.length, partial: partial.length })
     }
@@ -161,9 +161,9 @@
     this.#epoch = epoch
     this.#next = next
     this.#partial = partial
-    this.#isAnswering = true
+    this.#isAvailable = true
     this.#listedAt = performance.now()
-    const listed = new Map(parts.map(part => [keyOf(part), part]))
+    const listed = new Map(parts.map(part => [partKey(part), part]))
     if (isNew) this.#emit({ kind: 'whole', added: [...parts], removed: [] })
     else this.#emitDifference(listed)
     this.#parts = listed
@@ -171,7 +171,7 @@
   }
 
   /** An answer of the process before the last restart says nothing of what the store holds now. */
-  #isFormer (startedAtMs: number | undefined): boolean {
+  #isFromEarlierStart (startedAtMs: number | undefined): boolean {
     return startedAtMs !== undefined && isLaterStart(this.#startedAtMs, startedAtMs)
   }
 
@@ -181,10 +181,10 @@
     if (added.length + removed.length > 0) this.#emit({ kind: 'delta', added, removed })
   }
 
-  #lose (reason: string): false {
+  #markLost (reason: string): false {
     this.#listedAt = Number.NEGATIVE_INFINITY
-    if (!this.#isAnswering) return false
-    this.#isAnswering = false
+    if (!this.#isAvailable) return false
+    this.#isAvailable = false
     this.#parts.clear()
     this.telemetry.stateChanged('store-lost', { store: this.store.name, reason })
     this.#emit({ kind: 'lost', added: [], removed: [] })
@@ -196,6 +196,6 @@
   }
 }
 
-function keyOf ([scope, id]: StoredPart): string {
+function partKey ([scope, id]: StoredPart): string {
   return `${scope}/${id}`
 }
--- a/apps/control/src/lib/stores/StoreTask.test.ts
+++ b/apps/control/src/lib/stores/StoreTask.test.ts
@@ -30,7 +30,7 @@
     task.siteChanged()
     expect(listings).toBe(1)
     await new Promise(resolve => setImmediate(resolve))
-    expect(task.take(watcher).changes).toEqual([{ store: 's', kind: 'whole', added: [['v1', 'p']], removed: [] }])
+    expect(task.takePending(watcher).changes).toEqual([{ store: 's', kind: 'whole', added: [['v1', 'p']], removed: [] }])
     task.removeWatcher(watcher)
     task.siteChanged()
     expect(listings).toBe(1)
--- a/apps/control/src/lib/stores/StoreTask.ts
+++ b/apps/control/src/lib/stores/StoreTask.ts
@@ -9,24 +9,24 @@
 import type { RejectedEntries } from '@eelgrassmux/telemetry/RejectedEntries'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { RaftTask } from '../raft/RaftTask.js'
-import { findDeadParts } from './findDeadParts.js'
+import { findObsoleteParts } from './findObsoleteParts.js'
 import { StoreFollower, type StoreSource } from './StoreFollower.js'
 
 /** Interval between looks at the site and for parts to free, in milliseconds. */
-const LOOK_MS = 1000
+const CHECK_INTERVAL_MS = 1000
 
 /**
  * Pause in which changes are gathered into one message, in milliseconds. A prompt
  * returns after seconds, and each message wakes each of 195 hosts, which costs it half a
  * millisecond of processor time and the leader as much again.
  */
-const GATHER_MS = 250
+const BATCH_DELAY_MS = 250
 
 /** Time within which a store must act on a call to free, in milliseconds; no other leader can be elected so soon. */
-const FREE_WITHIN_MS = 300
+const FREE_DEADLINE_MS = 300
 
 /** Most parts freed in one call. */
-const FREE_AT_ONCE = 200
+const MAX_FREED_PARTS = 200
 
 /** One watch of all stores. */
 interface Watcher {
@@ -73,8 +73,8 @@
     const watcher: Watcher = { pending: this.#snapshot(), wake }
     this.#watchers.add(watcher)
     if (this.#timer === undefined) {
-      this.#timer = setInterval(() => { this.#look() }, LOOK_MS)
-      this.#look()
+      this.#timer = setInterval(() => { this.#check() }, CHECK_INTERVAL_MS)
+      this.#check()
     }
     return watcher
   }
@@ -90,15 +90,15 @@
    *
    * @param watcher - as given by {@link StoreTask.addWatcher}
    */
-  take (watcher: Watcher): Omit<StoredPartsMessage, 'incarnation'> {
-    const news = { version: this.#version, changes: watcher.pending.splice(0) }
+  takePending (watcher: Watcher): Omit<StoredPartsMessage, 'incarnation'> {
+    const update = { version: this.#version, changes: watcher.pending.splice(0) }
     const { clockMs } = this
-    return clockMs === undefined ? news : { ...news, clockMs }
+    return clockMs === undefined ? update : { ...update, clockMs }
   }
 
   /** Follows the stores of a site as soon as it is known; call after the agreed state has changed. */
   siteChanged (): void {
-    if (this.#timer !== undefined) this.#followSite()
+    if (this.#timer !== undefined) this.#reconcileFollowers()
   }
 
   /** Ends all following. */
@@ -109,12 +109,12 @@
     this.#followers.clear()
   }
 
-  #look (): void {
-    this.#followSite()
-    void this.#freeDeadParts()
+  #check (): void {
+    this.#reconcileFollowers()
+    void this.#freeObsoleteParts()
   }
 
-  #followSite (): void {
+  #reconcileFollowers (): void {
     const stores = (this.raft.state.sites.put?.site.services ?? []).filter(service => service.type === 'store')
     for (const [name, follower] of this.#followers) {
       const present = stores.find(store => store.name === name)
@@ -139,37 +139,37 @@
   #publish (change: StoreChange): void {
     this.#version += 1
     for (const watcher of this.#watchers) {
-      if (watcher.pending.length === 0) setTimeout(watcher.wake, GATHER_MS)
+      if (watcher.pending.length === 0) setTimeout(watcher.wake, BATCH_DELAY_MS)
       watcher.pending.push(change)
     }
   }
 
   #snapshot (): StoreChange[] {
-    return [...this.#followers.values()].filter(follower => follower.isAnswering)
+    return [...this.#followers.values()].filter(follower => follower.isAvailable)
       .map(follower => ({ store: follower.store.name, kind: 'whole' as const, added: [...follower.parts], removed: [] }))
   }
 
   /** On the leader only, and only while a quorum confirms that it is. */
-  async #freeDeadParts (): Promise<void> {
+  async #freeObsoleteParts (): Promise<void> {
     if (this.#isFreeing || this.raft.core.role !== 'leader') return
     this.#isFreeing = true
     try {
-      for (const follower of this.#followers.values()) await this.#freeAt(follower)
+      for (const follower of this.#followers.values()) await this.#freeObsoletePartsOf(follower)
     } finally {
       this.#isFreeing = false
     }
   }
 
-  async #freeAt (follower: StoreFollower): Promise<void> {
+  async #freeObsoletePartsOf (follower: StoreFollower): Promise<void> {
     const { clockMs } = this
-    if (!follower.isAnswering || follower.epoch === undefined || clockMs === undefined) return
-    const dead = findDeadParts(follower.parts, this.endpoints()).slice(0, FREE_AT_ONCE)
-    if (dead.length === 0 || !await this.raft.confirmRead()) return
+    if (!follower.isAvailable || follower.epoch === undefined || clockMs === undefined) return
+    const obsolete = findObsoleteParts(follower.parts, this.endpoints()).slice(0, MAX_FREED_PARTS)
+    if (obsolete.length === 0 || !await this.raft.confirmRead()) return
     // Nobody is told to fetch them any more, whatever becomes of the call.
-    follower.forget(dead)
-    const answer = await this.source.free(follower.store, dead, follower.epoch, clockMs + FREE_WITHIN_MS)
+    follower.removeFreed(obsolete)
+    const answer = await this.source.free(follower.store, obsolete, follower.epoch, clockMs + FREE_DEADLINE_MS)
     this.telemetry.stateChanged('stored-parts-freed', {
-      store: follower.store.name, parts: dead.length, outcome: answer.ok ? 'done' : answer.error.kind
+      store: follower.store.name, parts: obsolete.length, outcome: answer.ok ? 'done' : answer.error.kind
     })
   }
 }
--- a/apps/control/src/lib/stores/findDeadParts.ts
+++ b/apps/control/src/lib/stores/findObsoleteParts.ts
@@ -12,7 +12,7 @@
  * @param endpoints - the list; engines that are on their way out count too
  * @returns parts to free
  */
-export function findDeadParts (parts: readonly StoredPart[], endpoints: readonly ListedEndpoint[]): StoredPart[] {
+export function findObsoleteParts (parts: readonly StoredPart[], endpoints: readonly ListedEndpoint[]): StoredPart[] {
   const versions = endpoints.flatMap(endpoint => endpoint.models.map(held => held.version))
   if (versions.length === 0) return []
   const oldest = Math.min(...versions)
--- a/apps/control/src/lib/stores/stores.test.ts
+++ b/apps/control/src/lib/stores/stores.test.ts
@@ -5,7 +5,7 @@
 import type { StoreChange, StoredPart } from '@eelgrassmux/schema/site/storedParts'
 import { RejectedEntries, rejectEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { findDeadParts } from './findDeadParts.js'
+import { findObsoleteParts } from './findObsoleteParts.js'
 import { StoreFollower, type StoreEvents, type StoreListing, type StoreSource } from './StoreFollower.js'
 
 const STORE: StoreService = { type: 'store', name: 's', address: '10.0.0.1:1', dataCentre: 'n', cacheTokens: 1, linkMbps: 1, firstByteMs: 0, isManaged: true }
@@ -132,14 +132,14 @@
   const parts: StoredPart[] = [['v1', 'a'], ['v2', 'b'], ['v1/ward', 'c'], ['foreign', 'd']]
 
   it('names parts of weights that no engine holds any more', () => {
-    expect(findDeadParts(parts, [engine(2), engine(3)])).toEqual([['v1', 'a'], ['v1/ward', 'c']])
+    expect(findObsoleteParts(parts, [engine(2), engine(3)])).toEqual([['v1', 'a'], ['v1/ward', 'c']])
   })
 
   it('names none while one engine still holds them', () => {
-    expect(findDeadParts(parts, [engine(1), engine(3)])).toEqual([])
+    expect(findObsoleteParts(parts, [engine(1), engine(3)])).toEqual([])
   })
 
   it('names none when no engine is known', () => {
-    expect(findDeadParts(parts, [])).toEqual([])
+    expect(findObsoleteParts(parts, [])).toEqual([])
   })
 })
