--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the control host's tasks together. */
+/** Assembles the tasks of a control host and runs them as a daemon. */
 import { join } from 'node:path'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { z } from 'zod'
@@ -57,37 +57,37 @@
 
 const settingsSchema = z.object(controlSettingsShape)
 
-/** Settings of a control host, checked. */
+/** Validated settings of a control host. */
 export type ControlSettings = z.infer<typeof settingsSchema>
 
-/** What a platform brings beyond the product's own surroundings. */
+/** Platform-specific implementations that a control host is started with. */
 export interface ControlPlatform {
   readonly endpoints: EndpointSource
   readonly engines: RolloutBackend
   readonly stores: StoreSource
   readonly probe: EndpointProbe
-  /** Addresses of control hosts that may know the group, as of now. */
+  /** Returns the current addresses of control hosts that may be members of the group. */
   contacts (): readonly string[]
-  /** Opens what operators call on this platform. */
+  /** Starts the server for operators' calls on this platform. */
   openOperatorApi (sites: SiteService, telemetry: Telemetry): Promise<OperatorApi>
 }
 
-/** What operators call. */
+/** A running server for operators' calls. */
 export interface OperatorApi {
   readonly address: string
   close (): Promise<void>
 }
 
-/** Interval between looks at shard owners, in milliseconds. */
+/** Interval between checks of the shard owners, in milliseconds. */
 const SHARD_PLAN_INTERVAL_MS = 500
 
 /** Interval between sweeps of expired records, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 60_000
 
-/** Start of this process on its monotonic clock, in milliseconds. */
+/** Start time of this process on its monotonic clock, in milliseconds. */
 const PROCESS_START_MS = 0
 
-/** Longest wait for another leader at a planned stop, in milliseconds. */
+/** Maximum wait for a leadership transfer during a graceful shutdown, in milliseconds. */
 const TRANSFER_TIMEOUT_MS = 2000
 
 /** The control host's program. */
@@ -101,10 +101,10 @@
 /**
  * Starts a control host.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @param telemetry - log and metrics
  * @param fail - called when the process must stop
- * @param platform - surroundings other than the product's own
+ * @param platform - platform-specific implementations; without them, no endpoint list, stores or rollouts are served
  */
 export async function startControl (
   settings: ControlSettings, telemetry: Telemetry, fail: (error: unknown) => void, platform?: ControlPlatform
@@ -122,7 +122,7 @@
 
   const addressesById = new Map<string, string>()
   const self: Replica = { id: replicaId, address: '' }
-  // What an earlier process promised a leader, it promised before this one began.
+  // Any promise to a leader that an earlier process of this host made predates the start of this process.
   const core = new RaftCore(self, persisted, raftSettings(settings), Math.random, PROCESS_START_MS)
   const state = new StateMachine({ ...DEFAULT_STATE_SETTINGS, recordWindowMs: settings.recordWindowHours * HOUR_MS })
   const raft = new RaftTask(core, storage, state, {
@@ -212,7 +212,7 @@
       stores?.stop()
       await operators?.close()
       await orders.stop()
-      // A turn under way still answers its callers and peers.
+      // The batch in progress still answers its callers and sends messages to its peers.
       await raft.close()
       server.close()
       rpc.close()
@@ -221,7 +221,7 @@
   }
 }
 
-/** With several addresses to choose from, all hosts agree that the first in order founds the group. */
+/** If several addresses are given to join, the host with the first address in sort order founds the group, so that all hosts choose the same one. */
 function isFounder (settings: ControlSettings, core: RaftCore): boolean {
   if (!settings.bootstrap || core.lastIndex > 0) return false
   return settings.join.length === 0 || [...settings.join].sort()[0] === core.self.address
@@ -236,7 +236,7 @@
   const now = performance.now()
   const { core, state } = raft
   if (!core.canRead(now)) return
-  // After a restart, directories that have not reported yet are not taken for dead.
+  // After a restart, a directory that has not reported yet is not assumed to be down.
   const areReportsComplete = now - startedAt > settings.freshnessMs
   if (!areReportsComplete && state.shards.length > 0) return
   const owners = planShards(state.shards, settings.shards, hosts.liveDirectories(now))
--- a/apps/control/src/lib/ControlServer.ts
+++ b/apps/control/src/lib/ControlServer.ts
@@ -1,4 +1,4 @@
-/** Serves a control host's methods to hosts, operators and other replicas. */
+/** Serves the RPC methods of a control host to hosts, operators and other replicas. */
 import { randomUUID } from 'node:crypto'
 import { EventEmitter, once } from 'node:events'
 import type { Replica } from '@eelgrassmux/consensus/messages/raftMessages'
@@ -18,28 +18,28 @@
 import type { SiteService } from './site/SiteService.js'
 import { quarantineMessage } from './quarantine/quarantineMessage.js'
 
-/** The parts of a control host that serve sites. */
+/** Services of a control host that depend on the site. */
 export interface SiteServices {
   readonly service: SiteService
-  /** Absent where the platform has no list of endpoints. */
+  /** Absent if the platform has no list of endpoints. */
   readonly endpoints?: EndpointListTask
-  /** Absent where there are no stores to follow. */
+  /** Absent if the platform has no stores. */
   readonly stores?: StoreTask
 }
 
-/** Answers calls from the replica's present state. */
+/** Answers calls from the current state of the replica. */
 export class ControlServer {
   readonly #changes = new EventEmitter()
   readonly #startedAt = performance.now()
-  /** Names this life of the process to hosts that watch it. */
+  /** Identifies this run of the process, so that watching hosts detect a restart. */
   readonly #incarnation = randomUUID()
 
   /**
-   * @param raft - log and state
-   * @param hosts - hosts that report here
-   * @param orders - reconciliation of engines
-   * @param sites - what this host does for sites
-   * @param onReplicaSeen - told of each replica that sent a message
+   * @param raft - replica with the log and the state
+   * @param hosts - hosts that report to this control host
+   * @param orders - reconciliation of configured engines
+   * @param sites - services that depend on the site
+   * @param onReplicaSeen - called with the sender of each Raft message
    */
   constructor (
     private readonly raft: RaftTask,
@@ -51,12 +51,12 @@
     this.#changes.setMaxListeners(0)
   }
 
-  /** Wakes all watches; call after the state has changed. */
+  /** Wakes all watch streams. Call this after the state has changed. */
   notify (): void {
     this.#changes.emit('change')
   }
 
-  /** @param server - where to register all methods */
+  /** @param server - RPC server on which to register all methods */
   register (server: RpcServer): void {
     server.handle(exchangeRaft, async envelope => {
       this.#receiveRaft(envelope)
@@ -88,7 +88,7 @@
     server.handleStream(watchStoredParts, async (_request, stream) => { await this.#watchStoredParts(stream) })
   }
 
-  /** @param datagrams - where to register what hosts ask again and again */
+  /** @param datagrams - datagram server on which to register the methods that hosts call periodically */
   registerDatagrams (datagrams: DatagramServer): void {
     datagrams.handle(reportStatus, report => this.#respondToReport(report))
     datagrams.handle(tellRaft, envelope => {
@@ -99,7 +99,7 @@
 
   #receiveRaft ({ from, to, message }: RaftEnvelope): void {
     this.onReplicaSeen(from)
-    // A message for another identity at this address is for a replica that has lost its disk.
+    // A message to another id at this address is meant for an earlier replica that has lost its disk.
     if (to === this.raft.core.self.id) this.raft.receive(message)
   }
 
@@ -197,13 +197,13 @@
     return { kind: 'changes', fromViewRevision: known, viewRevision, revision, upserts: [...upserts.values()], removes: effectiveRemoves, shards, weights, ...site, ...evacuation, ...quarantineMessage(state.quarantine, changes.flatMap(change => change.quarantineChanged), Date.now()) }
   }
 
-  /** A document removed and later created again within the same changes is not removed. */
+  /** Drops documents that were removed and created again within the same changes. */
   #withoutRecreated<Name extends { readonly kind: string, readonly name: string }> (removes: readonly Name[]): Name[] {
     return removes.filter(({ kind, name }) => !this.raft.state.hasDocument(kind, name))
   }
 }
 
-/** Resolves at the next change, or when the watch ends. */
+/** Resolves at the next change or when the watch stream is aborted. */
 async function nextChange (changes: EventEmitter, signal: AbortSignal): Promise<void> {
   await new Promise<void>(resolve => {
     function finish (): void {
--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -1,9 +1,9 @@
 /**
- * Reads the platform's list of endpoints for all hosts that watch this control host.
+ * Reads the platform's list of endpoints on behalf of all hosts that watch this control host.
  *
- * Calls to the platform are counted over all hosts together, so entry hosts do
- * not read the list themselves: a control host reads it while somebody watches,
- * and sends on what changed.
+ * The platform counts calls over all hosts together, so entry hosts do not read
+ * the list themselves. A control host reads the list while at least one host
+ * watches it and forwards the changes.
  */
 import { EventEmitter } from 'node:events'
 import type { HeldModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -14,21 +14,21 @@
 import { endpointsOfSite } from './endpointsOfSite.js'
 import { EndpointRegistry, type EndpointListing, type EndpointRestart } from './EndpointRegistry.js'
 
-/** Where the list comes from. */
+/** Reads the endpoint list from the platform. */
 export interface EndpointSource {
-  /** @returns what could be read of the list, or why there was no answer */
+  /** @returns the part of the list that could be read, or the reason why the platform did not answer */
   list (): Promise<Result<EndpointListing, { readonly kind: string }>>
 }
 
-/** What this host knows of an endpoint beyond the list. */
+/** Newer information about an endpoint than the list has. */
 export interface EndpointOverlay {
-  /** Start of the incarnation of which it is known, as in the list. */
+  /** Start time of the incarnation that the information applies to, as in the list. */
   readonly startedAtMs: number | undefined
   readonly models: readonly HeldModel[]
   readonly isBusy: boolean
 }
 
-/** Keeps the newest list. */
+/** Polls the endpoint list while it is watched, and holds the latest result. */
 export class EndpointListTask {
   readonly #changes = new EventEmitter()
   readonly #registry = new EndpointRegistry()
@@ -43,10 +43,10 @@
   #isReading = false
 
   /**
-   * @param source - the platform's list
-   * @param intervalMs - pause between readings while somebody watches, in milliseconds
-   * @param site - as agreed, as of now
-   * @param rejected - told of entries that can't be used
+   * @param source - reads the platform's list
+   * @param intervalMs - interval between reads while the list is watched, in milliseconds
+   * @param site - returns the currently committed site
+   * @param rejected - records entries that cannot be used
    * @param telemetry - log
    */
   constructor (
@@ -59,23 +59,23 @@
     this.#changes.setMaxListeners(0)
   }
 
-  /** The newest list, with what this host knows beyond it. */
+  /** The latest list with the overlays applied. */
   get endpoints (): readonly ListedEndpoint[] { return this.#endpoints }
-  /** Those of them whose service the site has. */
+  /** Listed endpoints whose service is defined in the site. */
   get endpointsOfSite (): readonly ListedEndpoint[] { return endpointsOfSite(this.#endpoints, this.site()) }
-  /** Rises with each change of the list. */
+  /** Increases with each change of the list. */
   get version (): number { return this.#version }
   get changes (): EventEmitter { return this.#changes }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds since the platform answered, minus one before it ever did
+   * @returns milliseconds since the last complete answer of the platform, or -1 if there was none yet
    */
   readAgeMs (now: number): number {
     return this.#readAt === undefined ? -1 : now - this.#readAt
   }
 
-  /** Starts to read the list for one more watcher. */
+  /** Adds a watcher and starts reading the list if it is the first one. */
   addWatcher (): void {
     this.#watchers += 1
     if (this.#timer !== undefined) return
@@ -83,29 +83,29 @@
     void this.#read()
   }
 
-  /** Ends reading when the last watcher has gone. */
+  /** Removes a watcher and stops reading the list if it was the last one. */
   removeWatcher (): void {
     this.#watchers -= 1
     if (this.#watchers === 0) this.stop()
   }
 
-  /** Ends all reading. */
+  /** Stops reading the list. */
   stop (): void {
     clearInterval(this.#timer)
     this.#timer = undefined
   }
 
-  /** @param overlays - what is known beyond the list, by endpoint id; replaces what was known before */
+  /** @param overlays - overlays by endpoint id, which replace all previous ones */
   setOverlays (overlays: Map<string, EndpointOverlay>): void {
     this.#overlays = overlays
     this.#publish()
   }
 
   /**
-   * Takes what an endpoint stated itself; the list may state its start later.
+   * Records a start time that an endpoint reported itself, possibly before the list shows it.
    *
-   * @param id - endpoint
-   * @param overlay - what is known of it since it was asked, with its start
+   * @param id - id of the endpoint
+   * @param overlay - information from the endpoint's answer, with its start time
    */
   observeStart (id: string, overlay: EndpointOverlay): void {
     const restart = this.#registry.observeStart(id, overlay.startedAtMs)
--- a/apps/control/src/lib/endpoints/EndpointRegistry.ts
+++ b/apps/control/src/lib/endpoints/EndpointRegistry.ts
@@ -1,45 +1,45 @@
-/** What is known of listed endpoints from all readings of the list and from the endpoints themselves. */
+/** Combines all results of reading the endpoint list with the start times that endpoints report themselves. */
 import { isLaterStart } from '@eelgrassmux/schema/site/isLaterStart'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 
-/** What one reading of the list brought. */
+/** Result of reading the endpoint list once. */
 export interface EndpointListing {
   readonly endpoints: readonly ListedEndpoint[]
-  /** Entries that name no endpoint to use. */
+  /** Entries that do not describe a usable endpoint. */
   readonly rejected: readonly RejectedEntry[]
-  /** Why the list could not be read to its end; endpoints that are not named may be there all the same. */
+  /** Reason why the list could not be read completely, or undefined if it was. Endpoints missing from an incomplete list may still exist. */
   readonly incompleteBecause: string | undefined
 }
 
-/** An endpoint that has started again. */
+/** A restart of an endpoint under the same id. */
 export interface EndpointRestart {
   readonly id: string
   readonly startedAtMs: number
 }
 
-/** Starts remembered of endpoints; beyond this the ones that were heard of first are forgotten. */
+/** Maximum number of remembered start times. Beyond this, the oldest one of an endpoint that is no longer listed is dropped. */
 const MAX_REMEMBERED_STARTS = 5000
 
-/** Stands for weights of an engine that has started again and was not asked yet: lower than any that is named. */
+/** Weight version of an engine that has restarted and has not been polled yet. It is lower than any real version. */
 const UNKNOWN_VERSION = 0
 
 /**
- * Keeps, for each id, the entry of the latest start. The list lags, so an entry of an
- * earlier start tells only where the endpoint is.
+ * Holds the entry with the latest start time for each endpoint id. The list is delayed,
+ * so only the location is taken from an entry with an earlier start time.
  */
 export class EndpointRegistry {
   #entries = new Map<string, ListedEndpoint>()
   readonly #starts = new Map<string, number>()
 
-  /** Listed endpoints, each under its latest start. */
+  /** Listed endpoints, each with its latest start time. */
   get endpoints (): ListedEndpoint[] {
     return [...this.#entries.values()].map(entry => withLatestStart(entry, this.#starts.get(entry.id)))
   }
 
   /**
-   * @param listing - of the list
-   * @returns endpoints that have started again since the last reading
+   * @param listing - result of reading the list
+   * @returns endpoints that have restarted since the previous read
    */
   applyListing (listing: EndpointListing): EndpointRestart[] {
     const restarts = listing.endpoints.flatMap(({ id, startedAtMs }) => this.observeStart(id, startedAtMs) ?? [])
@@ -54,9 +54,9 @@
   }
 
   /**
-   * @param id - endpoint
-   * @param startedAtMs - start that it or an entry of the list states, in Unix milliseconds
-   * @returns the restart, if the endpoint was known under an earlier start
+   * @param id - id of the endpoint
+   * @param startedAtMs - start time from the endpoint itself or from a list entry, in Unix milliseconds
+   * @returns the restart, or undefined if no earlier start time was known
    */
   observeStart (id: string, startedAtMs: number | undefined): EndpointRestart | undefined {
     const known = this.#starts.get(id)
@@ -77,7 +77,7 @@
 function withLatestStart (entry: ListedEndpoint, startedAtMs: number | undefined): ListedEndpoint {
   if (!isLaterStart(startedAtMs, entry.startedAtMs)) return entry
   if (entry.startedAtMs === undefined) return { ...entry, startedAtMs }
-  // What the former start held and that it was leaving ended with it; the new one has just begun.
+  // The held weights and the leaving state belong to the earlier start. The new process is cold.
   const models = entry.models.map(({ model }) => ({ model, version: UNKNOWN_VERSION }))
   return { ...entry, startedAtMs, isLeaving: false, isCold: true, models }
 }
--- a/apps/control/src/lib/endpoints/endpointsOfSite.ts
+++ b/apps/control/src/lib/endpoints/endpointsOfSite.ts
@@ -1,13 +1,13 @@
-/** Endpoints that the site has a use for. */
+/** Selects the endpoints that belong to a replicated service of the site. */
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 
 /**
- * An entry may name a service that the site does not have, or a store, which has no
- * endpoints: no request goes there, and nothing is concluded from it or ordered of it.
+ * Drops list entries that name a service missing from the site, or a store, which has no
+ * endpoints. Such endpoints get no requests and no orders, and their state is ignored.
  *
- * @param endpoints - as listed
- * @param site - as agreed; undefined before there is one, when no service can be told to be unknown
+ * @param endpoints - listed endpoints
+ * @param site - committed site, or undefined if there is none yet; all endpoints are then returned
  */
 export function endpointsOfSite (endpoints: readonly ListedEndpoint[], site: Site | undefined): readonly ListedEndpoint[] {
   if (site === undefined) return endpoints
--- a/apps/control/src/lib/hosts/HostTable.ts
+++ b/apps/control/src/lib/hosts/HostTable.ts
@@ -1,13 +1,13 @@
-/** Hosts that report to this control host, and how long ago. */
+/** Tracks the hosts that report to this control host and the age of their reports. */
 import type { HostReport, HostStatus } from '@eelgrassmux/rpc/methods/controlMethods'
 
-/** Reports older than this are forgotten, in milliseconds. */
+/** Age at which a report is discarded, in milliseconds. */
 const REPORT_EXPIRY_MS = 60_000
 
-/** Interval between looks for such reports, in milliseconds: looked through with each of 340 hosts' reports they would cost more than those. */
+/** Interval between searches for expired reports, in milliseconds. With 340 hosts, a search at each report would cost more than handling the report. */
 const EXPIRY_CHECK_INTERVAL_MS = 1000
 
-/** Most entry hosts that tell each other of every dispatch: the messages grow with the square of their number. */
+/** Maximum number of entry hosts that notify each other of every dispatch. The number of messages grows with the square of the number of hosts. */
 const MAX_PEER_GROUP_SIZE = 16
 
 interface ReportedHost {
@@ -15,16 +15,16 @@
   readonly reportedAt: number
 }
 
-/** Last report of each host. */
+/** Holds the last report of each host. */
 export class HostTable {
   readonly #hosts = new Map<string, ReportedHost>()
   #lastExpiryCheckAt = Number.NEGATIVE_INFINITY
 
-  /** @param freshnessMs - time for which a host may act on what it last confirmed */
+  /** @param freshnessMs - time for which a host may act on its last confirmed view */
   constructor (private readonly freshnessMs: number) {}
 
   /**
-   * @param report - a host's report
+   * @param report - report of a host
    * @param now - monotonic milliseconds
    */
   observe (report: HostStatus, now: number): void {
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Entry hosts that may still admit requests. One that fell silent counts until
-   * its lease has surely ended, so that the shares never add up to more than one.
+   * Counts the entry hosts that may still admit requests. A host that has stopped
+   * reporting counts until its lease has certainly expired, so that the shares of
+   * all hosts never add up to more than one.
    *
    * @param now - monotonic milliseconds
    */
@@ -51,10 +52,10 @@
   }
 
   /**
-   * Peer addresses of live entry hosts, for telling each other of dispatches.
+   * Returns the peer addresses of live entry hosts, which notify each other of dispatches.
    *
    * @param now - monotonic milliseconds
-   * @returns the addresses; empty when the hosts are too many for that
+   * @returns the addresses; empty if there are more than {@link MAX_PEER_GROUP_SIZE} hosts
    */
   entryPeers (now: number): string[] {
     const entries = this.#live(now).filter(report => report.role === 'entry')
@@ -72,7 +73,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns all reports with their age
+   * @returns all reports with their ages
    */
   reports (now: number): HostReport[] {
     return [...this.#hosts.values()].map(({ report, reportedAt }) => ({ ...report, ageMs: now - reportedAt }))
--- a/apps/control/src/lib/raft/DecisionNotifier.ts
+++ b/apps/control/src/lib/raft/DecisionNotifier.ts
@@ -1,23 +1,23 @@
-/** Tells of decisions about commands while a group forms, once for each change. */
+/** Reports whether a forming group accepts commands, once for each change of the decision. */
 import type { FormationState } from '@eelgrassmux/consensus/Formation'
 
-/** What a leader decided about a command. */
+/** Decision of a leader whether to accept a command. */
 export interface CommandDecision {
-  /** False if it was held back because the group is not complete yet. */
+  /** False if the command was refused because the group is not complete yet. */
   readonly isTaken: boolean
   readonly term: number
-  /** What the decision rests on. */
+  /** State of the group that the decision is based on. */
   readonly formation: FormationState
 }
 
-/** Passes on a decision that differs from the one before in its outcome or its membership. */
+/** Forwards a decision if its outcome or its membership differs from the previous one. */
 export class DecisionNotifier {
   #last: CommandDecision | undefined
 
-  /** @param notify - takes each decision that is new */
+  /** @param notify - called with each new decision */
   constructor (private readonly notify: (decision: CommandDecision) => void) {}
 
-  /** @param decision - made just now */
+  /** @param decision - latest decision */
   observe (decision: CommandDecision): void {
     const last = this.#last
     this.#last = decision
--- a/apps/control/src/lib/raft/LeadershipTracker.ts
+++ b/apps/control/src/lib/raft/LeadershipTracker.ts
@@ -1,21 +1,21 @@
-/** Knows since when this host has led; tasks that look at intervals would miss another leader in between. */
+/** Tracks since when this host has been the leader. A task that only polls the role would miss another leader in between. */
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 
-/** One term of this host's leading. */
+/** One term in which this host is the leader. */
 export interface Leadership {
   readonly term: number
-  /** When it was first seen, in monotonic milliseconds. */
+  /** Time at which the leadership was first observed, in monotonic milliseconds. */
   readonly since: number
 }
 
-/** Begins anew with each term, because another host may have led and given orders before it. */
+/** Starts a new leadership with each term, because another host may have led and sent orders in between. */
 export class LeadershipTracker {
   #current: Leadership | undefined
 
   /**
-   * @param core - this host's replica
+   * @param core - replica of this host
    * @param now - monotonic milliseconds
-   * @returns the present leadership, or undefined on any other replica
+   * @returns the current leadership, or undefined if this replica is not the leader
    */
   observe ({ role, term }: Pick<RaftCore, 'role' | 'term'>, now: number): Leadership | undefined {
     if (role !== 'leader') this.#current = undefined
--- a/apps/control/src/lib/raft/MembershipTask.ts
+++ b/apps/control/src/lib/raft/MembershipTask.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps this replica in its group, and the group free of replicas that have gone.
+ * Keeps this replica in its group and removes unreachable replicas from the group.
  *
- * A replica joins when it is not a member, also when it finds out after a
- * restart that it was removed while it was away. The leader removes voters that
- * a successor has replaced.
+ * A replica joins if it is not a member, or if it learns after a restart that it
+ * was removed while it was down. The leader removes voters that have been
+ * replaced by another host.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
@@ -14,25 +14,25 @@
 import { joinGroup } from './joinGroup.js'
 import type { RaftTask } from './RaftTask.js'
 
-/** Interval between looks at the membership, in milliseconds. */
+/** Interval between checks of the membership, in milliseconds. */
 const CHECK_INTERVAL_MS = 300
 
-/** Time without a leader after which a replica asks whether it still belongs to the group, in milliseconds. */
+/** Time without a leader after which a replica queries whether it is still a member, in milliseconds. */
 const LEADERLESS_TIMEOUT_MS = 1500
 
-/** Deadline of that question, in milliseconds. */
+/** Timeout of the membership query, in milliseconds. */
 const MEMBERSHIP_QUERY_TIMEOUT_MS = 500
 
-/** Looks after the membership until stopped. */
+/** Checks the membership periodically until stopped. */
 export class MembershipTask {
   #isStopped = false
   #leaderlessSince: number | undefined
 
   /**
-   * @param raft - this host's replica
+   * @param raft - replica of this host
    * @param rpc - client for calls to other control hosts
-   * @param contacts - addresses of control hosts that may know the group, as of now
-   * @param targetVoters - voters that the group needs
+   * @param contacts - returns the current addresses of control hosts that may be members of the group
+   * @param targetVoters - number of voters that the group needs
    * @param telemetry - log
    */
   constructor (
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Ends the loop. */
+  /** Stops the loop. */
   stop (): void {
     this.#isStopped = true
   }
@@ -86,7 +86,7 @@
     if (now - this.#leaderlessSince < LEADERLESS_TIMEOUT_MS) return false
     for (const contact of this.#otherContacts()) {
       const answer = await this.rpc.call(contact, listHosts, {}, MEMBERSHIP_QUERY_TIMEOUT_MS)
-      // Only the leader's committed membership is newer than our own for certain.
+      // Only the committed membership of the leader is certainly newer than this replica's own.
       if (!answer.ok || answer.value.leader !== answer.value.replicaId) continue
       return ![...answer.value.voters, ...answer.value.learners].some(replica => replica.id === core.self.id)
     }
--- a/apps/control/src/lib/raft/RaftSender.ts
+++ b/apps/control/src/lib/raft/RaftSender.ts
@@ -1,25 +1,26 @@
 /**
- * Brings protocol messages to other replicas.
+ * Sends Raft messages to other replicas.
  *
- * Most are a leader's heartbeats and the answers to them, 33 a second for each follower. Losing one
- * costs nothing, since the next says the same, so they go as datagrams; over gRPC they were a third of
- * what a follower at rest spent (0.03 of 0.09 s of processor time a second, own processes on loopback). What carries
- * entries or a snapshot, or is said only once, is a call.
+ * Most messages are heartbeats of a leader and the answers to them, 33 per second for each
+ * follower. A lost one is replaced by the next, so they are sent as datagrams. Over gRPC they
+ * took a third of the processor time of an idle follower (0.03 of 0.09 s per second, with
+ * separate processes on loopback). Messages that carry entries or a snapshot, or that are not
+ * repeated, are sent as calls.
  */
 import type { RaftMessage } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { exchangeRaft, tellRaft, type RaftEnvelope } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 
-/** Deadline of a call, in milliseconds. */
+/** Timeout of a call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1000
 
-/** Sends without waiting. */
+/** Sends messages without waiting for delivery. */
 export class RaftSender {
   /**
-   * @param datagrams - for short messages
-   * @param rpc - for the others
-   * @param onFailure - told why a call did not bring its message there
+   * @param datagrams - client for messages that tolerate loss
+   * @param rpc - client for all other messages
+   * @param onFailure - called with the reason when a call fails
    */
   constructor (
     private readonly datagrams: Pick<DatagramClient, 'tell'>,
@@ -28,8 +29,8 @@
   ) {}
 
   /**
-   * @param address - IP number and port of the replica
-   * @param envelope - message with its sender
+   * @param address - IP address and port of the replica
+   * @param envelope - message with its sender and receiver
    */
   send (address: string, envelope: RaftEnvelope): void {
     if (isLossTolerant(envelope.message)) {
@@ -42,7 +43,7 @@
   }
 }
 
-/** Whether the message is short, and said again if it is lost. */
+/** Returns true if the message is short and is repeated after a loss. */
 function isLossTolerant (message: RaftMessage): boolean {
   switch (message.kind) {
     case 'append-request': return message.entries.length === 0
--- a/apps/control/src/lib/raft/RaftTask.ts
+++ b/apps/control/src/lib/raft/RaftTask.ts
@@ -1,9 +1,10 @@
 /**
- * The task that owns one replica: its core, its storage and its mailbox.
+ * Owns one replica with its Raft core, its storage and its mailbox.
  *
- * All input waits in the mailbox. One turn takes everything that has arrived,
- * steps the core, syncs the writes of the whole turn at once, and only then
- * sends, applies and answers. So one sync serves all commands of a turn.
+ * All input is queued in the mailbox. The task takes everything that has arrived
+ * as one batch, steps the core, syncs all writes of the batch at once, and only
+ * then sends messages, applies entries and answers callers. One sync therefore
+ * covers all commands of a batch.
  */
 import { decode, encode } from '@msgpack/msgpack'
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
@@ -18,24 +19,24 @@
 import { DecisionNotifier, type CommandDecision } from './DecisionNotifier.js'
 import { membershipIndexOf, newestViewBound } from './logBounds.js'
 
-/** What became of a proposed command. */
+/** Outcome of a proposed command. */
 export type ProposeOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
   | { readonly kind: 'not-leader', readonly leader: string }
   | { readonly kind: 'uncertain' }
 
-/** What the task needs from around it. */
+/** Dependencies and callbacks of the task. */
 export interface RaftTaskPorts {
-  /** Sends a message; it may be lost. */
+  /** Sends a message, which may be lost. */
   send (to: Replica, message: RaftMessage): void
   /** Called after the state machine has changed. */
   applied (): void
   roleChanged (role: string, term: number): void
-  /** Called when the decision about commands has changed, or what it rests on. */
+  /** Called when the decision whether to accept commands has changed, or the membership that it is based on. */
   commandDecided (decision: CommandDecision): void
-  /** Called when a write fails while the task is closing: nothing that hangs on it was sent or answered. */
+  /** Called when a write fails while the task is closing. Nothing that depends on the write was sent or answered. */
   lostWhileClosing (error: unknown): void
-  /** Called when the disk or an invariant fails; the process must stop. */
+  /** Called when a write fails or an invariant is violated. The process must then stop. */
   fail (error: unknown): void
 }
 
@@ -52,25 +53,25 @@
   | { readonly kind: 'transfer' }
   | { readonly kind: 'read', readonly resolve: (isConfirmed: boolean) => void }
 
-/** Interval of the core's timers, in milliseconds. */
+/** Interval at which the core's timers advance, in milliseconds. */
 const TICK_INTERVAL_MS = 20
 
-/** Log entries after which the state is saved as a snapshot. */
+/** Number of log entries after which a snapshot of the state is saved. */
 const SNAPSHOT_LOG_ENTRIES = 5000
 
-/** Bytes of commands after which it is, too: sites are large, and the log is held in memory. */
+/** Number of command bytes after which a snapshot is saved, because sites are large and the log is held in memory. */
 const SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 
-/** Longest wait for a quorum to confirm a read, in milliseconds; callers turn to another host after a second. */
+/** Maximum wait for a quorum to confirm a read, in milliseconds. Callers switch to another host after one second. */
 const READ_TIMEOUT_MS = 700
 
-/** A read that waits for a quorum to follow this leader. */
+/** A read that waits until a quorum confirms this leader. */
 interface PendingRead {
   readonly readAt: number
   readonly resolve: (isConfirmed: boolean) => void
 }
 
-/** Owns one replica. */
+/** Runs one replica. */
 export class RaftTask {
   #mailbox: MailboxItem[] = []
   #isProcessing = false
@@ -85,11 +86,11 @@
   readonly #ticker: NodeJS.Timeout
 
   /**
-   * @param core - protocol state
-   * @param storage - its disk
-   * @param state - what the log drives
-   * @param ports - surroundings
-   * @param clock - wall clock in milliseconds, to stamp commands
+   * @param core - Raft protocol state
+   * @param storage - persistent storage of the core
+   * @param state - state machine that the log is applied to
+   * @param ports - dependencies and callbacks
+   * @param clock - wall clock in milliseconds, used to timestamp commands
    */
   constructor (
     readonly core: RaftCore,
@@ -105,25 +106,25 @@
   }
 
   get appliedIndex (): number { return this.#appliedIndex }
-  /** Turns that wrote to the disk; one sync each. */
+  /** Number of batches that were synced to the disk. */
   get syncs (): number { return this.#syncCount }
   get membership (): Membership { return this.core.membership }
 
-  /** Upper bound of any view in this replica's log, committed or not. */
+  /** Upper bound of the view revisions in this replica's log, including uncommitted entries. */
   get newestView (): number { return newestViewBound(this.core, this.#appliedIndex, this.state.viewRevision) }
-  /** Index of the log entry that set the membership in force. */
+  /** Index of the log entry with the current membership. */
   get membershipIndex (): number { return membershipIndexOf(this.core) }
 
-  /** @param message - a message from another replica */
+  /** @param message - message from another replica */
   receive (message: RaftMessage): void {
     this.#post({ kind: 'message', message })
   }
 
   /**
-   * Proposes a command; the core appends none before the group is formed.
+   * Proposes a command. The core appends no commands before the group is complete.
    *
-   * @param command - what to apply
-   * @returns what became of it; `not-leader` without a leader's name while the group forms
+   * @param command - command to apply
+   * @returns the outcome; `not-leader` with an empty leader address while the group is incomplete
    */
   async propose (command: Command): Promise<ProposeOutcome> {
     return await new Promise(resolve => { this.#post({ kind: 'propose', command, resolve }) })
@@ -132,24 +133,24 @@
   /**
    * Changes the membership through the core.
    *
-   * @param change - the core's method to call
-   * @returns why it was refused, or undefined
+   * @param change - calls the method of the core that makes the change
+   * @returns the reason for a refusal, or undefined
    */
   async change (change: (core: RaftCore, now: number) => Result<RaftEffects, RaftError>): Promise<RaftError | undefined> {
     return await new Promise(resolve => { this.#post({ kind: 'change', change, resolve }) })
   }
 
   /**
-   * Waits until a quorum has followed this leader after the call, so that the
-   * applied state is as new as anything acknowledged before it.
+   * Waits until a quorum has confirmed this leader after the call, so that the
+   * applied state includes everything that was acknowledged before the call.
    *
-   * @returns false on any other replica, and when no quorum answers in time
+   * @returns false if this replica is not the leader or no quorum answers in time
    */
   async confirmRead (): Promise<boolean> {
     return await new Promise(resolve => { this.#post({ kind: 'read', resolve }) })
   }
 
-  /** Hands leadership over, for a planned stop. */
+  /** Transfers leadership to another replica before a graceful shutdown. */
   transfer (): void {
     this.#post({ kind: 'transfer' })
   }
@@ -158,7 +159,7 @@
   async close (): Promise<void> {
     this.#isClosed = true
     clearInterval(this.#ticker)
-    // A turn under way may still write; the file must stay open for it.
+    // The batch in progress may still write, so the file must stay open until it ends.
     await this.#processing
     await this.storage.close()
   }
@@ -203,7 +204,7 @@
       case 'transfer': return [this.core.transferLeadership(now)]
       case 'read': {
         this.#reads.push({ readAt: now, resolve: item.resolve })
-        // Answers to earlier messages carry earlier times and don't confirm it.
+        // Answers to earlier messages carry earlier timestamps and do not confirm this read.
         return [this.core.probeQuorum(performance.now())]
       }
       case 'propose': return this.#stepProposal(item.command, item.resolve, now)
@@ -264,7 +265,7 @@
     const pending = this.#pending.get(entry.index)
     if (pending === undefined) return
     this.#pending.delete(entry.index)
-    // Another leader's entry at this index means that the proposal was overwritten.
+    // An entry with another term at this index means that another leader has overwritten the proposal.
     pending.resolve(pending.term === entry.term ? { kind: 'applied', result } : { kind: 'uncertain' })
   }
 
--- a/apps/control/src/lib/raft/changeMembership.ts
+++ b/apps/control/src/lib/raft/changeMembership.ts
@@ -1,4 +1,4 @@
-/** Carries out a change of the membership that another host or an operator asks for. */
+/** Executes a membership change that another host or an operator requests. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Membership } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { RaftError } from '@eelgrassmux/consensus/RaftError'
@@ -6,17 +6,18 @@
 import { unreachable } from '@eelgrassmux/schema/invariant'
 import type { RaftTask } from './RaftTask.js'
 
-/** Longest wait for a membership change to be committed, and interval between looks, in milliseconds. */
+/** Maximum wait until a membership change is committed, and polling interval, in milliseconds. */
 const COMMIT_TIMEOUT_MS = 1500
 const COMMIT_POLL_INTERVAL_MS = 10
 
 /**
- * Changes the membership and waits until that is committed: whoever waits for a
- * repair must not take an uncommitted one for complete.
+ * Changes the membership and waits until the change is committed, so that a
+ * caller that repairs the group does not mistake an uncommitted change for a
+ * completed one.
  *
- * @param raft - this host's replica
- * @param change - what is asked for
- * @returns done only if the committed membership shows the change
+ * @param raft - replica of this host
+ * @param change - requested change
+ * @returns `done` only if the committed membership contains the change
  */
 export async function changeMembership (raft: RaftTask, change: MembershipChange): Promise<MembershipChangeResponse> {
   if (change.kind === 'transfer') {
@@ -34,7 +35,7 @@
   if (error !== undefined) return toResponse(error)
   const deadline = performance.now() + COMMIT_TIMEOUT_MS
   while (raft.core.isMembershipPending && performance.now() < deadline) await sleep(COMMIT_POLL_INTERVAL_MS)
-  // Nothing pending can also mean that another leader has overwritten the change.
+  // The change may also no longer be pending because another leader has overwritten it.
   const isDone = !raft.core.isMembershipPending && isReflectedIn(change, raft.core.committedMembership)
   return isDone ? { kind: 'done' } : { kind: 'refused', reason: 'not-committed' }
 }
--- a/apps/control/src/lib/raft/joinGroup.ts
+++ b/apps/control/src/lib/raft/joinGroup.ts
@@ -1,36 +1,36 @@
 /**
- * Brings a replica with an empty disk into the group: as a learner first, as a
- * voter once it holds nearly all of the log. A voter that stood at the same
- * address has lost its disk and is removed just before, so that the group never
- * counts on two identities of one host.
+ * Adds a replica with an empty disk to the group. The replica joins as a learner
+ * and is promoted to voter once it holds nearly all of the log. A voter with the
+ * same address has lost its disk and is removed just before the promotion, so
+ * that no host ever counts as two voters.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import { changeMembership, type MembershipChange, type MembershipChangeResponse } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 
-/** Pause between attempts, in milliseconds. */
+/** Delay between attempts, in milliseconds. */
 const RETRY_INTERVAL_MS = 200
 
-/** Deadline of each call, in milliseconds. */
+/** Timeout of each call, in milliseconds. */
 const CALL_TIMEOUT_MS = 2000
 
-/** Wait for the first messages of the leader before it is asked again, in milliseconds; they come at once. */
+/** Maximum wait for the first messages of the leader before the call is repeated, in milliseconds. The messages normally arrive immediately. */
 const CATCH_UP_TIMEOUT_MS = 1500
 
-/** What joining needs to know of this replica, as of now. */
+/** Live view of the joining replica. */
 export type JoiningReplica = Pick<RaftCore, 'self' | 'membership' | 'leader'>
 
-/** Addresses of replicas in the group, as of now. */
+/** Returns the current addresses of replicas that may be members of the group. */
 type Contacts = () => readonly string[]
 
 /**
- * Joins, trying until it succeeds.
+ * Joins the group and retries until it succeeds.
  *
- * @param rpc - client for the calls
- * @param core - this replica
- * @param contacts - addresses of replicas in the group
- * @param isStopped - whether to give up
+ * @param rpc - client for calls to the group
+ * @param core - replica that joins
+ * @param contacts - returns addresses of replicas that may be members of the group
+ * @param isStopped - returns true to stop retrying
  */
 export async function joinGroup (rpc: RpcClient, core: JoiningReplica, contacts: Contacts, isStopped: () => boolean): Promise<void> {
   const { self } = core
@@ -38,7 +38,7 @@
   do {
     await retryUntilDone(rpc, contacts, { kind: 'add-learner', replica: self }, isStopped)
     await waitFor(isCaughtUp, isStopped)
-    // Whoever added us may have been replaced, or may have removed us again: ask anew.
+    // The leader that added this replica may have been replaced or may have removed the replica again, so repeat the request.
   } while (!isCaughtUp() && !isStopped())
   for (const formerId of formerIdentities(core)) await retryUntilDone(rpc, contacts, { kind: 'remove', id: formerId }, isStopped)
   await retryUntilDone(rpc, contacts, { kind: 'promote', id: self.id }, isStopped)
@@ -63,16 +63,16 @@
 
 function isDone (response: MembershipChangeResponse, change: MembershipChange): boolean {
   if (response.kind === 'done') return true
-  // Somebody else has removed it already.
+  // The replica has already been removed by another caller.
   return change.kind === 'remove' && response.kind === 'refused' && response.reason === 'unknown-replica'
 }
 
-/** Whether a leader has sent this replica a membership with itself in it. */
+/** Returns true if a leader has sent this replica a membership that contains it. */
 function isInReceivedMembership ({ self, membership, leader }: JoiningReplica): boolean {
   return leader !== undefined && [...membership.voters, ...membership.learners].some(replica => replica.id === self.id)
 }
 
-/** From the own log, which is newer than the joining; a contact that was asked might know of nobody yet. */
+/** Finds earlier ids of this host in its own log, which is newer than the join request. A contact might not know any members yet. */
 function formerIdentities ({ self, membership }: JoiningReplica): string[] {
   return membership.voters.filter(voter => voter.address === self.address && voter.id !== self.id).map(voter => voter.id)
 }
--- a/apps/control/src/lib/raft/logBounds.ts
+++ b/apps/control/src/lib/raft/logBounds.ts
@@ -1,13 +1,13 @@
-/** What a replica can state of its log without waiting for commits. */
+/** Properties of a replica's log that are known without waiting for commits. */
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import { mayChangeView } from '@eelgrassmux/state/commandCodec'
 
 /**
- * Upper bound of any view in the log, committed or not.
+ * Returns an upper bound of the view revisions in the log, including uncommitted entries.
  *
- * @param core - the replica's log
- * @param appliedIndex - last entry in the state
- * @param appliedView - view of that state
+ * @param core - replica with the log
+ * @param appliedIndex - index of the last entry that was applied to the state
+ * @param appliedView - view revision of that state
  */
 export function newestViewBound (core: RaftCore, appliedIndex: number, appliedView: number): number {
   let bound = appliedView
@@ -19,9 +19,9 @@
 }
 
 /**
- * Index of the log entry that set the membership in force.
+ * Returns the index of the log entry with the current membership.
  *
- * @param core - the replica's log
+ * @param core - replica with the log
  */
 export function membershipIndexOf (core: RaftCore): number {
   for (let index = core.lastIndex; index > 0; index -= 1) {
--- a/apps/control/src/lib/raft/surplusReplicas.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.ts
@@ -1,26 +1,27 @@
-/** Decides, on the leader, which replica no longer belongs to the group. */
+/** Determines, on the leader, which replica should be removed from the group. */
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import type { RaftError } from '@eelgrassmux/consensus/RaftError'
 import type { RaftEffects, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import { fail, type Result } from '@eelgrassmux/schema/Result'
 
 /**
- * Silence after which a surplus voter is taken for gone, in milliseconds: longer
- * than an election and a process restart together, shorter than the four seconds
- * after which the platform counts a successor as caught up.
+ * Silence after which a surplus voter is considered gone, in milliseconds. This is
+ * longer than an election and a process restart together, and shorter than the four
+ * seconds after which the platform considers a replacement host caught up.
  */
 export const SURPLUS_VOTER_SILENCE_MS = 2500
 
-/** Silence after which a learner is taken for gone, in milliseconds; it has no vote, so nothing hurries. */
+/** Silence after which a learner is considered gone, in milliseconds. Removal is not urgent, because a learner has no vote. */
 export const LEARNER_SILENCE_MS = 10_000
 
 /**
- * A voter is removed only once the group has more voters than it needs: that
- * means that a successor has joined. Without one the silent voter stays, because
- * removing it would not make the group bear more.
+ * Finds the replica to remove next. A silent voter is removed only once the group
+ * has more voters than it needs, that is, after a replacement has joined. Without
+ * a replacement the voter stays, because its removal would not make the group
+ * tolerate more failures.
  *
- * @param core - the leader's replica
- * @param targetVoters - voters that the group needs
+ * @param core - replica of the leader
+ * @param targetVoters - number of voters that the group needs
  * @param now - monotonic milliseconds
  * @returns the replica to remove next, or undefined
  */
@@ -36,13 +37,13 @@
 }
 
 /**
- * Removes a replica, for the step of the core: what was found before the step may no longer hold in it.
+ * Removes a replica within a step of the core, if it is still surplus. The group may have changed since the replica was found.
  *
- * @param core - the leader's replica
- * @param id - what {@link findSurplusReplica} named
- * @param targetVoters - voters that the group needs
+ * @param core - replica of the leader
+ * @param id - id of the replica that {@link findSurplusReplica} returned
+ * @param targetVoters - number of voters that the group needs
  * @param now - monotonic milliseconds
- * @returns `change-in-progress` if the group has changed meanwhile
+ * @returns the effects of the removal, or the error `change-in-progress` if the replica is no longer the one to remove
  */
 export function removeIfStillSurplus (core: RaftCore, id: string, targetVoters: number, now: number): Result<RaftEffects, RaftError> {
   if (findSurplusReplica(core, targetVoters, now)?.id !== id) return fail({ kind: 'change-in-progress' })
--- a/apps/control/src/lib/site/SiteService.ts
+++ b/apps/control/src/lib/site/SiteService.ts
@@ -1,4 +1,4 @@
-/** What operators may ask of any control host: put a site, read it back, name weights. */
+/** Operations that operators may request from any control host: put or read the site, name weights, evacuate a data centre. */
 import { propose, readSite, type ReadSiteResponse } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
@@ -8,59 +8,59 @@
 /** Outcome of an operator's command. */
 export type CommandOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
-  /** It may be applied later or never; sending it again is safe. */
+  /** The command may be applied later or never. Sending it again is safe. */
   | { readonly kind: 'unavailable' }
 
-/** Outcome of an order about a data centre. */
+/** Outcome of an order to start or end the evacuation of a data centre. */
 export type EvacuationOutcome =
   | { readonly kind: 'applied' }
-  /** There is room for no more. */
+  /** The order is invalid or exceeds a limit. */
   | { readonly kind: 'refused', readonly reason: string }
-  /** Newer orders came in between, or the caller has left: nothing was changed. */
+  /** Newer orders were applied first or the caller has disconnected, so nothing was changed. */
   | { readonly kind: 'overtaken' }
-  /** It may be applied later or never; sending it again is safe. */
+  /** The order may be applied later or never. Sending it again is safe. */
   | { readonly kind: 'unavailable' }
 
-/** Times that an order is proposed anew after others about the same data centre came in between. */
+/** Maximum number of proposals of one order if other orders for the same data centre are applied first. */
 const MAX_PROPOSALS = 3
 
-/** Deadline of a call to the leader, in milliseconds; operators turn to another host after a second. */
+/** Timeout of a call to the leader, in milliseconds. Operators switch to another host after one second. */
 const LEADER_CALL_TIMEOUT_MS = 900
 
-/** Carries operators' calls to the leader, wherever they arrive. */
+/** Forwards operators' calls from any control host to the leader. */
 export class SiteService {
   /**
-   * @param raft - this host's replica
+   * @param raft - replica of this host
    * @param rpc - client for calls to the leader
    */
   constructor (private readonly raft: RaftTask, private readonly rpc: RpcClient) {}
 
   /**
-   * Puts a site in force, unless one with the same or a higher version is.
+   * Applies a site unless the current one has the same or a higher version.
    *
-   * @param site - checked site
-   * @param source - the document as its operator wrote it
+   * @param site - validated site
+   * @param source - source document as the operator wrote it
    */
   async putSite (site: Site, source: Uint8Array): Promise<CommandOutcome> {
     return await this.#propose({ kind: 'put-site', site, source })
   }
 
   /**
-   * Names the weights that all engines of a model should run.
+   * Sets the weight version that all engines of a model should run.
    *
-   * @param model - model name
-   * @param version - rises with each new set of weights
+   * @param model - name of the model
+   * @param version - version, which increases with each new set of weights
    */
   async nameWeights (model: string, version: number): Promise<CommandOutcome> {
     return await this.#propose({ kind: 'name-weights', model, version })
   }
 
   /**
-   * Orders that a data centre's endpoints get no new work, or that they do again.
+   * Starts or ends the evacuation of a data centre. Endpoints of an evacuated data centre get no new work.
    *
-   * @param dataCentre - checked name
-   * @param isEvacuated - false to end the evacuation
-   * @param hasCallerLeft - whether the caller has left: it sends the order again, or has sent a newer one since
+   * @param dataCentre - validated name of the data centre
+   * @param isEvacuated - true to start the evacuation, false to end it
+   * @param hasCallerLeft - returns true if the caller has disconnected; it may then repeat the order or may have sent a newer one
    */
   async orderEvacuation (dataCentre: string, isEvacuated: boolean, hasCallerLeft: () => boolean): Promise<EvacuationOutcome> {
     let knownRevision = this.raft.state.evacuations.revision
@@ -75,7 +75,7 @@
     return { kind: 'overtaken' }
   }
 
-  /** @returns the newest accepted site, or `unconfirmed` if nobody can be sure which it is */
+  /** @returns the newest accepted site, or `unconfirmed` if it could not be confirmed by the leader */
   async readSite (): Promise<ReadSiteResponse> {
     const own = await this.readAsLeader()
     if (own.kind !== 'unconfirmed' || own.leader === '') return own
@@ -83,7 +83,7 @@
     return answer.ok ? answer.value : { kind: 'unconfirmed', leader: '' }
   }
 
-  /** @returns the newest accepted site if this host leads and a quorum confirms it */
+  /** @returns the newest accepted site if this host is the leader and a quorum confirms it, and `unconfirmed` otherwise */
   async readAsLeader (): Promise<ReadSiteResponse> {
     const { core } = this.raft
     if (core.role !== 'leader') return { kind: 'unconfirmed', leader: core.leader?.address ?? '' }
