--- a/apps/control/src/lib/endpoints/EndpointListTask.test.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.test.ts
@@ -7,7 +7,7 @@
 import { EndpointListTask, type EndpointSource } from './EndpointListTask.js'
 import type { EndpointListing } from './EndpointRegistry.js'
 
-/** Longer than any test, so that only watchers make the task read. */
+/** Interval longer than any test, so that the task reads the list only when a watcher is added. */
 const DISABLED_INTERVAL_MS = 2 ** 30
 
 const listed = (id: string, startedAtMs?: number, changes: Partial<ListedEndpoint> = {}): ListedEndpoint => ({
@@ -26,7 +26,7 @@
 
 const completeListing = (...endpoints: ListedEndpoint[]): EndpointListing => ({ endpoints, rejected: [], incompleteBecause: undefined })
 
-/** Reads one scripted list for each turn. */
+/** Endpoint source that returns one scripted listing for each read. */
 class ScriptedList implements EndpointSource {
   readonly task: EndpointListTask
   readonly telemetry = new Telemetry('test')
@@ -51,8 +51,8 @@
 const ids = (endpoints: readonly ListedEndpoint[]): string[] => endpoints.map(endpoint => endpoint.id)
 
 describe('EndpointListTask', () => {
-  describe('when the list could not be read to its end', () => {
-    it('takes what was read, and nobody for gone', async () => {
+  describe('when the list could not be read completely', () => {
+    it('applies the entries that were read and keeps all others', async () => {
       const list = new ScriptedList([
         completeListing(listed('a'), listed('b'), listed('c')),
         { ...completeListing(listed('a', undefined, { slots: 9 }), listed('d')), incompleteBecause: 'status' },
@@ -65,14 +65,14 @@
       expect(ids(await list.readOnce())).toEqual(['a'])
     })
 
-    it('does not count as an answer to the question how old the list is', async () => {
+    it('does not reset the age of the list', async () => {
       const list = new ScriptedList([{ ...completeListing(listed('a')), incompleteBecause: 'status' }])
       await list.readOnce()
       expect(list.task.readAgeMs(performance.now())).toBe(-1)
     })
   })
 
-  it('uses no endpoint whose entry can\'t be read, keeps the others and counts the entry', async () => {
+  it('does not use an endpoint with an invalid entry, keeps the others and counts the entry', async () => {
     const list = new ScriptedList([
       completeListing(listed('a'), listed('b')),
       { ...completeListing(listed('b')), rejected: [rejectEntry('State: unknown', { Id: 'a' })] },
@@ -84,28 +84,28 @@
     expect(ids(await list.readOnce())).toEqual(['a', 'b'])
   })
 
-  it('has no use for endpoints of a service that the site does not have, or of a store, and counts them', async () => {
+  it('excludes endpoints of a store or of a service that is missing from the site, and counts them', async () => {
     const list = new ScriptedList([completeListing(listed('a'), listed('b', undefined, { service: 'other' }), listed('c', undefined, { service: 'keep' }))])
     await list.readOnce()
     expect(ids(list.task.endpointsOfSite)).toEqual(['a'])
     expect(await list.telemetry.registry.metrics()).toContain('rejected_entries_total{source="endpoint-list",program="test"} 2')
   })
 
-  describe('when an endpoint has started again under its id', () => {
-    it('keeps the later start when an older list arrives late', async () => {
+  describe('when an endpoint has restarted under its id', () => {
+    it('keeps the later start when an outdated list arrives late', async () => {
       const list = new ScriptedList([completeListing(listed('a', 2000)), completeListing(listed('a', 1000, { isLeaving: true, models: [] }))])
       const before = await list.readOnce()
       expect(await list.readOnce()).toEqual(before)
     })
 
-    it('does not bring the former start back after the endpoint was off the list', async () => {
+    it('does not return to the earlier start after the endpoint was missing from the list', async () => {
       const list = new ScriptedList([completeListing(listed('a', 2000)), completeListing(), completeListing(listed('a', 1000, { isLeaving: true }))])
       await list.readOnce()
       await list.readOnce()
       expect(await list.readOnce()).toMatchObject([{ startedAtMs: 2000, isLeaving: false }])
     })
 
-    it('drops what was known beyond the list of the former start', async () => {
+    it('drops the overlay of the earlier start', async () => {
       const list = new ScriptedList([completeListing(listed('a', 1000)), completeListing(listed('a', 2000))])
       await list.readOnce()
       list.task.setOverlays(new Map([['a', { startedAtMs: 1000, models: [{ model: 'm', version: 7 }], isBusy: true }]]))
@@ -113,7 +113,7 @@
       expect(await list.readOnce()).toMatchObject([{ startedAtMs: 2000, isBusy: false, models: [{ version: 1 }] }])
     })
 
-    it('believes a start that the endpoint stated itself before the list does', async () => {
+    it('uses a start time that the endpoint reports before the list shows it', async () => {
       const list = new ScriptedList([completeListing(listed('a', 1000, { isLeaving: true })), completeListing(listed('a', 1000, { isLeaving: true })), completeListing(listed('a', 2000, { slots: 9 }))])
       await list.readOnce()
       list.task.observeStart('a', { startedAtMs: 2000, models: [{ model: 'm', version: 4 }], isBusy: false })
@@ -125,7 +125,7 @@
     })
   })
 
-  it('goes on with the last list when there is no answer', async () => {
+  it('keeps the last list when the platform does not answer', async () => {
     const list = new ScriptedList([completeListing(listed('a'), listed('b')), undefined])
     await list.readOnce()
     expect(ids(await list.readOnce())).toEqual(['a', 'b'])
--- a/apps/control/src/lib/formation.test.ts
+++ b/apps/control/src/lib/formation.test.ts
@@ -14,12 +14,12 @@
 const VOTERS = 5
 const CALL_TIMEOUT_MS = 1000
 
-/** Longest wait for anything, in milliseconds; reached only when a test fails. */
+/** Maximum wait for any condition, in milliseconds. It is reached only when a test fails. */
 const WAIT_TIMEOUT_MS = 20_000
 
 const SITE: Site = { version: 4, routes: [], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } }
 
-describe('a group of five control hosts that know three addresses', () => {
+describe('a group of five control hosts that are given three addresses', () => {
   const rpc = new RpcClient()
   let folder = ''
   let ports: number[] = []
@@ -58,7 +58,7 @@
     return answers.flatMap(answer => answer?.ok === true ? [answer.value] : [])
   }
 
-  /** Waits until all running hosts state the same five voters, which are themselves, and returns their ids. */
+  /** Waits until all running hosts report themselves as the same five voters, and returns the ids of the voters. */
   async function waitUntilComplete (): Promise<string[]> {
     const deadline = performance.now() + WAIT_TIMEOUT_MS
     for (;;) {
@@ -92,19 +92,19 @@
     return 'never'
   }
 
-  /** Gives a host the first address in order. */
+  /** Gives a host the first address in sort order, which makes it the founder. */
   function makeFounder (host: number): void {
     const [first = 0, ...others] = [...ports].sort((left, right) => left - right)
     ports = [...others.slice(0, host), first, ...others.slice(host)]
   }
 
-  it.each([0, 2, 4])('forms once, also if its founder (host %i) does not start first, and takes nothing before it is complete', async founder => {
+  it.each([0, 2, 4])('forms exactly once with founder host %i, which does not start first, and accepts no command before it is complete', async founder => {
     makeFounder(founder)
     for (const host of [3, 4, 1]) await start(host, `disk-${host}`, true)
     await start(2, 'disk-2', true)
     // Host 0 has not started.
     if (founder !== 0) {
-      // Four voters at most: a command now would be lost with three disks of a group meant to bear two.
+      // At most four voters exist. A command accepted now might not survive the loss of two disks, which the complete group must tolerate.
       const early = await rpc.call(address(founder), propose, { command: { kind: 'put-site', site: SITE, source: Buffer.from('early') } }, CALL_TIMEOUT_MS)
       expect(early.ok && early.value.kind, `hosts after the answer: ${JSON.stringify(await views())}`).not.toBe('applied')
     }
@@ -115,7 +115,7 @@
     expect(await read()).toBe('source')
   })
 
-  it('takes two hosts with lost disks back under new ids and loses nothing', async () => {
+  it('accepts two hosts with lost disks under new ids and loses no data', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
     const before = await waitUntilComplete()
     expect(await put()).toBe('site-accepted')
@@ -126,7 +126,7 @@
     expect(await read()).toBe('source')
   })
 
-  it('replaces a host that is gone by one at a new address', async () => {
+  it('replaces a stopped host by a host at a new address', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
     const before = await waitUntilComplete()
     await stop(3)
@@ -136,7 +136,7 @@
     expect(after.filter(id => before.includes(id))).toHaveLength(VOTERS - 1)
   })
 
-  it('is not founded a second time by a host whose disk was emptied', async () => {
+  it('is not founded again by a host with an emptied disk', async () => {
     for (let host = 0; host < VOTERS; host += 1) await start(host, `disk-${host}`, true)
     await waitUntilComplete()
     for (let host = 0; host < VOTERS; host += 1) await stop(host)
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -8,14 +8,14 @@
 import { LoadBoardTask, type LoadBoardPorts } from './LoadBoardTask.js'
 
 const listed = { id: 'e', startedAtMs: 46_655, service: 's', address: '10.0.0.1:80', dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [] }
-/** Its name with its start. */
+/** Incarnation name of the listed endpoint, which contains its start time. */
 const INCARNATION = 'e@zzz'
 const service = { type: 'replicated' as const, name: 's', connectionsPerEndpoint: 1, healthPath: '/well' }
 const silent: EndpointWork = { ...NO_WORK, endpoint: INCARNATION, inFlight: 4, lastByteAgoMs: 900, waitedMs: 900 }
 
 type Answer = (report: LoadReport) => Uint8Array | undefined
 
-/** A task whose hosts report as a test says, on a virtual clock. */
+/** Runs the task with reports from the test on a virtual clock. */
 class LoadBoardFixture {
   probes = 0
   isAlive = false
@@ -45,7 +45,7 @@
     this.#answers.get(tellLoad)?.({ host: 'h', sequence: ++this.#sequence, work, links: [] })
   }
 
-  /** @returns what the host hears of the endpoint */
+  /** @returns the work of the endpoint as reported to the host */
   ask (): EndpointWork | undefined {
     const bytes = this.#answers.get(askLoad)?.({ host: 'h', sequence: ++this.#sequence, work: [], links: [] })
     return bytes === undefined ? undefined : decodeLoadTotals(Buffer.from(bytes)).work.find(({ endpoint }) => endpoint === INCARNATION)
@@ -58,37 +58,37 @@
   beforeEach(() => { vi.useFakeTimers({ toFake: ['setInterval', 'clearInterval', 'performance'] }) })
   afterEach(() => { vi.useRealTimers() })
 
-  it('tells all hosts of an endpoint that answers neither them nor it, until it answers', async () => {
-    const world = new LoadBoardFixture()
-    world.tell([silent])
-    await world.advance(300)
-    expect(world.probes).toBe(1)
-    expect(world.ask()?.unresponsive).toBe(1)
-    world.isAlive = true
+  it('reports an endpoint that answers neither the hosts nor a probe as unresponsive until it answers', async () => {
+    const fixture = new LoadBoardFixture()
+    fixture.tell([silent])
+    await fixture.advance(300)
+    expect(fixture.probes).toBe(1)
+    expect(fixture.ask()?.unresponsive).toBe(1)
+    fixture.isAlive = true
     for (let round = 0; round < 20; round += 1) {
-      world.tell([])
-      await world.advance(100)
+      fixture.tell([])
+      await fixture.advance(100)
     }
-    expect(world.ask()).toBeUndefined()
-    world.task.stop()
+    expect(fixture.ask()).toBeUndefined()
+    fixture.task.stop()
   })
 
-  it('asks nobody while all hosts are silent, nor where it has nobody to ask through', async () => {
-    const world = new LoadBoardFixture()
-    world.tell([silent])
-    await world.advance(3000)
-    const { probes: questions } = world
-    await world.advance(10_000)
-    expect(world.probes).toBe(questions)
+  it('probes nothing while no host reports, or without a probe', async () => {
+    const fixture = new LoadBoardFixture()
+    fixture.tell([silent])
+    await fixture.advance(3000)
+    const { probes } = fixture
+    await fixture.advance(10_000)
+    expect(fixture.probes).toBe(probes)
     const withoutProbe = new LoadBoardFixture({ probe: undefined })
     withoutProbe.tell([silent])
     expect(vi.getTimerCount()).toBe(0)
   })
 
-  it('asks no endpoint that the site does not have', async () => {
-    const world = new LoadBoardFixture({ endpoints: () => [] })
-    world.tell([silent])
-    await world.advance(500)
-    expect(world.probes).toBe(0)
+  it('probes no endpoint that is missing from the site', async () => {
+    const fixture = new LoadBoardFixture({ endpoints: () => [] })
+    fixture.tell([silent])
+    await fixture.advance(500)
+    expect(fixture.probes).toBe(0)
   })
 })
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -1,9 +1,9 @@
 /**
- * Answers entry hosts' load reports with the work of all hosts, and asks endpoints that
- * seem to answer none of them whether they live.
+ * Answers the load reports of entry hosts with the totals of all hosts, and probes
+ * endpoints that seem to answer none of the hosts.
  *
- * Datagrams and not calls: a report is worth nothing a tenth of a second later, and a lost
- * one is made good by the next.
+ * Reports are sent as datagrams instead of calls, because a report is worthless after a
+ * tenth of a second and a lost one is replaced by the next.
  */
 import { incarnationName } from '@eelgrassmux/routing/endpoints/incarnationName'
 import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
@@ -15,50 +15,50 @@
 import type { ReplicatedService } from '@eelgrassmux/schema/site/siteSchema'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** Interval between looks at who is silent, in milliseconds: a quarter of the silence that counts. */
+/** Interval between checks for silent endpoints, in milliseconds. This is a quarter of the silence after which an endpoint is probed. */
 const SILENCE_CHECK_INTERVAL_MS = 100
 
-/** Asks an endpoint whether it lives. */
+/** Probes whether an endpoint is alive. */
 export interface EndpointProbe {
   /**
-   * @param endpoint - whom to ask
-   * @param service - that it belongs to
-   * @returns whether it gave any answer, good or bad, in good time
+   * @param endpoint - endpoint to probe
+   * @param service - service of the endpoint
+   * @returns whether the endpoint gave any answer in time, including an error
    */
   isResponsive (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
 
   /**
-   * @param endpoint - whom to ask
-   * @param service - that it belongs to
-   * @returns whether that very instance has ended: nobody listens at its address, or another one does; undefined if that can't be told
+   * @param endpoint - endpoint to probe
+   * @param service - service of the endpoint
+   * @returns true if nothing listens at the address or another instance does, false if the same instance is still running, and undefined if this cannot be determined
    */
   hasCrashed (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean | undefined>
 }
 
-/** What the task needs from around it. */
+/** Dependencies of the task. */
 export interface LoadBoardPorts {
-  /** Absent where endpoints are not asked. */
+  /** Absent if endpoints are not probed. */
   readonly probe?: EndpointProbe | undefined
-  /** Endpoints of the site, as of now. */
+  /** Returns the current endpoints of the site. */
   endpoints (): readonly ListedEndpoint[]
-  /** @returns the service of that name, if the site has it */
+  /** @returns the service with the given name, or undefined if the site does not define it */
   service (name: string): ReplicatedService | undefined
   readonly telemetry: Telemetry
 }
 
-/** Adds up while hosts report. */
+/** Aggregates load reports while hosts send them. */
 export class LoadBoardTask {
   readonly #board = new LoadBoard()
   readonly #silentEndpoints = new SilentEndpoints()
   #encoded: { readonly totals: Totals, readonly bytes: Uint8Array } | undefined
   #timer: NodeJS.Timeout | undefined
 
-  /** @param ports - surroundings */
+  /** @param ports - dependencies */
   constructor (private readonly ports: LoadBoardPorts) {
     ports.telemetry.gauge('endpoints_unresponsive', 'Endpoints that answer neither hosts nor this control host', () => this.#silentEndpoints.unresponsive.length)
   }
 
-  /** @param datagrams - where to register */
+  /** @param datagrams - datagram server on which to register the methods */
   register (datagrams: DatagramServer): void {
     datagrams.handle(tellLoad, report => {
       this.#board.observe(report, performance.now())
@@ -72,7 +72,7 @@
     })
   }
 
-  /** Ends asking. */
+  /** Stops the checks. */
   stop (): void {
     clearInterval(this.#timer)
     this.#timer = undefined
@@ -81,13 +81,13 @@
   #totalsFor (host: string): Uint8Array | undefined {
     const totals = this.#board.totals(performance.now())
     const sequence = totals.sequences.get(host)
-    // A host that was added since hears of the totals with its next report.
+    // A host that is not in the totals yet receives them with its next report.
     if (sequence === undefined) return undefined
     if (this.#encoded?.totals !== totals) this.#encoded = { totals, bytes: encodeLoadTotals(totals) }
     return frameLoadTotals(sequence, this.#encoded.bytes)
   }
 
-  /** Looks only while hosts report here: they report to the leader. */
+  /** Starts the checks when a report arrives. Hosts report only to the leader, so other replicas run no checks. */
   #startChecks (): void {
     if (this.ports.probe === undefined || this.#timer !== undefined) return
     this.#timer = setInterval(() => { this.#checkSilence() }, SILENCE_CHECK_INTERVAL_MS)
--- a/apps/control/src/lib/orders/OrderTask.test.ts
+++ b/apps/control/src/lib/orders/OrderTask.test.ts
@@ -8,7 +8,7 @@
 
 const LEASE_MS = 240
 
-/** Lease and bound of a predecessor's last order, in milliseconds. */
+/** Lease of a predecessor and timeout of its last order, in milliseconds. */
 const WAIT_MS = LEASE_MS + 1000
 
 const DOCUMENTS: ConfigurationDocument[] = [
@@ -50,14 +50,14 @@
 
   const advance = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
 
-  it('waits out the last order of the leader before it', async () => {
+  it('waits until the last order of the previous leader has timed out', async () => {
     await advance(WAIT_MS)
     expect(orders).toBe(0)
     await advance(1000)
     expect(orders).toBeGreaterThan(0)
   })
 
-  it('waits again if another host led between two looks', async () => {
+  it('waits again if another host was the leader between two polls', async () => {
     await advance(900)
     core.term = 4
     await advance(WAIT_MS)
@@ -66,8 +66,8 @@
     expect(orders).toBeGreaterThan(0)
   })
 
-  it('gives no order if another host led while the engines were asked', async () => {
-    // Looks come every 300 ms, the first at 300; the one at 1800 is the first after the wait.
+  it('sends no order if another host became the leader while the engines were polled', async () => {
+    // Polls run every 300 ms from 300 ms on. The poll at 1800 ms is the first one after the wait.
     await advance(1700)
     expect(orders).toBe(0)
     whileReporting = () => { core.term = 4 }
--- a/apps/control/src/lib/orders/OrderTask.ts
+++ b/apps/control/src/lib/orders/OrderTask.ts
@@ -1,11 +1,12 @@
 /**
- * Brings engines to the desired weight versions. Runs on every control host and
- * acts only on the leader.
+ * Orders engines to load the desired weight versions. The task runs on every
+ * control host and acts only on the leader.
  *
- * Each order carries the term and commit index as fencing number. Endpoints that
- * ignore it are protected by time: an order is sent only under a confirmed
- * lease, checked again just before the write, and is given up after a bound; a
- * new leader first waits out the lease and the bound of its predecessor.
+ * Each order carries the term and the commit index as fencing token. Endpoints
+ * that ignore the token are protected by timing: an order is sent only under a
+ * confirmed lease, which is checked again just before the call, and is abandoned
+ * after a timeout. A new leader first waits for the lease and the timeout of its
+ * predecessor to expire.
  */
 import type { EngineBackend } from '@eelgrassmux/backends/EngineClient'
 import type { EngineReport } from '@eelgrassmux/backends/engineProtocol'
@@ -16,16 +17,16 @@
 import type { RaftTask } from '../raft/RaftTask.js'
 import { planLoads, type ObservedEngine } from './planLoads.js'
 
-/** Interval between looks at the engines, in milliseconds. */
+/** Interval between polls of the engines, in milliseconds. */
 const RECONCILE_INTERVAL_MS = 300
 
-/** Bound on one order, in milliseconds. */
+/** Timeout of one order, in milliseconds. */
 const ORDER_TIMEOUT_MS = 1000
 
-/** After this time without an effect an order counts as lost, in milliseconds. */
+/** Time after which an order without a visible effect is considered lost, in milliseconds. */
 const ORDER_EFFECT_TIMEOUT_MS = 3000
 
-/** Counts what became of each order. */
+/** Counts orders by outcome. */
 export type OrderCounter = (outcome: 'sent' | 'accepted' | 'stale-fence' | 'failed' | 'lease-lost') => void
 
 /** Reconciles engines with the configuration. */
@@ -39,9 +40,9 @@
   #isReconciling = false
 
   /**
-   * @param raft - log, lease and state
-   * @param connect - opens a client to an engine's address
-   * @param counter - counts outcomes
+   * @param raft - replica with the log, the lease and the state
+   * @param connect - opens a client for the address of an engine
+   * @param counter - counts orders by outcome
    */
   constructor (
     private readonly raft: RaftTask,
@@ -49,18 +50,18 @@
     private readonly counter: OrderCounter
   ) {}
 
-  /** Starts to look at the engines. */
+  /** Starts to poll the engines. */
   start (): void {
     this.#timer = setInterval(() => { void this.#reconcile() }, RECONCILE_INTERVAL_MS)
   }
 
-  /** Stops and closes all connections. */
+  /** Stops polling and closes all connections. */
   async stop (): Promise<void> {
     clearInterval(this.#timer)
     for (const client of this.#clients.values()) await client.close()
   }
 
-  /** @returns each engine's state against the desired one */
+  /** @returns the state of each engine compared with the desired version */
   reports (): OrderReport[] {
     return [...this.#index.engines.values()].map(endpoint => {
       const report = this.#reports.get(endpoint.name)
--- a/apps/control/src/lib/orders/planLoads.ts
+++ b/apps/control/src/lib/orders/planLoads.ts
@@ -1,31 +1,31 @@
 /** Decides which engines are ordered to load weights next. */
 
-/** What a model's engines should run, and how many of them must go on serving. */
+/** Desired weight version of a model, and the number of its engines that must keep serving. */
 export interface LoadTarget {
   readonly name: string
   readonly version: string
   readonly servingFloor: number
 }
 
-/** An engine as last observed. */
+/** Last observed state of an engine. */
 export interface ObservedEngine<Endpoint extends { readonly model: string } = { readonly model: string }> {
   readonly endpoint: Endpoint
-  /** Undefined while it does not answer. */
+  /** Undefined while the engine does not answer. */
   readonly runningVersion: string | undefined
   readonly loadingVersion: string | undefined
-  /** An order sent lately that its reports do not show yet. */
+  /** Whether an order was sent recently whose effect the engine does not report yet. */
   readonly orderPending: boolean
 }
 
-/** Weight loads allowed at once: the weight store slows down for everybody beyond this. */
+/** Maximum number of concurrent weight loads. More than this slows down the weight store for all engines. */
 export const MAX_CONCURRENT_LOADS = 2
 
 /**
- * Plans the next orders under the permits and each model's serving floor.
+ * Plans the next orders within the limit of concurrent loads and the serving floor of each model.
  *
  * @param models - desired versions
  * @param engines - all configured engines
- * @param maxConcurrentLoads - engines that may load at the same time
+ * @param maxConcurrentLoads - number of engines that may load at the same time
  * @returns engines to order now, each with the version to load
  */
 export function planLoads<Endpoint extends { readonly model: string }> (
--- a/apps/control/src/lib/quarantine/ConfiguredCrashDetector.ts
+++ b/apps/control/src/lib/quarantine/ConfiguredCrashDetector.ts
@@ -1,4 +1,4 @@
-/** {@link CrashDetector} of endpoints that the configuration names: they count their starts and say so. */
+/** {@link CrashDetector} for endpoints of the configuration, which count their starts and report the count. */
 import { EngineClient } from '@eelgrassmux/backends/EngineClient'
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
 import { ServiceClient } from '@eelgrassmux/backends/ServiceClient'
@@ -7,14 +7,14 @@
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { CrashKnowledge, CrashDetector } from './CrashDetector.js'
 
-/** Asks an endpoint for its incarnation. */
+/** Queries the incarnation of an endpoint. */
 export type IncarnationQuery = (endpoint: EngineEndpoint | PlainEndpoint) => Promise<Result<{ readonly incarnation: number }, BackendError>>
 
-/** Knows the endpoints of the configuration in force. */
+/** Detects crashes of endpoints of the current configuration. */
 export class ConfiguredCrashDetector implements CrashDetector {
   /**
-   * @param configuration - in force, as of now
-   * @param ask - asks an endpoint
+   * @param configuration - returns the current configuration
+   * @param ask - queries the incarnation of an endpoint
    */
   constructor (private readonly configuration: () => Configuration, private readonly ask: IncarnationQuery = queryIncarnation) {}
 
--- a/apps/control/src/lib/quarantine/CrashChecker.ts
+++ b/apps/control/src/lib/quarantine/CrashChecker.ts
@@ -1,10 +1,10 @@
-/** Finds out whether endpoints to which connections broke have ended, with few questions. */
+/** Determines with few probes whether endpoints have crashed after their connections broke. */
 import type { CrashProbe } from './CrashDetector.js'
 
-/** Pause before an endpoint whose state could not be told is asked again, in milliseconds. */
+/** Delay before an endpoint whose state could not be determined is probed again, in milliseconds. */
 const RETRY_DELAY_MS = 500
 
-/** Questions to one endpoint; after that only what is known without asking tells. */
+/** Maximum number of probes of one endpoint. After that, only a detector that needs no probe can settle its state. */
 const MAX_ATTEMPTS = 6
 
 interface ProbeState {
@@ -13,32 +13,32 @@
   isPending: boolean
 }
 
-/** Asks each endpoint until the answer is certain. */
+/** Probes each endpoint until its state is certain. */
 export class CrashChecker {
   readonly #probes = new Map<string, ProbeState>()
 
-  /** @param onAnswer - told once of each endpoint whose state is certain */
+  /** @param onAnswer - called once for each endpoint whose state has become certain */
   constructor (private readonly onAnswer: (endpoint: string, hasCrashed: boolean) => void) {}
 
   /**
-   * @param name - incarnation
-   * @param question - to it
+   * @param name - name of the incarnation
+   * @param probe - probe of the incarnation
    * @param now - monotonic milliseconds
    */
-  ask (name: string, question: CrashProbe, now: number): void {
-    const { attempts: questions, isPending: isUnderWay, askedAt } = this.#probes.get(name) ?? { attempts: 0, isPending: false, askedAt: Number.NEGATIVE_INFINITY }
-    if (isUnderWay || questions >= MAX_ATTEMPTS || now - askedAt < RETRY_DELAY_MS) return
-    this.#probes.set(name, { attempts: questions + 1, isPending: true, askedAt: now })
-    void this.#probe(name, question)
+  ask (name: string, probe: CrashProbe, now: number): void {
+    const { attempts, isPending, askedAt } = this.#probes.get(name) ?? { attempts: 0, isPending: false, askedAt: Number.NEGATIVE_INFINITY }
+    if (isPending || attempts >= MAX_ATTEMPTS || now - askedAt < RETRY_DELAY_MS) return
+    this.#probes.set(name, { attempts: attempts + 1, isPending: true, askedAt: now })
+    void this.#probe(name, probe)
   }
 
-  /** @param isRelevant - whether the state of an incarnation still matters; what is known of others goes */
+  /** @param isRelevant - returns whether the state of an incarnation is still needed; other incarnations are dropped */
   retain (isRelevant: (name: string) => boolean): void {
-    for (const [name, { isPending: isUnderWay }] of this.#probes) if (!isUnderWay && !isRelevant(name)) this.#probes.delete(name)
+    for (const [name, { isPending }] of this.#probes) if (!isPending && !isRelevant(name)) this.#probes.delete(name)
   }
 
-  async #probe (name: string, question: CrashProbe): Promise<void> {
-    const hasCrashed = await question()
+  async #probe (name: string, probe: CrashProbe): Promise<void> {
+    const hasCrashed = await probe()
     const state = this.#probes.get(name)
     if (state !== undefined) state.isPending = false
     if (hasCrashed === undefined) return
--- a/apps/control/src/lib/quarantine/CrashDetector.ts
+++ b/apps/control/src/lib/quarantine/CrashDetector.ts
@@ -1,37 +1,37 @@
-/** Whether endpoints have ended to which connections broke. */
+/** Detects whether endpoints have crashed after their connections broke. */
 import { incarnationName } from '@eelgrassmux/routing/endpoints/incarnationName'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { ReplicatedService } from '@eelgrassmux/schema/site/siteSchema'
 import type { EndpointProbe } from '../load/LoadBoardTask.js'
 
-/** Asks an endpoint; the answer is undefined where it can't be told yet. */
+/** Probes an endpoint. Resolves to undefined if it cannot be determined yet whether the endpoint has crashed. */
 export type CrashProbe = () => Promise<boolean | undefined>
 
-/** What is known without asking: that it has ended, how to ask, or nothing. */
+/** Knowledge about an endpoint before it is probed: `ended`, a probe to run, or undefined if neither is available. */
 export type CrashKnowledge = 'ended' | CrashProbe | undefined
 
-/** Knows endpoints. */
+/** Finds out which incarnations of endpoints have ended. */
 export interface CrashDetector {
   /**
-   * @param names - incarnations
-   * @returns what is known of each
+   * @param names - names of incarnations
+   * @returns the knowledge about each incarnation
    */
   check (names: readonly string[]): Map<string, CrashKnowledge>
 }
 
-/** What {@link ListedCrashDetector} needs from around it. */
+/** Dependencies of {@link ListedCrashDetector}. */
 export interface ListedCrashDetectorPorts {
-  /** Endpoints of the site, as of now. */
+  /** Returns the current endpoints of the site. */
   endpoints (): readonly ListedEndpoint[]
-  /** @returns the service of that name, if the site has it */
+  /** @returns the service with the given name, or undefined if the site does not define it */
   service (name: string): ReplicatedService | undefined
-  /** Absent where endpoints are not asked: then only the list tells. */
+  /** Absent if endpoints are not probed; crashes are then detected only by the list. */
   readonly probe?: EndpointProbe | undefined
 }
 
-/** {@link CrashDetector} by the platform's list: what is listed no more has ended. */
+/** {@link CrashDetector} based on the platform's list. An incarnation that is no longer listed has ended. */
 export class ListedCrashDetector implements CrashDetector {
-  /** @param ports - surroundings */
+  /** @param ports - dependencies */
   constructor (private readonly ports: ListedCrashDetectorPorts) {}
 
   check (names: readonly string[]): Map<string, CrashKnowledge> {
@@ -46,7 +46,7 @@
     if (probe === undefined) return undefined
     return async () => {
       const hasCrashed = await probe.hasCrashed(endpoint, service)
-      // One that may start again under its id would answer for its next incarnation: only the list tells.
+      // An endpoint that can restart under its id may already answer as its next incarnation, so only the list can rule out a crash.
       return hasCrashed === false && endpoint.startedAtMs !== undefined ? undefined : hasCrashed
     }
   }
--- a/apps/control/src/lib/quarantine/QuarantineTask.test.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.test.ts
@@ -17,14 +17,14 @@
 const listed = (id: string): ListedEndpoint => ({ id, service: 's', address: '10.0.0.1:80', dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [] })
 const service = { type: 'replicated' as const, name: 's', connectionsPerEndpoint: 1, healthPath: '/' }
 
-/** A leader whose commands are applied at once, and endpoints that answer as a test says. */
+/** Leader that applies commands immediately, with endpoints that answer as the test defines. */
 class FakeLeader {
   readonly state = new StateMachine()
   readonly probed: string[] = []
   readonly commands: Command[] = []
   readonly listed = new Map<string, ListedEndpoint>()
   isLeader = true
-  /** Of endpoints that are listed; undefined where it can't be told. */
+  /** Probe result of listed endpoints; undefined if the state cannot be determined. */
   hasCrashed: boolean | undefined = true
   failedProposals = 0
   readonly task = new QuarantineTask({
@@ -80,28 +80,28 @@
     }
   }
 
-  it('quarantines what was at three ends, and asks nothing of endpoints that are listed no more', async () => {
+  it('quarantines a request that was present at three crashes, and does not probe endpoints that are no longer listed', async () => {
     await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
     expect(leader.state.quarantine.all).toHaveLength(1)
     expect(leader.probed).toEqual([])
   })
 
-  it('asks each endpoint that is still listed once', async () => {
+  it('probes each endpoint that is still listed once', async () => {
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, listed(id))
     await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
     expect(leader.probed).toEqual(['e1', 'e2', 'e3'])
   })
 
-  it('charges nobody with endpoints that live', async () => {
+  it('does not count lost connections of endpoints that are still running', async () => {
     leader.hasCrashed = false
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, listed(id))
     await crashThree()
     expect(leader.state.quarantine.all).toEqual([])
   })
 
-  it('leaves the word to the list where the endpoint may start again under its id, or says nothing', async () => {
+  it('relies on the list if the endpoint can restart under its id, and limits the number of probes', async () => {
     for (const id of ['e1', 'e2', 'e3']) leader.listed.set(id, { ...listed(id), startedAtMs: 7 })
     leader.hasCrashed = false
     await crashThree(['e1@7', 'e2@7', 'e3@7'])
@@ -113,20 +113,20 @@
     expect(leader.stateOf(POISON)).toBe('quarantined')
   })
 
-  it('proposes again what was not appended', async () => {
+  it('proposes a decision again if it was not applied', async () => {
     leader.failedProposals = 2
     await crashThree()
     expect(leader.stateOf(POISON)).toBe('quarantined')
   })
 
-  it('clears a request that came through, also one that is quarantined', async () => {
+  it('clears a request that has completed, even if it is quarantined', async () => {
     await crashThree()
     leader.task.observe({ host: 'h', losses: [], completed: [POISON, OTHER] })
     await vi.advanceTimersByTimeAsync(100)
     expect(leader.state.quarantine.all).toEqual([])
   })
 
-  it('takes no report where it does not lead, and forgets what it held when it leads no more', async () => {
+  it('accepts reports only on the leader, and drops its evidence when the leadership ends', async () => {
     leader.reportLoss('e1', POISON)
     leader.reportLoss('e2', POISON)
     leader.isLeader = false
@@ -138,7 +138,7 @@
     expect(leader.state.quarantine.all).toEqual([])
   })
 
-  it('releases when the time is over, and quarantines again after one more end, for longer', async () => {
+  it('releases a request when the quarantine expires, and quarantines it for longer after one more crash', async () => {
     await crashThree()
     await vi.advanceTimersByTimeAsync(15 * MINUTE_MS)
     expect(leader.stateOf(POISON)).toBe('released')
@@ -149,12 +149,12 @@
     expect(leader.stateOf(POISON)).toBe('quarantined')
   })
 
-  it('does nothing at rest', async () => {
+  it('proposes nothing and runs only the expiry timer when no reports arrive', async () => {
     await crashThree()
     const { length } = leader.commands
     await vi.advanceTimersByTimeAsync(5 * MINUTE_MS)
     expect(leader.commands).toHaveLength(length)
-    // The look at entries that are over.
+    // The remaining timer checks for expired entries.
     expect(vi.getTimerCount()).toBe(1)
   })
 })
@@ -168,15 +168,15 @@
   }
 
   it.each([
-    ['counts another start', succeed({ incarnation: 8 }), true],
-    ['counts the same', succeed({ incarnation: 7 }), false],
-    ['can\'t be reached', fail({ kind: 'connect-failed' as const }), true],
-    ['says nothing in time', fail({ kind: 'timeout' as const }), undefined]
-  ])('asks the endpoint, which %s', async (_case, answer, expected) => {
+    ['reports another incarnation', succeed({ incarnation: 8 }), true],
+    ['reports the same incarnation', succeed({ incarnation: 7 }), false],
+    ['cannot be reached', fail({ kind: 'connect-failed' as const }), true],
+    ['does not answer in time', fail({ kind: 'timeout' as const }), undefined]
+  ])('queries an endpoint that %s', async (_case, answer, expected) => {
     expect(await hasCrashed('engine-0#7', answer)).toBe(expected)
   })
 
-  it.each(['engine-9#7', 'engine-0', 'engine-0#'])('takes what the configuration does not name for ended (%s)', async name => {
+  it.each(['engine-9#7', 'engine-0', 'engine-0#'])('considers an incarnation that is not in the configuration as ended (%s)', async name => {
     expect(await hasCrashed(name, succeed({ incarnation: 7 }))).toBe(true)
   })
 })
@@ -185,11 +185,11 @@
   const state = new StateMachine()
   state.apply({ stampedAt: 1000, command: { kind: 'change-quarantine', decisions: [{ fingerprint: POISON, service: 's', decision: 'quarantine', forMs: 5000 }] } })
 
-  it('tells all to who knows nothing, with the time that is left', () => {
+  it('contains all entries with their remaining time if no changes are given', () => {
     expect(quarantineMessage(state.quarantine, undefined, 2000)).toEqual({ quarantine: [{ fingerprint: POISON, service: 's', state: 'quarantined', quarantines: 1, leftMs: 4000 }] })
   })
 
-  it('tells what changed and what is gone to others, and nothing if nothing did', () => {
+  it('contains the changed and removed entries, and nothing if there are no changes', () => {
     expect(quarantineMessage(state.quarantine, [OTHER, POISON, OTHER], 9000)).toMatchObject({ quarantine: [{ leftMs: 0 }], quarantineRemoved: [OTHER] })
     expect(quarantineMessage(state.quarantine, [], 2000)).toEqual({})
   })
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -1,9 +1,9 @@
 /**
- * Finds requests that crash the endpoints that run them, from what all entry hosts report, and
- * proposes that they be quarantined.
+ * Finds requests that crash the endpoints that run them, based on the reports of all entry
+ * hosts, and proposes to quarantine them.
  *
- * Only the leader adds up, in memory; what is decided is in the agreed log. Hosts tell a new
- * leader again what they hold, so that a change of leader loses no evidence.
+ * Only the leader correlates the reports, in memory; decisions are committed to the log. Hosts
+ * send the reports they hold again to a new leader, so that a change of leader loses no evidence.
  */
 import { CrashCorrelator } from '@eelgrassmux/routing/quarantine/CrashCorrelator'
 import { reportCrashes, type ReportCrashesRequest, type ReportCrashesResponse } from '@eelgrassmux/rpc/methods/quarantineMethods'
@@ -15,22 +15,22 @@
 import { CrashChecker } from './CrashChecker.js'
 import type { CrashDetector } from './CrashDetector.js'
 
-/** Interval between looks while reports settle and endpoints answer, in milliseconds. */
+/** Interval between checks while further reports and answers of endpoints arrive, in milliseconds. */
 const SETTLING_CHECK_INTERVAL_MS = 100
 
-/** Time after the last news in which that may go on, in milliseconds. */
+/** Time after the last evidence in which further reports and answers may arrive, in milliseconds. */
 const SETTLING_PERIOD_MS = 1000
 
-/** Interval between looks after that, in milliseconds. */
+/** Interval between checks after the settling period, in milliseconds. */
 const ACTIVE_CHECK_INTERVAL_MS = 500
 
-/** Time after the last news in which the list may still tell that an endpoint has ended, in milliseconds. */
+/** Time after the last evidence in which the endpoint list may still show that an endpoint has ended, in milliseconds. */
 const ACTIVE_PERIOD_MS = 15_000
 
-/** Interval between looks at entries that are over, in milliseconds. */
+/** Interval between checks for expired quarantine entries, in milliseconds. */
 const EXPIRY_CHECK_INTERVAL_MS = 1000
 
-/** What the task needs from around it. */
+/** Dependencies of the task. */
 export interface QuarantinePorts {
   isLeader (): boolean
   readonly register: QuarantineRegister
@@ -39,7 +39,7 @@
   readonly telemetry: Telemetry
 }
 
-/** Works while hosts report. */
+/** Correlates crash reports and proposes quarantine decisions. */
 export class QuarantineTask {
   readonly #correlator = new CrashCorrelator()
   readonly #crashChecker: CrashChecker
@@ -49,10 +49,10 @@
   #checkTimer: NodeJS.Timeout | undefined
   #lastEvidenceAt = 0
   #isProposing = false
-  /** Decided while a proposal was under way. */
+  /** Decisions made while a proposal is in progress. */
   #queuedDecisions: QuarantineDecision[] = []
 
-  /** @param ports - surroundings */
+  /** @param ports - dependencies */
   constructor (private readonly ports: QuarantinePorts) {
     const { telemetry } = ports
     this.#decisions = telemetry.labelledCounter('quarantine_decisions_total', 'Changes of the quarantine by kind', 'decision')
@@ -63,14 +63,14 @@
     this.#expireTimer = setInterval(() => { this.#expire() }, EXPIRY_CHECK_INTERVAL_MS)
   }
 
-  /** @param server - where to register */
+  /** @param server - RPC server on which to register the method */
   register (server: RpcServer): void {
     server.handle(reportCrashes, async report => this.observe(report))
   }
 
   /**
-   * @param report - of one host
-   * @returns whether it was taken
+   * @param report - report of one host
+   * @returns whether the report was accepted, which only the leader does
    */
   observe ({ losses, completed }: ReportCrashesRequest): ReportCrashesResponse {
     if (!this.ports.isLeader()) {
@@ -85,7 +85,7 @@
     return { isTaken: true }
   }
 
-  /** Ends judging. */
+  /** Stops all checks. */
   stop (): void {
     clearInterval(this.#expireTimer)
     clearTimeout(this.#checkTimer)
@@ -110,7 +110,7 @@
     const idleMs = now - this.#lastEvidenceAt
     if (idleMs < ACTIVE_PERIOD_MS) this.#scheduleCheck(idleMs < SETTLING_PERIOD_MS ? SETTLING_CHECK_INTERVAL_MS : ACTIVE_CHECK_INTERVAL_MS)
     this.#verifyCrashes(now)
-    // What is under way would be decided a second time.
+    // While a proposal is in progress, its decisions would be made a second time.
     if (!this.#isProposing) this.#propose(this.#correlator.decide(this.ports.register, now))
   }
 
--- a/apps/control/src/lib/quarantine/quarantineMessage.ts
+++ b/apps/control/src/lib/quarantine/quarantineMessage.ts
@@ -1,17 +1,17 @@
-/** Entries as views carry them. */
+/** Converts quarantine entries to the format of view messages. */
 import type { QuarantineEntryMessage } from '@eelgrassmux/schema/quarantineEntry'
 import type { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
 
-/** The part of a view that is about entries; what is absent is empty. */
+/** Quarantine fields of a view message. Empty fields are omitted. */
 export interface QuarantineMessage {
   quarantine?: QuarantineEntryMessage[]
   quarantineRemoved?: string[]
 }
 
 /**
- * @param register - all entries
- * @param changedFingerprints - requests on which the entry has changed; undefined to tell all
- * @param clock - wall clock in milliseconds, by which entries end
+ * @param register - all quarantine entries
+ * @param changedFingerprints - fingerprints of requests whose entries have changed; undefined to include all entries
+ * @param clock - current wall clock time in milliseconds, from which the remaining time of entries is computed
  */
 export function quarantineMessage (register: QuarantineRegister, changedFingerprints: readonly string[] | undefined, clock: number): QuarantineMessage {
   const changed = changedFingerprints === undefined ? register.all : [...new Set(changedFingerprints)].flatMap(fingerprint => register.find(fingerprint) ?? [])
--- a/apps/control/src/lib/raft/RaftTask.test.ts
+++ b/apps/control/src/lib/raft/RaftTask.test.ts
@@ -10,7 +10,7 @@
 
 const COMMAND: Command = { kind: 'name-weights', model: 'base', version: 1 }
 
-/** Steps the tests' disk may wait on; each resolves when it is called. */
+/** One-time signal that a test or its storage can wait for. */
 class Signal {
   readonly raised: Promise<void>
   #resolve = (): void => {}
@@ -24,7 +24,7 @@
   }
 }
 
-/** Records what a task decides and reports. */
+/** Records the decisions and failures that a task reports. */
 class DecisionRecorder {
   readonly decisions: CommandDecision[] = []
   readonly failures: unknown[] = []
@@ -49,7 +49,7 @@
 const noop = async (): Promise<void> => {}
 
 describe('RaftTask', () => {
-  it('closes its disk only when the write under way is done', async () => {
+  it('closes its storage only after the write in progress has completed', async () => {
     const order: string[] = []
     const writing = new Signal()
     const mayWrite = new Signal()
@@ -68,7 +68,7 @@
   })
 
   describe('when a write fails', () => {
-    /** Founds a group on a disk whose write waits, lets the task begin to close or not, and lets the write fail. */
+    /** Founds a group on a storage with a blocked write, optionally starts to close the task, and then makes the write fail. */
     async function failWrite (error: Error, isClosing: boolean): Promise<DecisionRecorder> {
       const recorder = new DecisionRecorder()
       const writing = new Signal()
@@ -92,19 +92,19 @@
       expect(await failWrite(error, false)).toEqual({ decisions: [], failures: [error], lostWhileClosing: [] })
     })
 
-    it('says so and goes on closing, if it is closing: nothing was acknowledged that the write stands for', async () => {
+    it('reports the failure and continues to close if the task is closing, because nothing that depends on the write was acknowledged', async () => {
       const error = new Error('the disk is gone')
       expect(await failWrite(error, true)).toEqual({ decisions: [], failures: [], lostWhileClosing: [error] })
     })
 
-    it('stops the process for a broken invariant also while it is closing', async () => {
+    it('stops the process for an invariant violation even while it is closing', async () => {
       const error = new InvariantViolation('storage-open', 'write after close')
       expect(await failWrite(error, true)).toEqual({ decisions: [], failures: [error], lostWhileClosing: [] })
     })
   })
 
   describe('in a group that is still forming', () => {
-    it('holds back a command that came before the founder was elected and is stepped after', async () => {
+    it('refuses a command that is proposed before the election of the founder and processed after it', async () => {
       const recorder = new DecisionRecorder()
       const task = newTask(noop, noop, 5, recorder)
       const founded = task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
@@ -119,7 +119,7 @@
       expect(recorder.decisions).toMatchObject([{ isTaken: false, formation: { isFormed: false, voters: 1, needed: 5, membershipIndex: 1 } }])
     })
 
-    it('tells of a decision once, and again when it has changed', async () => {
+    it('reports a decision once, and again when the membership has changed', async () => {
       const recorder = new DecisionRecorder()
       const task = newTask(noop, noop, 5, recorder)
       await task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
@@ -133,7 +133,7 @@
       expect(recorder.decisions.map(({ isTaken, formation }) => [isTaken, formation.membershipIndex])).toEqual([[false, 1], [false, 3]])
     })
 
-    it('takes a command of a group that needs one voter only', async () => {
+    it('accepts a command in a group that needs only one voter', async () => {
       const recorder = new DecisionRecorder()
       const task = newTask(noop, noop, 1, recorder)
       await task.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
--- a/apps/control/src/lib/raft/changeMembership.test.ts
+++ b/apps/control/src/lib/raft/changeMembership.test.ts
@@ -27,7 +27,7 @@
 
   afterEach(async () => { await task.close() })
 
-  /** Steps the replica with a message, as its mailbox does, and waits until that is done. */
+  /** Delivers a message to the replica through its mailbox and waits until it is processed. */
   async function receive (message: RaftMessage): Promise<void> {
     await task.change((core, now) => ({ ok: true, value: core.receive(message, now) }))
   }
@@ -44,7 +44,7 @@
     expect(task.core.commitIndex).toBe(2)
   }
 
-  it('is done once the change is committed', async () => {
+  it('returns `done` once the change is committed', async () => {
     await lead()
     const answer = changeMembership(task, { kind: 'remove', id: 'c' })
     await acknowledge(3)
@@ -52,7 +52,7 @@
     expect(task.core.committedMembership.voters.map(voter => voter.id)).toEqual(['a', 'b'])
   })
 
-  it('is not done when another leader has overwritten the change', async () => {
+  it('refuses the change if another leader has overwritten it', async () => {
     await lead()
     const answer = changeMembership(task, { kind: 'remove', id: 'c' })
     await receive({
@@ -63,7 +63,7 @@
     expect(task.core.committedMembership).toEqual(MEMBERSHIP)
   })
 
-  it('names the leader on any other replica, whatever its own membership says', async () => {
+  it('returns the leader on any other replica, regardless of its own membership', async () => {
     await receive({ kind: 'append-request', from: 'b', term: 2, previousIndex: 1, previousTerm: 1, entries: [], commitIndex: 1, sentAt: 0 })
     expect(await changeMembership(task, { kind: 'add-learner', replica: { id: 'c', address: 'c' } })).toEqual({ kind: 'not-leader', leader: 'b' })
     expect(await changeMembership(task, { kind: 'remove', id: 'gone' })).toEqual({ kind: 'not-leader', leader: 'b' })
--- a/apps/control/src/lib/raft/joinGroup.test.ts
+++ b/apps/control/src/lib/raft/joinGroup.test.ts
@@ -10,7 +10,7 @@
 const LEADER: Replica = { id: 'leader', address: 'leader' }
 const FRESH: Replica = { id: 'fresh', address: 'fresh' }
 
-/** A leader that does what it is asked, and a contact that has not joined any group yet. */
+/** Simulates a leader that makes every requested change, and a contact that has not joined a group yet. */
 class FakeContacts {
   readonly changes: MembershipChange[] = []
 
@@ -23,7 +23,7 @@
 }
 
 describe('joinGroup', () => {
-  it('removes its former identity although the first contact knows of no group', async () => {
+  it('removes its earlier id even if the first contact does not know the group', async () => {
     const contacts = new FakeContacts()
     const core: JoiningReplica = { self: SELF, leader: LEADER, membership: { voters: [LEADER, FORMER], learners: [SELF] } }
     await joinGroup(contacts as unknown as RpcClient, core, () => [FRESH.address, LEADER.address], () => false)
--- a/apps/control/src/lib/raft/surplusReplicas.test.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.test.ts
@@ -6,7 +6,7 @@
 
 const replica = (id: string): Replica => ({ id, address: `10.0.0.${id.length}:${id}` })
 
-/** A leader whose peers answer as long as they are named. */
+/** A leader with simulated peers, which answer until they are silenced. */
 class SimulatedGroup {
   readonly leader = new RaftCore(replica('self'), { term: 0, votedFor: undefined, snapshot: undefined, entries: [] }, DEFAULT_RAFT_SETTINGS, () => 0.5, 0)
   readonly #answering = new Set<string>()
@@ -33,7 +33,7 @@
     this.leader.addLearner(replica(id), this.now)
   }
 
-  /** Ten milliseconds a step; peers take everything that is sent to them. */
+  /** Runs in steps of 10 ms. Answering peers accept all entries sent to them. */
   run (forMs: number): void {
     for (const end = this.now + forMs; this.now < end; this.now += 10) {
       let effects = this.leader.tick(this.now)
@@ -57,14 +57,14 @@
 }
 
 describe('findSurplusReplica', () => {
-  it('keeps a silent voter while it has no successor', () => {
+  it('keeps a silent voter while it has no replacement', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.silence('d')
     group.run(SURPLUS_VOTER_SILENCE_MS * 3)
     expect(group.surplus(5)).toBeUndefined()
   })
 
-  it('names the silent voter once there is one more than needed', () => {
+  it('returns the silent voter once there is one voter more than needed', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
     group.run(SURPLUS_VOTER_SILENCE_MS - 500)
@@ -73,7 +73,7 @@
     expect(group.surplus(5)).toBe('b')
   })
 
-  it('does not take a learner that was just added for silent, however long the leader has led', () => {
+  it('does not consider a newly added learner silent, regardless of how long the leader has led', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.run(LEARNER_SILENCE_MS * 2)
     group.add('late', false)
@@ -82,7 +82,7 @@
     expect(group.surplus(5)).toBeUndefined()
   })
 
-  it('names a learner that fell silent', () => {
+  it('returns a learner that has become silent', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.add('late')
     group.run(500)
@@ -93,7 +93,7 @@
 })
 
 describe('removeIfStillSurplus', () => {
-  it('leaves the group as it is when a host removed its former identity in between', () => {
+  it('leaves the group unchanged if a host has removed its earlier id in the meantime', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
     group.run(SURPLUS_VOTER_SILENCE_MS + 500)
@@ -105,7 +105,7 @@
     expect(group.leader.membership.voters).toHaveLength(5)
   })
 
-  it('removes what is still surplus', () => {
+  it('removes a replica that is still surplus', () => {
     const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
     group.run(SURPLUS_VOTER_SILENCE_MS + 500)
@@ -115,7 +115,7 @@
 })
 
 describe('RaftCore.isReadConfirmed', () => {
-  it('needs a quorum that followed after the read began, whatever the lease says', () => {
+  it('requires confirmation by a quorum after the start of the read, regardless of the lease', () => {
     const group = new SimulatedGroup('a', 'b')
     const readAt = group.now
     expect(group.leader.holdsLease(group.now)).toBe(true)
@@ -124,7 +124,7 @@
     expect(group.leader.isReadConfirmed(readAt, group.now)).toBe(true)
   })
 
-  it('is never given by a quorum that can not be reached', () => {
+  it('stays false while no quorum can be reached', () => {
     const group = new SimulatedGroup('a', 'b')
     group.silence('a')
     group.silence('b')
--- a/apps/control/src/lib/rollout/RolloutPlan.test.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.test.ts
@@ -15,7 +15,7 @@
   return { id, service: 'pool', address: id, dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [{ model: MODEL, version }] }
 }
 
-/** Plays turns of 50 ms against engines that load for a while; the list never catches up. */
+/** Runs the plan in steps of 50 ms against simulated engines that take time to load. The list always shows the old version. */
 class RolloutSimulation {
   readonly plan = new RolloutPlan()
   readonly engines = new Map<string, FakeEngine>()
@@ -66,34 +66,34 @@
 }
 
 describe('RolloutPlan', () => {
-  it('brings every engine to the named weights with one order each', () => {
+  it('brings every engine to the desired weights with one order each', () => {
     const rollout = new RolloutSimulation(8, 270)
     rollout.play(6000)
     expect(rollout.isDone).toBe(true)
     expect(rollout.orders).toHaveLength(8)
   })
 
-  it.each([[8, 2], [13, 3], [63, 18], [98, 28], [1, 1]])('loads on at most so many of %i engines at once: %i', (count, atOnce) => {
+  it.each([[8, 2], [13, 3], [63, 18], [98, 28], [1, 1]])('of %i engines, loads at most %i at once', (count, atOnce) => {
     const rollout = new RolloutSimulation(count, 1300)
     rollout.play(20_000)
     expect(rollout.isDone).toBe(true)
     expect(rollout.maxConcurrentLoads).toBe(atOnce)
   })
 
-  it('announces an engine before it is ordered, so that hosts hear of it first', () => {
+  it('announces an engine as busy before it is ordered, so that hosts receive the announcement first', () => {
     const rollout = new RolloutSimulation(8, 270)
     rollout.play(50)
     expect(rollout.orders).toHaveLength(0)
     expect(rollout.plan.isBusy('e0', rollout.now)).toBe(true)
   })
 
-  it('orders again when an order got no answer and was not carried out', () => {
+  it('repeats an order that was neither answered nor executed', () => {
     const rollout = new RolloutSimulation(8, 270, order => order % 2 === 1)
     rollout.play(20_000)
     expect(rollout.isDone).toBe(true)
   })
 
-  it('binds each order to the orders that the engine has accepted, so that a late one has no effect', () => {
+  it('makes each order conditional on the number of orders that the engine has accepted, so that a late order has no effect', () => {
     const rollout = new RolloutSimulation(2, 270)
     const engine = rollout.engines.get('e0')
     if (engine !== undefined) engine.orders = 7
@@ -101,13 +101,13 @@
     expect(rollout.orders.find(order => order.endpoint.id === 'e0')?.expectedOrders).toBe(7)
   })
 
-  it('gives no order while it may not', () => {
+  it('plans no order while the host may not send orders', () => {
     const rollout = new RolloutSimulation(8, 270)
     rollout.play(3000, false)
     expect(rollout.orders).toHaveLength(0)
   })
 
-  it('does not go back when the list still shows the old weights', () => {
+  it('does not order an engine again while the list still shows the old weights', () => {
     const rollout = new RolloutSimulation(2, 100)
     rollout.play(6000)
     const sent = rollout.orders.length
@@ -116,7 +116,7 @@
   })
 
   describe('when engines do not answer', () => {
-    /** Turns of 50 ms at which the first two of eight engines are down, and the others load in 300 ms. */
+    /** Runs steps of 50 ms in which the first two of eight engines may be down and the others load in 300 ms. */
     function play (turns: number, isDown: (now: number) => boolean): Set<string> {
       const plan = new RolloutPlan()
       const fleet = Array.from({ length: 8 }, (_, number) => listed(`e${number}`))
@@ -137,31 +137,31 @@
       return new Set(loaded.keys())
     }
 
-    it('orders the others meanwhile, though those are first in turn', () => {
+    it('orders the other engines, although the unanswering ones come first', () => {
       expect([...play(60, () => true)].sort()).toEqual(['e2', 'e3', 'e4', 'e5', 'e6', 'e7'])
     })
 
-    it('orders them once they answer', () => {
+    it('orders the engines once they answer', () => {
       expect(play(100, now => now < 2000).size).toBe(8)
     })
   })
 
-  describe('when an engine has started again under its id', () => {
+  describe('when an engine has restarted under its id', () => {
     const status = (startedAtMs: number, version: number, acceptedOrders: number, isBusy = false): EngineStatus =>
       ({ startedAtMs, versions: new Map([[MODEL, version]]), isBusy, acceptedOrders })
     const at = (startedAtMs: number, version: number): ListedEndpoint => ({ ...listed('e', version), startedAtMs })
 
-    /** A plan that has ordered version 2 of an engine that started at 1000 and had accepted 5 orders. */
+    /** Returns a plan that has ordered version 2 from an engine that started at 1000 and had accepted 5 orders. */
     function ordered (): { plan: RolloutPlan, order: LoadOrder } {
       const plan = new RolloutPlan()
       plan.next(NAMED, [at(1000, 1)], true, 0)
       plan.observeStatus('e', status(1000, 1, 5), 10)
       const [order] = plan.next(NAMED, [at(1000, 1)], true, 100).orders
-      if (order === undefined) throw new Error('no order')
+      if (order === undefined) throw new Error('the plan returned no order')
       return { plan, order }
     }
 
-    it('asks for its status and orders with the count of the new start, not with the former', () => {
+    it('polls its status and uses the order count of the new start', () => {
       const { plan, order } = ordered()
       expect(order.expectedOrders).toBe(5)
       plan.observeOrder(order, 'accepted', 110)
@@ -172,7 +172,7 @@
       expect(plan.next(NAMED, [at(2000, 1)], true, 300).orders).toMatchObject([{ version: 2, expectedOrders: 0, startedAtMs: 2000 }])
     })
 
-    it('does not take an engine for busy or pending because of the former start', () => {
+    it('does not consider the engine busy or pending because of the earlier start', () => {
       const { plan, order } = ordered()
       plan.observeOrder(order, 'accepted', 110)
       plan.observeStatus('e', status(1000, 1, 6, true), 150)
@@ -181,7 +181,7 @@
       expect(plan.isBusy('e', 200)).toBe(false)
     })
 
-    it('believes the version of the new start, also if it is lower', () => {
+    it('uses the version of the new start even if it is lower', () => {
       const { plan, order } = ordered()
       plan.observeOrder(order, 'accepted', 110)
       plan.observeStatus('e', status(1000, 2, 6), 150)
@@ -191,7 +191,7 @@
       expect(plan.versionOf(at(1000, 2), MODEL)).toBe(1)
     })
 
-    it('does not let a late status or answer of the former start undo what is known of the new one', () => {
+    it('ignores a late status or order answer of the earlier start', () => {
       const { plan, order } = ordered()
       plan.observeStatus('e', status(2000, 1, 0), 120)
       plan.observeStatus('e', status(1000, 2, 6, true), 130)
@@ -200,16 +200,16 @@
       expect(plan.isBusy('e', 150)).toBe(false)
     })
 
-    it('looks at it while an order to the former start may still be carried out, and mends what that does', () => {
+    it('polls the engine while an order to the earlier start may still be executed, and orders again if that happens', () => {
       const { plan, order } = ordered()
       plan.observeOrder(order, 'unanswered', 200)
       const newer = [{ model: MODEL, version: 3 }]
-      // The new start came up with the newest weights, and has accepted no order.
+      // The engine restarted with the newest weights and has accepted no order since.
       plan.next(newer, [at(2000, 3)], true, 300)
       plan.observeStatus('e', status(2000, 3, 0), 310)
       expect(plan.isWatching(5000)).toBe(true)
       expect(plan.next(newer, [at(2000, 3)], true, 5000).polls.map(endpoint => endpoint.id)).toEqual(['e'])
-      // The late order finds the count that it expects.
+      // The late order is accepted, because its expected count matches.
       plan.observeStatus('e', status(2000, 2, 1), 5010)
       expect(plan.versionOf(at(2000, 3), MODEL)).toBe(2)
       plan.next(newer, [at(2000, 3)], true, 5100)
--- a/apps/control/src/lib/rollout/RolloutPlan.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.ts
@@ -1,70 +1,71 @@
 /**
- * Which engines to look at and to order next, so that all run the named weights.
+ * Plans which engines to poll and to order next, until all run the desired weights.
  *
- * A core without network: it takes what the list and the engines said and
- * returns what to do. Versions only rise while an engine runs, so an old list can
- * delay a step but never undo one. An engine that has started again holds what it
- * says, and counts its orders anew.
+ * The plan does no I/O: it takes observations from the list and the engines and
+ * returns the next steps. Versions only increase while an engine runs, so an
+ * outdated list can delay a step but never undo one. A restarted engine holds the
+ * version that it reports and counts its orders from zero again.
  */
 import { isLaterStart } from '@eelgrassmux/schema/site/isLaterStart'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { NamedWeights } from '@eelgrassmux/state/commands'
 import { planLoads, type LoadTarget, type ObservedEngine } from '../orders/planLoads.js'
 
-/** What an engine says of itself. */
+/** Status that an engine reports. */
 export interface EngineStatus {
-  /** Start of the incarnation that says it, in Unix milliseconds on its own clock; undefined if it does not. */
+  /** Start time of the reporting incarnation, in Unix milliseconds on its own clock; undefined if the engine does not report it. */
   readonly startedAtMs: number | undefined
   readonly versions: ReadonlyMap<string, number>
-  /** Whether an order is being carried out. */
+  /** Whether an order is being executed. */
   readonly isBusy: boolean
-  /** Orders it has accepted since it started. */
+  /** Number of orders that the engine has accepted since it started. */
   readonly acceptedOrders: number
 }
 
 /** An order to load weights. */
 export interface LoadOrder {
   readonly endpoint: ListedEndpoint
-  /** Start of the incarnation for which it is meant. */
+  /** Start time of the incarnation that the order is for. */
   readonly startedAtMs: number | undefined
   readonly model: string
   readonly version: number
-  /** Orders that the engine must have accepted so far; an order that arrives late then has no effect. */
+  /** Number of orders that the engine must have accepted so far, so that an order that arrives late has no effect. */
   readonly expectedOrders: number
 }
 
-/** What became of an order. */
+/** Outcome of an order. */
 export type OrderOutcome = 'accepted' | 'already-holds' | 'conflict' | 'refused' | 'unanswered'
 
 /**
- * Share of a fleet that loads at once. The users' sheets say that loads slow
- * down beyond 2 of 8, 3 of 13, 18 of 63 and 28 of 98 engines at once: 2/7 of each.
+ * Share of a fleet that may load weights concurrently. According to the users' data
+ * sheets, loads slow down beyond 2 of 8, 3 of 13, 18 of 63 and 28 of 98 engines, which
+ * is 2/7 of each fleet.
  */
 const CONCURRENT_LOAD_SHARE = 2 / 7
 
-/** Time between the announcement that an engine will be busy and the order itself, in milliseconds: hosts hear of it first. */
+/** Time between the announcement that an engine will be busy and the order itself, in milliseconds, so that hosts receive the announcement first. */
 const ANNOUNCEMENT_LEAD_MS = 60
 
-/** Interval between looks at an engine that loads or is to load, in milliseconds; reports lag by 100 to 200. */
+/** Interval between polls of an engine that is loading or about to load, in milliseconds. Reports are delayed by 100 to 200 ms. */
 const POLL_INTERVAL_MS = 150
 
-/** Time after which an accepted order without an effect counts as lost, in milliseconds. */
+/** Time after which an accepted order without a visible effect is considered lost, in milliseconds. */
 const ORDER_EFFECT_TIMEOUT_MS = 3000
 
 /**
- * Time within which an order without an answer may still be carried out, in
- * milliseconds, as the platform states it. An engine that starts again in it counts
- * from 0, so the late order may meet the count that it expects.
+ * Time within which an unanswered order may still be executed, in milliseconds, as
+ * specified by the platform. An engine that restarts within this time counts orders
+ * from 0, so the late order may match the expected count.
  */
 const LATE_ORDER_WINDOW_MS = 12_000
 
-/** Interval between looks at an engine that a late order may reach, in milliseconds: looks are priced. */
+/** Interval between polls of an engine that a late order may reach, in milliseconds. It is long because the platform charges for polls. */
 const WATCH_POLL_INTERVAL_MS = 1000
 
-/** Interval between looks at an engine that did not answer the last one, in milliseconds: the list names engines that are gone for seconds. */
+/** Interval between polls of an engine that did not answer the last poll, in milliseconds. The list contains engines for seconds after they are gone. */
 const SILENT_POLL_INTERVAL_MS = 500
 
-/** Of one incarnation. */
+/** Progress of one incarnation of an engine. */
 interface EngineProgress {
   readonly startedAtMs: number | undefined
   status: EngineStatus | undefined
@@ -72,33 +73,33 @@
   announcedAt: number | undefined
   orderedAt: number
   wasAccepted: boolean
-  /** Whether the last look brought no answer; such an engine keeps no other from being ordered. */
+  /** Whether the last poll was not answered. Such an engine does not block orders to other engines. */
   isSilent: boolean
-  /** Until when an order without an answer may be carried out. */
+  /** Time until which an unanswered order may still be executed. */
   lateOrderUntil: number
-  /** Until when an order to a former incarnation may reach this one; its status then goes before the list. */
+  /** Time until which an order to an earlier incarnation may reach this one. Until then, the status of the engine takes precedence over the list. */
   watchedUntil: number | undefined
 }
 
 /** Next steps of a rollout. */
 export interface RolloutSteps {
-  /** Engines to ask for their status. */
+  /** Engines whose status is to be polled. */
   readonly polls: ListedEndpoint[]
   readonly orders: LoadOrder[]
 }
 
-/** Progress of all engines towards the named weights. */
+/** Tracks the progress of all engines towards the desired weights. */
 export class RolloutPlan {
   readonly #engines = new Map<string, EngineProgress>()
 
-  /** Forgets everything, when this host stops leading. */
+  /** Drops all progress when this host is no longer the leader. */
   clear (): void {
     this.#engines.clear()
   }
 
   /**
-   * @param id - endpoint
-   * @param status - what it said of itself
+   * @param id - id of the endpoint
+   * @param status - status that the engine reported
    * @param now - monotonic milliseconds
    */
   observeStatus (id: string, status: EngineStatus, now: number): void {
@@ -110,10 +111,10 @@
   }
 
   /**
-   * Notes that an engine did not answer a look.
+   * Records that an engine did not answer a poll.
    *
-   * @param id - endpoint
-   * @param startedAtMs - start under which it was listed
+   * @param id - id of the endpoint
+   * @param startedAtMs - start time with which the endpoint was listed
    */
   observeNoAnswer (id: string, startedAtMs: number | undefined): void {
     const progress = this.#progressOf(id, startedAtMs)
@@ -121,8 +122,8 @@
   }
 
   /**
-   * @param order - as planned
-   * @param outcome - what became of it
+   * @param order - planned order
+   * @param outcome - outcome of the order
    * @param now - monotonic milliseconds
    */
   observeOrder (order: LoadOrder, outcome: OrderOutcome, now: number): void {
@@ -135,16 +136,16 @@
     progress.lateOrderUntil = Math.max(progress.lateOrderUntil, lateOrderUntil)
     progress.wasAccepted = outcome === 'accepted'
     progress.announcedAt = undefined
-    // Look again before the next step: the answer may have been lost, or another order may be in progress.
+    // Poll again before the next step, because the answer may have been lost or another order may be in progress.
     progress.polledAt = outcome === 'accepted' ? now : Number.NEGATIVE_INFINITY
   }
 
   /**
-   * Plans the next steps; orders count as sent from now on.
+   * Plans the next steps. The returned orders are considered sent.
    *
-   * @param weights - versions that models should run
-   * @param endpoints - the list
-   * @param mayOrder - whether this host may give orders now
+   * @param weights - desired weight versions of models
+   * @param endpoints - listed endpoints
+   * @param mayOrder - whether this host may send orders now
    * @param now - monotonic milliseconds
    */
   next (weights: readonly NamedWeights[], endpoints: readonly ListedEndpoint[], mayOrder: boolean, now: number): RolloutSteps {
@@ -171,9 +172,9 @@
   }
 
   /**
-   * @param endpoint - as listed
-   * @param model - model name
-   * @returns the newest version it is known to hold
+   * @param endpoint - listed endpoint
+   * @param model - name of the model
+   * @returns the newest weight version that the endpoint is known to hold
    */
   versionOf (endpoint: ListedEndpoint, model: string): number {
     const listed = endpoint.models.find(held => held.model === model)?.version ?? 0
@@ -186,16 +187,16 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether a late order may reach an engine that has started again
+   * @returns whether a late order may reach an engine that has restarted
    */
   isWatching (now: number): boolean {
     return [...this.#engines.values()].some(({ watchedUntil }) => watchedUntil !== undefined && now < watchedUntil)
   }
 
   /**
-   * @param id - endpoint
+   * @param id - id of the endpoint
    * @param now - monotonic milliseconds
-   * @returns whether it starts no new work now or will not in a moment
+   * @returns whether the endpoint accepts no new work now or will shortly stop accepting it
    */
   isBusy (id: string, now: number): boolean {
     const progress = this.#engines.get(id)
@@ -223,7 +224,7 @@
       polls.push(endpoint)
     }
     if (isDone && progress?.status?.isBusy !== true) {
-      // Complete: whatever was pending has had its effect. The version stays known, because the list lags.
+      // The rollout on this engine is complete, so no order is pending. Its status is kept, because the list is delayed.
       if (progress !== undefined) {
         progress.announcedAt = undefined
         progress.wasAccepted = false
@@ -251,7 +252,7 @@
     return progress.wasAccepted && now - progress.orderedAt < ORDER_EFFECT_TIMEOUT_MS
   }
 
-  /** Progress of the latest incarnation known; a later start than that begins anew. */
+  /** Returns the progress of the latest known incarnation. A later start time resets the progress. */
   #progressOf (id: string, startedAtMs: number | undefined): EngineProgress {
     const present = this.#engines.get(id)
     if (present !== undefined && !isLaterStart(startedAtMs, present.startedAtMs)) return present
@@ -278,7 +279,7 @@
   }
 }
 
-/** Whether a statement is of an earlier start than the one that is known. */
+/** Returns true if an observation belongs to an earlier start than the latest known one. */
 function isFromEarlierStart (startedAtMs: number | undefined, progress: EngineProgress): boolean {
   return startedAtMs !== undefined && isLaterStart(progress.startedAtMs, startedAtMs)
 }
--- a/apps/control/src/lib/rollout/RolloutTask.test.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.test.ts
@@ -15,11 +15,11 @@
 }
 const PREDECESSOR: OrderHolder = { replicaId: 'other', term: 1 }
 
-/** What the task sees of its replica; the test decides on role and term. */
+/** Replica whose role and term the test controls. */
 class LeadingReplica {
   readonly core = { self: { id: 'self', address: '' }, role: 'leader', term: 2 }
   readonly state = { sites: { weights: [{ model: MODEL, version: 2 }], orderHolder: undefined as OrderHolder | undefined } }
-  /** Runs while a quorum is asked, before it answers. */
+  /** Called while a read is being confirmed by a quorum. */
   whileConfirming = (): void => {}
 
   async propose (command: Command): Promise<{ kind: 'applied' }> {
@@ -60,12 +60,12 @@
 
   const advance = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
 
-  it('orders at once where nobody has given orders before', async () => {
+  it('orders immediately if no host has held the right to send orders before', async () => {
     await advance(500)
     expect(orders).not.toEqual([])
   })
 
-  it('waits out the last order of the host before it', async () => {
+  it('waits until the last order of the previous holder can no longer take effect', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
     await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
@@ -73,7 +73,7 @@
     expect(orders).not.toEqual([])
   })
 
-  it('waits also for a host whose claim it has not applied yet when it is elected', async () => {
+  it('also waits for a holder whose claim it has not applied yet when it is elected', async () => {
     replica.whileConfirming = () => { replica.state.sites.orderHolder ??= PREDECESSOR }
     await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
@@ -81,7 +81,7 @@
     expect(orders).not.toEqual([])
   })
 
-  it('goes on waiting when it is elected anew in between', async () => {
+  it('continues to wait if it is elected again in the meantime', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
     await advance(500)
     replica.core.role = 'follower'
@@ -94,7 +94,7 @@
     expect(orders).not.toEqual([])
   })
 
-  it('waits for a host that led and took the right over between two looks', async () => {
+  it('waits for a host that became the leader and took the right over between two reconciliations', async () => {
     await advance(5000)
     expect(orders).toHaveLength(2)
     replica.core.term = 4
@@ -105,7 +105,7 @@
     expect(orders).toHaveLength(3)
   })
 
-  it('waits also for what its own process ordered before a restart', async () => {
+  it('also waits for orders that this host sent before a restart', async () => {
     replica.state.sites.orderHolder = { replicaId: 'self', term: 1 }
     await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
@@ -113,7 +113,7 @@
     expect(orders).not.toEqual([])
   })
 
-  it('gives no order if another host took the right over while a quorum was asked', async () => {
+  it('sends no order if another host took the right over while the quorum was queried', async () => {
     replica.whileConfirming = () => {
       replica.core.term = 4
       replica.state.sites.orderHolder = { replicaId: 'other', term: 3 }
--- a/apps/control/src/lib/rollout/RolloutTask.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.ts
@@ -1,11 +1,12 @@
 /**
- * Carries out rollouts of weights on listed engines. Runs on every control host
- * and acts only on the leader.
+ * Rolls out weights to listed engines. The task runs on every control host and
+ * acts only on the leader.
  *
- * Engines need not check fencing numbers. So that two hosts never give orders by
- * turns, the right to give them is claimed in the agreed log; whoever takes it
- * over from another host first waits out the time for which that host's last
- * order may count, and before each order a quorum confirms that this host leads.
+ * Engines need not check fencing tokens. To keep two hosts from sending orders
+ * alternately, a host claims the right to send orders in the replicated log. A
+ * host that takes the right over first waits until the last order of the previous
+ * holder can no longer take effect, and before each order a quorum confirms that
+ * this host is the leader.
  */
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -15,49 +16,49 @@
 import type { RaftTask } from '../raft/RaftTask.js'
 import { RolloutPlan, type EngineStatus, type LoadOrder, type OrderOutcome } from './RolloutPlan.js'
 
-/** Who gives an order, for engines that check it. */
+/** Sender of an order, for engines that check it. */
 export interface OrderAuthority {
   readonly holder: string
-  /** Rises whenever another host takes over. */
+  /** Fencing token, which increases whenever another host takes over. */
   readonly fence: number
 }
 
-/** Engines as a rollout sees them. */
+/** Access of a rollout to engines. */
 export interface RolloutBackend {
-  /** @returns what the engine says of itself */
+  /** @returns the status that the engine reports */
   status (endpoint: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>>
-  /** @returns what became of the order */
+  /** @returns the outcome of the order */
   load (order: LoadOrder, authority: OrderAuthority): Promise<OrderOutcome>
 }
 
-/** Interval between turns, in milliseconds. */
+/** Interval between reconciliations, in milliseconds. */
 const RECONCILE_INTERVAL_MS = 50
 
-/** Added to the time for which another host's orders may count, in milliseconds: its last order may still be on its way. */
+/** Margin added to the time for which orders of the previous holder may take effect, in milliseconds. Its last order may still be in transit. */
 const HANDOVER_MARGIN_MS = 300
 
-/** Reconciles engines with the named weights. */
+/** Reconciles engines with the desired weights. */
 export class RolloutTask {
   readonly #plan = new RolloutPlan()
   readonly #leadership = new LeadershipTracker()
   #isLeading = false
-  /** Until when another host's last order may count; kept over elections, because that host's order does not know of them. */
+  /** Time until which the last order of another host may take effect. It is kept across elections, which do not cancel that order. */
   #handoverWaitUntil: number | undefined
-  /** Whether this process has claimed the right; an earlier one of this host may have waited for somebody, too. */
+  /** Whether this process has claimed the right to send orders. An earlier process of this host may have been waiting for another holder when it stopped. */
   #hasClaimed = false
   #isWatchingList = false
   #timer: NodeJS.Timeout | undefined
   #isReconciling = false
   #wasActive = false
-  /** Engines whose status is on its way. */
+  /** Ids of engines with a status poll in progress. */
   readonly #pendingPolls = new Set<string>()
 
   /**
-   * @param raft - log and state
-   * @param list - the endpoint list; read while a rollout is under way
-   * @param backend - engines
-   * @param holder - name of this host towards engines
-   * @param orderLeaseMs - time for which another host's last order may count, in milliseconds
+   * @param raft - replica with the log and the state
+   * @param list - endpoint list, which this task watches while the site names weights
+   * @param backend - access to the engines
+   * @param holder - name of this host in orders to engines
+   * @param orderLeaseMs - time for which the last order of another host may take effect, in milliseconds
    * @param telemetry - log and metrics
    */
   constructor (
@@ -69,12 +70,12 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Starts to look after the engines. */
+  /** Starts to reconcile the engines periodically. */
   start (): void {
     this.#timer = setInterval(() => { void this.#reconcile() }, RECONCILE_INTERVAL_MS)
   }
 
-  /** Stops. */
+  /** Stops the reconciliation. */
   stop (): void {
     clearInterval(this.#timer)
   }
@@ -112,7 +113,7 @@
     const mayOrder = isDue && await this.#holdsOrderRight(since)
     const steps = this.#plan.next(weights, this.list.endpointsOfSite, mayOrder, performance.now())
     this.#publishOverlays()
-    // Nobody waits for these: one engine without an answer must not hold up the others.
+    // These calls are not awaited, so that one engine without an answer does not delay the others.
     for (const endpoint of steps.polls) void this.#poll(endpoint)
     void this.#sendOrders(steps.orders)
   }
@@ -122,11 +123,11 @@
       endpoint.models.some(held => held.model === model) && this.#plan.versionOf(endpoint, model) < version))
   }
 
-  /** Claims the right to give orders; true once it is held and nobody else's order may count any more. */
+  /** Claims the right to send orders. Returns true once this host holds it and no order of another host can take effect any more. */
   async #holdsOrderRight (leaderSince: number): Promise<boolean> {
     const { core, state } = this.raft
     if (this.#isHolder()) return this.#handoverWaitUntil === undefined || performance.now() >= this.#handoverWaitUntil
-    // A new leader may not have applied its predecessor's claim yet.
+    // A new leader may not have applied the claim of its predecessor yet.
     if (!await this.raft.confirmRead()) return false
     const present = state.sites.orderHolder
     const isOwn = present?.replicaId === core.self.id && this.#hasClaimed
@@ -163,14 +164,14 @@
 
   async #sendOrders (orders: readonly LoadOrder[]): Promise<void> {
     if (orders.length === 0) return
-    // A lease would not do: this host may have been suspended since it was confirmed.
-    // While the quorum was asked, another host may have taken the right over.
+    // A lease is not sufficient, because this host may have been suspended since the lease was confirmed.
+    // Another host may also have taken the right over while the quorum was queried.
     const isConfirmed = await this.raft.confirmRead() && this.#isHolder()
     await Promise.all(orders.map(async order => {
       const outcome = isConfirmed
         ? await this.backend.load(order, { holder: this.holder, fence: this.raft.core.term })
         : 'refused'
-      // An answer that comes after leadership has ended belongs to no plan.
+      // An answer that arrives after the leadership has ended must not enter the next plan.
       if (this.#isLeading) this.#plan.observeOrder(order, outcome, performance.now())
       this.telemetry.stateChanged('weights-ordered', {
         endpoint: order.endpoint.id, model: order.model, version: order.version, expectedOrders: order.expectedOrders, outcome, isConfirmed
--- a/apps/control/src/lib/rollout/rolloutEngines.test.ts
+++ b/apps/control/src/lib/rollout/rolloutEngines.test.ts
@@ -17,14 +17,14 @@
 
 const SITE = { services: [{ type: 'replicated', name: 'pool' }] }
 
-/** The leader's log, as far as a rollout reads it. */
+/** Leader replica with the state that a rollout reads. */
 const RAFT = {
   core: { role: 'leader', term: 1, self: { id: 'r' } },
   state: { sites: { weights: [{ model: 'm', version: 2 }], orderHolder: { replicaId: 'r', term: 1 }, put: { site: SITE } } },
   confirmRead: async () => true
 } as unknown as RaftTask
 
-/** Engines that started at 2000, while the list says 1000. */
+/** Engines that started at 2000 while the list still shows 1000. */
 class RestartedEngines implements RolloutBackend {
   readonly polled = new Set<string>()
   readonly ordered: Promise<LoadOrder>
@@ -45,7 +45,7 @@
   }
 }
 
-/** Engines of which one neither answers nor refuses an order. */
+/** Engines of which one never responds to an order. */
 class HangingEngines implements RolloutBackend {
   readonly ordered = new Set<string>()
   readonly allOthersOrdered: Promise<void>
@@ -68,7 +68,7 @@
 }
 
 describe('engines of a RolloutTask', () => {
-  it('goes on with other engines while one leaves an order without an answer', async () => {
+  it('continues with other engines while one does not answer an order', async () => {
     const telemetry = new Telemetry('test')
     const endpoints = Array.from({ length: 8 }, (_, number) => listed(`e${number}`, 'pool'))
     const list = new EndpointListTask({ list: async () => succeed({ endpoints, rejected: [], incompleteBecause: undefined }) }, LIST_MS, () => undefined, new RejectedEntries(telemetry), telemetry)
@@ -81,7 +81,7 @@
     expect(engines.ordered.has('e0')).toBe(false)
   })
 
-  it('tells the list of a start that an engine states, and orders only engines of the site', async () => {
+  it('passes the start time that an engine reports to the list, and orders only engines of the site', async () => {
     const telemetry = new Telemetry('test')
     const listing: EndpointListing = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
     const list = new EndpointListTask({ list: async () => succeed(listing) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
--- a/apps/control/src/lib/site/SiteService.test.ts
+++ b/apps/control/src/lib/site/SiteService.test.ts
@@ -5,11 +5,11 @@
 import type { ProposeOutcome, RaftTask } from '../raft/RaftTask.js'
 import { SiteService } from './SiteService.js'
 
-/** A leader whose proposals are applied at once, after what others have proposed in between. */
+/** Leader that applies proposals immediately, after commands that others propose in the meantime. */
 class FakeLeader {
   readonly state = new StateMachine()
   readonly proposed: Command[] = []
-  /** Applied before each proposal. */
+  /** Called before each proposal is applied. */
   beforePropose: () => void = () => {}
   outcome: ProposeOutcome | undefined
 
@@ -23,28 +23,28 @@
     return this.state.apply({ stampedAt: 0, command })
   }
 
-  /** An order of another operator that knows all others. */
+  /** Applies an order of another operator that is based on the latest revision. */
   applyOtherOrder (dataCentre: string, isEvacuated: boolean): void {
     this.apply({ kind: 'order-evacuation', dataCentre, isEvacuated, knownRevision: this.state.evacuations.revision })
   }
 }
 
 describe('SiteService', () => {
-  describe('orders of evacuations', () => {
+  describe('evacuation orders', () => {
     const isStillWaiting = (): boolean => false
     const createService = (): { leader: FakeLeader, service: SiteService } => {
       const leader = new FakeLeader()
       return { leader, service: new SiteService(leader as unknown as RaftTask, {} as RpcClient) }
     }
 
-    it('are acknowledged once they are applied, also when they come again', async () => {
+    it('are acknowledged once they are applied, even if they are repeated', async () => {
       const { leader, service } = createService()
       expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
-    it('are proposed anew if another came in between and the caller still waits', async () => {
+    it('are proposed again if another order was applied first and the caller is still waiting', async () => {
       const { leader, service } = createService()
       leader.beforePropose = () => {
         leader.beforePropose = () => {}
@@ -55,20 +55,20 @@
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
-    it('change nothing once their caller has left', async () => {
+    it('change nothing after the caller has disconnected', async () => {
       const { leader, service } = createService()
       expect(await service.orderEvacuation('north', true, () => true)).toEqual({ kind: 'overtaken' })
       expect(leader.proposed).toEqual([])
     })
 
-    it('are given up when others keep coming in between', async () => {
+    it('are abandoned if other orders keep being applied first', async () => {
       const { leader, service } = createService()
       leader.beforePropose = () => { leader.applyOtherOrder('north', false) }
       expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'overtaken' })
       expect(leader.state.evacuations.evacuated).toEqual([])
     })
 
-    it('are not acknowledged while nobody takes them', async () => {
+    it('are not acknowledged while no leader accepts them', async () => {
       const { leader, service } = createService()
       leader.outcome = { kind: 'uncertain' }
       expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'unavailable' })
--- a/apps/control/src/lib/site/SiteService.ts
+++ b/apps/control/src/lib/site/SiteService.ts
@@ -14,7 +14,7 @@
 /** Outcome of an order to start or end the evacuation of a data centre. */
 export type EvacuationOutcome =
   | { readonly kind: 'applied' }
-  /** The order is invalid or exceeds a limit. */
+  /** The maximum number of data centres is already evacuated. */
   | { readonly kind: 'refused', readonly reason: string }
   /** Newer orders were applied first or the caller has disconnected, so nothing was changed. */
   | { readonly kind: 'overtaken' }
--- a/apps/control/src/lib/stores/StoreFollower.ts
+++ b/apps/control/src/lib/stores/StoreFollower.ts
@@ -1,9 +1,10 @@
 /**
- * Follows what one store holds through its numbered events.
+ * Tracks the contents of one store through its numbered events.
  *
- * Events come late and some never come: a gap, or any long time, is mended from
- * the store's whole list. A part that is believed to be there and is not costs a
- * moment; one that is there and not believed costs a reading. Neither is wrong.
+ * Events arrive late and some are lost, so the whole listing is read again after
+ * a gap and at a fixed interval. If a tracked part no longer exists, the fetch
+ * fails and costs a moment; if an existing part is not tracked, the prompt part
+ * is computed again. Neither makes an answer incorrect.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Result } from '@eelgrassmux/schema/Result'
@@ -13,56 +14,56 @@
 import type { RejectedEntries, RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** Events since a number. */
+/** Events since a given sequence number. */
 export interface StoreEvents {
-  /** Start of the store's process, in Unix milliseconds on its own clock; undefined if it does not state it. */
+  /** Start time of the store process, in Unix milliseconds on its own clock; undefined if the store does not report it. */
   readonly startedAtMs: number | undefined
-  /** Changes when the store restarts; it is then empty. */
+  /** Changes when the store restarts, which empties it. */
   readonly epoch: number
   readonly next: number
-  /** Whether events in between are gone. */
+  /** Whether events since the requested number are missing. */
   readonly hasGap: boolean
   readonly events: ReadonlyArray<{ readonly kind: 'stored' | 'removed', readonly part: StoredPart }>
   readonly clockMs: number | undefined
-  /** Events that can't be used. */
+  /** Events that cannot be used. */
   readonly rejected: readonly RejectedEntry[]
 }
 
-/** All that a store holds. */
+/** Complete contents of a store. */
 export interface StoreListing {
-  /** Start of the store's process, as in {@link StoreEvents}. */
+  /** Start time of the store process, as in {@link StoreEvents}. */
   readonly startedAtMs: number | undefined
   readonly epoch: number
   readonly next: number
   readonly parts: readonly StoredPart[]
-  /** Parts that are not whole, with the tokens that have arrived. */
+  /** Incomplete parts with the number of tokens received so far. */
   readonly partial: ReadonlyArray<{ readonly part: StoredPart, readonly tokens: number }>
-  /** Entries that can't be used. */
+  /** Entries that cannot be used. */
   readonly rejected: readonly RejectedEntry[]
 }
 
-/** Stores as control hosts see them. */
+/** Access of control hosts to stores. */
 export interface StoreSource {
   events (store: StoreService, since: number, waitMs: number): Promise<Result<StoreEvents, { readonly kind: string }>>
   listing (store: StoreService): Promise<Result<StoreListing, { readonly kind: string }>>
   /**
-   * Frees parts, unless the store has restarted or the time has passed.
+   * Frees parts unless the store has restarted or the deadline has passed.
    *
-   * @param untilMs - on the stores' clock
+   * @param untilMs - deadline on the stores' clock
    */
   free (store: StoreService, parts: readonly StoredPart[], epoch: number, untilMs: number): Promise<Result<true, { readonly kind: string }>>
 }
 
-/** How long a call for events waits for one, in milliseconds; the platform prices shorter ones. */
+/** Time for which a call for events waits for the next event, in milliseconds. The platform charges for shorter waits. */
 const EVENT_WAIT_MS = 1000
 
-/** Pause after a call that failed, in milliseconds. */
+/** Delay after a failed call, in milliseconds. */
 const RETRY_DELAY_MS = 250
 
-/** Interval between whole lists, in milliseconds: one event in a hundred never comes. */
+/** Interval between reads of the whole listing, in milliseconds. One event in a hundred is lost. */
 const LISTING_INTERVAL_MS = 10_000
 
-/** Follows one store until stopped. */
+/** Tracks one store until stopped. */
 export class StoreFollower {
   #parts = new Map<string, StoredPart>()
   #partial: StoreListing['partial'] = []
@@ -74,11 +75,11 @@
   #isStopped = false
 
   /**
-   * @param store - which store
-   * @param source - asks it
-   * @param onChange - told of each change
-   * @param onClock - told of the stores' clock whenever a store states it
-   * @param rejected - told of entries that can't be used
+   * @param store - store to track
+   * @param source - access to the store
+   * @param onChange - called with each change
+   * @param onClock - called with the stores' clock whenever the store reports it
+   * @param rejected - records entries that cannot be used
    * @param telemetry - log
    */
   constructor (
@@ -90,11 +91,11 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Whether the store answers, so that its parts may be used. */
+  /** Whether the store answered the last call, so that its parts may be used. */
   get isAvailable (): boolean { return this.#isAvailable }
   get epoch (): number | undefined { return this.#epoch }
   get parts (): readonly StoredPart[] { return [...this.#parts.values()] }
-  /** Incomplete parts as last listed. */
+  /** Incomplete parts in the last listing. */
   get partial (): StoreListing['partial'] { return this.#partial }
 
   /** Runs until {@link StoreFollower.stop}. */
@@ -106,12 +107,12 @@
     }
   }
 
-  /** Ends the following. */
+  /** Stops the loop. */
   stop (): void {
     this.#isStopped = true
   }
 
-  /** @param parts - parts that were freed, before their events come */
+  /** @param parts - parts that are being freed, removed here before their events arrive */
   removeFreed (parts: readonly StoredPart[]): void {
     for (const part of parts) this.#parts.delete(partKey(part))
     this.#emit({ kind: 'delta', added: [], removed: [...parts] })
@@ -170,7 +171,7 @@
     return true
   }
 
-  /** An answer of the process before the last restart says nothing of what the store holds now. */
+  /** Detects an answer from before the last restart, which says nothing about the current contents. */
   #isFromEarlierStart (startedAtMs: number | undefined): boolean {
     return startedAtMs !== undefined && isLaterStart(this.#startedAtMs, startedAtMs)
   }
--- a/apps/control/src/lib/stores/StoreTask.test.ts
+++ b/apps/control/src/lib/stores/StoreTask.test.ts
@@ -10,7 +10,7 @@
 const STORE: StoreService = { type: 'store', name: 's', address: '10.0.0.1:1', dataCentre: 'n', cacheTokens: 1, linkMbps: 1, firstByteMs: 0, isManaged: true }
 
 describe('StoreTask', () => {
-  it('follows stores as soon as the site is known, not at its next look', async () => {
+  it('follows stores as soon as the site is known, without waiting for the next check', async () => {
     const services: StoreService[] = []
     const raft = { state: { sites: { put: { site: { services } } } }, core: { role: 'follower' } } as unknown as RaftTask
     let listings = 0
--- a/apps/control/src/lib/stores/StoreTask.ts
+++ b/apps/control/src/lib/stores/StoreTask.ts
@@ -1,6 +1,6 @@
 /**
- * Follows all stores of the site for the hosts that watch this control host, and
- * on the leader frees what nobody can use any more.
+ * Tracks all stores of the site on behalf of the hosts that watch this control
+ * host. On the leader, it also frees parts that no request can use any more.
  */
 import { EventEmitter } from 'node:events'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -12,29 +12,29 @@
 import { findObsoleteParts } from './findObsoleteParts.js'
 import { StoreFollower, type StoreSource } from './StoreFollower.js'
 
-/** Interval between looks at the site and for parts to free, in milliseconds. */
+/** Interval between checks of the site's stores and of parts to free, in milliseconds. */
 const CHECK_INTERVAL_MS = 1000
 
 /**
- * Pause in which changes are gathered into one message, in milliseconds. A prompt
- * returns after seconds, and each message wakes each of 195 hosts, which costs it half a
- * millisecond of processor time and the leader as much again.
+ * Delay that combines changes into one message, in milliseconds. A prompt recurs only
+ * after seconds, while each message wakes each of 195 hosts and costs half a millisecond
+ * of processor time on the host and as much again on the leader.
  */
 const BATCH_DELAY_MS = 250
 
-/** Time within which a store must act on a call to free, in milliseconds; no other leader can be elected so soon. */
+/** Deadline for a store to act on a call to free parts, in milliseconds. No other leader can be elected within this time. */
 const FREE_DEADLINE_MS = 300
 
-/** Most parts freed in one call. */
+/** Maximum number of parts freed in one call. */
 const MAX_FREED_PARTS = 200
 
-/** One watch of all stores. */
+/** One watch stream over all stores. */
 interface Watcher {
   readonly pending: StoreChange[]
   readonly wake: () => void
 }
 
-/** Keeps the followers in step with the site. */
+/** Runs one follower for each store of the site and distributes their changes to the watchers. */
 export class StoreTask {
   readonly #followers = new Map<string, StoreFollower>()
   readonly #watchers = new Set<Watcher>()
@@ -45,10 +45,10 @@
   #isFreeing = false
 
   /**
-   * @param raft - site, leadership
-   * @param source - stores
-   * @param endpoints - endpoints of the site as this host knows them
-   * @param rejected - told of entries that can't be used
+   * @param raft - replica with the site and the leadership
+   * @param source - access to the stores
+   * @param endpoints - returns the endpoints of the site that this host knows
+   * @param rejected - records entries that cannot be used
    * @param telemetry - log
    */
   constructor (
@@ -61,14 +61,14 @@
     this.#changes.setMaxListeners(0)
   }
 
-  /** Changes of all stores so far. */
+  /** Number of changes of all stores so far. */
   get version (): number { return this.#version }
-  /** The stores' clock now, in milliseconds; undefined until a store has stated it. */
+  /** Current time on the stores' clock, in milliseconds; undefined until a store has reported it. */
   get clockMs (): number | undefined {
     return this.#clock === undefined ? undefined : this.#clock.clockMs + performance.now() - this.#clock.at
   }
 
-  /** Begins to follow the stores for one more watcher, which first gets all that is known. */
+  /** Adds a watcher, whose first message contains all known parts, and starts to follow the stores if it is the first one. */
   addWatcher (wake: () => void): Watcher {
     const watcher: Watcher = { pending: this.#snapshot(), wake }
     this.#watchers.add(watcher)
@@ -79,16 +79,16 @@
     return watcher
   }
 
-  /** @param watcher - as given by {@link StoreTask.addWatcher} */
+  /** @param watcher - returned by {@link StoreTask.addWatcher} */
   removeWatcher (watcher: Watcher): void {
     this.#watchers.delete(watcher)
     if (this.#watchers.size === 0) this.stop()
   }
 
   /**
-   * Takes what a watcher has not been told yet.
+   * Removes and returns the changes that a watcher has not received yet.
    *
-   * @param watcher - as given by {@link StoreTask.addWatcher}
+   * @param watcher - returned by {@link StoreTask.addWatcher}
    */
   takePending (watcher: Watcher): Omit<StoredPartsMessage, 'incarnation'> {
     const update = { version: this.#version, changes: watcher.pending.splice(0) }
@@ -96,12 +96,12 @@
     return clockMs === undefined ? update : { ...update, clockMs }
   }
 
-  /** Follows the stores of a site as soon as it is known; call after the agreed state has changed. */
+  /** Updates the followers as soon as the site changes. Call this after the committed state has changed. */
   siteChanged (): void {
     if (this.#timer !== undefined) this.#reconcileFollowers()
   }
 
-  /** Ends all following. */
+  /** Stops following all stores. */
   stop (): void {
     clearInterval(this.#timer)
     this.#timer = undefined
@@ -149,7 +149,7 @@
       .map(follower => ({ store: follower.store.name, kind: 'whole' as const, added: [...follower.parts], removed: [] }))
   }
 
-  /** On the leader only, and only while a quorum confirms that it is. */
+  /** Frees parts only on the leader, after a quorum has confirmed the leadership. */
   async #freeObsoleteParts (): Promise<void> {
     if (this.#isFreeing || this.raft.core.role !== 'leader') return
     this.#isFreeing = true
@@ -165,7 +165,7 @@
     if (!follower.isAvailable || follower.epoch === undefined || clockMs === undefined) return
     const obsolete = findObsoleteParts(follower.parts, this.endpoints()).slice(0, MAX_FREED_PARTS)
     if (obsolete.length === 0 || !await this.raft.confirmRead()) return
-    // Nobody is told to fetch them any more, whatever becomes of the call.
+    // The parts are withdrawn first, so that no host fetches them whatever the outcome of the call.
     follower.removeFreed(obsolete)
     const answer = await this.source.free(follower.store, obsolete, follower.epoch, clockMs + FREE_DEADLINE_MS)
     this.telemetry.stateChanged('stored-parts-freed', {
--- a/apps/control/src/lib/stores/findObsoleteParts.ts
+++ b/apps/control/src/lib/stores/findObsoleteParts.ts
@@ -1,15 +1,16 @@
-/** Finds stored parts that no request can use any more. */
+/** Finds stored prompt parts that no request can use any more. */
 import { versionOfScope } from '@eelgrassmux/routing/prompts/cacheScope'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { StoredPart } from '@eelgrassmux/schema/site/storedParts'
 
 /**
- * A part belongs to the weights under which it was read. Once every engine holds
- * newer ones, no request can ask for it: versions only rise on an engine, and an
- * engine refuses a request that expects others.
+ * Finds the parts to free. A part is valid only for the weight version under which
+ * it was computed. Once every engine holds a newer version, no request can use the
+ * part: the versions on an engine only increase, and an engine refuses a request
+ * that expects another version.
  *
  * @param parts - parts that a store holds
- * @param endpoints - the list; engines that are on their way out count too
+ * @param endpoints - listed endpoints, including engines that are leaving
  * @returns parts to free
  */
 export function findObsoleteParts (parts: readonly StoredPart[], endpoints: readonly ListedEndpoint[]): StoredPart[] {
--- a/apps/control/src/lib/stores/stores.test.ts
+++ b/apps/control/src/lib/stores/stores.test.ts
@@ -12,7 +12,7 @@
 
 type Failure = { readonly kind: string }
 
-/** Answers from scripts; the follower is stopped when the scripts end. */
+/** Store that returns scripted answers and stops the follower when a script ends. */
 class ScriptedStore implements StoreSource {
   follower: StoreFollower | undefined
   listings = 0
@@ -42,7 +42,7 @@
 const part = (id: string): StoredPart => ['v1', id]
 const listing = (epoch: number, next: number, ...ids: string[]): Result<StoreListing, Failure> =>
   succeed({ startedAtMs: undefined, epoch, next, parts: ids.map(part), partial: [], rejected: [] })
-/** The same answer from a store that states its start. */
+/** Returns the same answer with a start time of the store. */
 function startedAt<Answer extends { startedAtMs: number | undefined }> (startedAtMs: number, answer: Result<Answer, Failure>): Result<Answer, Failure> {
   return answer.ok ? succeed({ ...answer.value, startedAtMs }) : answer
 }
@@ -57,7 +57,7 @@
   source.follower = follower
   await follower.run()
   let held: Set<string> | undefined
-  // The end of the script looks like a store that was lost; what was known before it counts.
+  // The end of the script looks like a lost store, so the last change is left out.
   for (const change of changes.slice(0, -1)) {
     if (change.kind === 'lost') held = undefined
     else if (change.kind === 'whole') held = new Set()
@@ -68,17 +68,17 @@
 }
 
 describe('StoreFollower', () => {
-  it('begins with the whole list and follows events', async () => {
+  it('starts with the whole listing and applies events', async () => {
     const { held } = await follow(new ScriptedStore([listing(1, 5, 'a')], [events(1, 7, ['+', 'b'], ['-', 'a'])]))
     expect(held).toEqual(new Set(['b']))
   })
 
-  it('takes the last word on a part that came and went in one answer', async () => {
+  it('applies the last event of a part that was stored and removed within one answer', async () => {
     const { held } = await follow(new ScriptedStore([listing(1, 5)], [events(1, 9, ['+', 'a'], ['-', 'a'], ['+', 'b'], ['-', 'b'], ['+', 'b'])]))
     expect(held).toEqual(new Set(['b']))
   })
 
-  it('reads the list again after a gap', async () => {
+  it('reads the listing again after a gap', async () => {
     const gap: Result<StoreEvents, Failure> = succeed({ startedAtMs: undefined, epoch: 1, next: 40, hasGap: true, events: [], clockMs: undefined, rejected: [] })
     const source = new ScriptedStore([listing(1, 5, 'a'), listing(1, 40, 'c')], [gap])
     const { held } = await follow(source)
@@ -86,41 +86,41 @@
     expect(held).toEqual(new Set(['c']))
   })
 
-  it('forgets everything when the store has restarted', async () => {
+  it('drops all parts when the store has restarted', async () => {
     const { held } = await follow(new ScriptedStore([listing(1, 5, 'a'), listing(2, 1)], [events(2, 1)]))
     expect(held).toEqual(new Set())
   })
 
-  it('forgets everything when the store states a later start, also under the same epoch', async () => {
+  it('drops all parts when the store reports a later start time with the same epoch', async () => {
     const source = new ScriptedStore([startedAt(1000, listing(1, 5, 'a')), startedAt(2000, listing(1, 1))], [startedAt(2000, events(1, 1))])
     const { held, changes } = await follow(source)
     expect(held).toEqual(new Set())
     expect(changes.map(change => change.kind)).toEqual(['whole', 'whole', 'lost'])
   })
 
-  it('takes nothing from an answer of the former start that arrives late', async () => {
+  it('ignores events of an earlier start that arrive late', async () => {
     const source = new ScriptedStore([startedAt(2000, listing(2, 5, 'a'))], [startedAt(1000, events(2, 9, ['-', 'a'], ['+', 'b']))])
     const { held } = await follow(source)
     expect(held).toEqual(new Set(['a']))
     expect(source.listings).toBe(1)
   })
 
-  it('takes nothing from a list of the former start that arrives late', async () => {
+  it('ignores a listing of an earlier start that arrives late', async () => {
     const source = new ScriptedStore([startedAt(2000, listing(2, 5, 'a')), startedAt(1000, listing(1, 5, 'b'))], [events(2, 6), startedAt(2000, events(3, 7))])
     const { held } = await follow(source)
     expect(held).toEqual(new Set(['a']))
   })
 
-  it('counts entries of events and lists that can\'t be used', async () => {
+  it('counts unusable entries of events and listings', async () => {
     const telemetry = new Telemetry('test')
     const [list, event] = [listing(1, 5, 'a'), events(1, 6)]
-    if (!list.ok || !event.ok) throw new Error('the script is wrong')
+    if (!list.ok || !event.ok) throw new Error('scripted answers must be successful')
     const bad = [rejectEntry('malformed', 7)]
     await follow(new ScriptedStore([succeed({ ...list.value, rejected: bad })], [succeed({ ...event.value, rejected: [...bad, ...bad] })]), telemetry)
     expect(await telemetry.registry.metrics()).toContain('rejected_entries_total{source="s",program="test"} 3')
   })
 
-  it('says at once that a store does not answer', async () => {
+  it('reports a store as lost as soon as it does not answer', async () => {
     const { changes } = await follow(new ScriptedStore([listing(1, 5, 'a'), listing(1, 5, 'a')], [fail({ kind: 'unreachable' })]))
     expect(changes.map(change => change.kind)).toEqual(['whole', 'lost', 'whole', 'lost'])
   })
@@ -131,15 +131,15 @@
     ({ id: `e${version}`, service: 'p', address: '', dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [{ model: 'm', version }] })
   const parts: StoredPart[] = [['v1', 'a'], ['v2', 'b'], ['v1/ward', 'c'], ['foreign', 'd']]
 
-  it('names parts of weights that no engine holds any more', () => {
+  it('finds parts of weights that no engine holds any more', () => {
     expect(findObsoleteParts(parts, [engine(2), engine(3)])).toEqual([['v1', 'a'], ['v1/ward', 'c']])
   })
 
-  it('names none while one engine still holds them', () => {
+  it('finds none while one engine still holds the weights', () => {
     expect(findObsoleteParts(parts, [engine(1), engine(3)])).toEqual([])
   })
 
-  it('names none when no engine is known', () => {
+  it('finds none when no engine is known', () => {
     expect(findObsoleteParts(parts, [])).toEqual([])
   })
 })
