--- a/apps/control/src/lib/stores/stores.test.ts
+++ b/apps/control/src/lib/stores/stores.test.ts
@@ -126,7 +126,7 @@
   })
 })
 
-describe('findDeadParts', () => {
+describe('findObsoleteParts', () => {
   const engine = (version: number): ListedEndpoint =>
     ({ id: `e${version}`, service: 'p', address: '', dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [{ model: 'm', version }] })
   const parts: StoredPart[] = [['v1', 'a'], ['v2', 'b'], ['v1/ward', 'c'], ['foreign', 'd']]
