--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -6,9 +6,9 @@
  * tenth of a second and a lost one is replaced by the next.
  */
 import { incarnationName } from '@eelgrassmux/routing/endpoints/incarnationName'
-import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
+import { LoadAggregator, type AggregatedLoad } from '@eelgrassmux/routing/load/LoadAggregator'
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
-import { SilentEndpoints, type ResponseChange } from '@eelgrassmux/routing/load/SilentEndpoints'
+import { UnresponsiveEndpointDetector, type ResponsivenessChange } from '@eelgrassmux/routing/load/UnresponsiveEndpointDetector'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
 import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -48,9 +48,9 @@
 
 /** Aggregates load reports while hosts send them. */
 export class LoadBoardTask {
-  readonly #board = new LoadBoard()
-  readonly #silentEndpoints = new SilentEndpoints()
-  #encoded: { readonly totals: Totals, readonly bytes: Uint8Array } | undefined
+  readonly #board = new LoadAggregator()
+  readonly #silentEndpoints = new UnresponsiveEndpointDetector()
+  #encoded: { readonly totals: AggregatedLoad, readonly bytes: Uint8Array } | undefined
   #timer: NodeJS.Timeout | undefined
 
   /** @param ports - dependencies */
@@ -101,7 +101,7 @@
       return
     }
     for (const change of this.#silentEndpoints.observe(work, now)) this.#logChange(change)
-    const due = this.#silentEndpoints.takeDue(now)
+    const due = this.#silentEndpoints.takeDueProbes(now)
     if (due.length > 0) this.#probeAll(due)
     this.#board.setUnresponsive(this.#silentEndpoints.unresponsive)
   }
@@ -118,11 +118,11 @@
   async #probe (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
     const service = this.ports.service(endpoint.service)
     const hasAnswered = service === undefined || await this.ports.probe?.isResponsive(endpoint, service) === true
-    const change = this.#silentEndpoints.settle(incarnation, hasAnswered, performance.now())
+    const change = this.#silentEndpoints.recordProbeResult(incarnation, hasAnswered, performance.now())
     if (change !== undefined) this.#logChange(change)
   }
 
-  #logChange ({ endpoint, isUnresponsive }: ResponseChange): void {
+  #logChange ({ endpoint, isUnresponsive }: ResponsivenessChange): void {
     const work = this.#board.totals(performance.now()).work.find(entry => entry.endpoint === endpoint)
     this.ports.telemetry.stateChanged(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
       endpoint, inFlight: work?.inFlight ?? 0, lastByteAgoMs: Math.round(work?.lastByteAgoMs ?? -1), avoiders: work?.avoiders ?? 0
