--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the control host's tasks together. */
+/** Assembles the tasks of a control host and runs them as a daemon. */
 import { join } from 'node:path'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { z } from 'zod'
@@ -24,7 +24,7 @@
 import { planShards } from './hosts/planShards.js'
 import { LoadBoardTask, type EndpointProbe } from './load/LoadBoardTask.js'
 import { OrderTask } from './orders/OrderTask.js'
-import { GroupKeeper } from './raft/GroupKeeper.js'
+import { MembershipTask } from './raft/MembershipTask.js'
 import { RaftSender } from './raft/RaftSender.js'
 import { RaftTask } from './raft/RaftTask.js'
 import { ConfiguredCrashDetector } from './quarantine/ConfiguredCrashDetector.js'
@@ -57,38 +57,38 @@
 
 const settingsSchema = z.object(controlSettingsShape)
 
-/** Settings of a control host, checked. */
+/** Validated settings of a control host. */
 export type ControlSettings = z.infer<typeof settingsSchema>
 
-/** What a platform brings beyond the product's own surroundings. */
+/** Platform-specific implementations that a control host is started with. */
 export interface ControlPlatform {
   readonly endpoints: EndpointSource
   readonly engines: RolloutBackend
   readonly stores: StoreSource
   readonly probe: EndpointProbe
-  /** Addresses of control hosts that may know the group, as of now. */
+  /** Returns the current addresses of control hosts that may be members of the group. */
   contacts (): readonly string[]
-  /** Opens what operators call on this platform. */
-  openOperatorEdge (sites: SiteService, telemetry: Telemetry): Promise<OperatorEdge>
+  /** Starts the server for operators' calls on this platform. */
+  openOperatorApi (sites: SiteService, telemetry: Telemetry): Promise<OperatorApi>
 }
 
-/** What operators call. */
-export interface OperatorEdge {
+/** A running server for operators' calls. */
+export interface OperatorApi {
   readonly address: string
   close (): Promise<void>
 }
 
-/** Interval between looks at shard owners, in milliseconds. */
-const SHARD_PLAN_MS = 500
+/** Interval between checks of the shard owners, in milliseconds. */
+const SHARD_PLAN_INTERVAL_MS = 500
 
 /** Interval between sweeps of expired records, in milliseconds. */
-const EXPIRE_MS = 60_000
+const EXPIRY_INTERVAL_MS = 60_000
 
-/** Start of this process on its monotonic clock, in milliseconds. */
+/** Start time of this process on its monotonic clock, in milliseconds. */
 const PROCESS_START_MS = 0
 
-/** Longest wait for another leader at a planned stop, in milliseconds. */
-const TRANSFER_WAIT_MS = 2000
+/** Maximum wait for a leadership transfer during a graceful shutdown, in milliseconds. */
+const TRANSFER_TIMEOUT_MS = 2000
 
 /** The control host's program. */
 export const controlProgram: DaemonProgram<ControlSettings> = {
@@ -101,10 +101,10 @@
 /**
  * Starts a control host.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @param telemetry - log and metrics
  * @param fail - called when the process must stop
- * @param platform - surroundings other than the product's own
+ * @param platform - platform-specific implementations; without them, no endpoint list, stores or rollouts are served
  */
 export async function startControl (
   settings: ControlSettings, telemetry: Telemetry, fail: (error: unknown) => void, platform?: ControlPlatform
@@ -120,14 +120,14 @@
   const sender = new RaftSender(peers, rpc, reason => { messageFailures.count(reason) })
   const orderOutcomes = telemetry.labelledCounter('orders_total', 'Orders to endpoints by outcome', 'outcome')
 
-  const learnt = new Map<string, string>()
+  const addressesById = new Map<string, string>()
   const self: Replica = { id: replicaId, address: '' }
-  // What an earlier process promised a leader, it promised before this one began.
+  // Any promise to a leader that an earlier process of this host made predates the start of this process.
   const core = new RaftCore(self, persisted, raftSettings(settings), Math.random, PROCESS_START_MS)
   const state = new StateMachine({ ...DEFAULT_STATE_SETTINGS, recordWindowMs: settings.recordWindowHours * HOUR_MS })
   const raft = new RaftTask(core, storage, state, {
     send: (to, message) => {
-      const address = to.address === '' ? learnt.get(to.id) : to.address
+      const address = to.address === '' ? addressesById.get(to.id) : to.address
       if (address !== undefined) sender.send(address, { from: self, to: to.id, message })
     },
     applied: () => {
@@ -152,9 +152,9 @@
     : new RolloutTask(raft, endpoints, platform.engines, settings.host, settings.orderLeaseMs, telemetry)
   const stores = platform === undefined ? undefined : new StoreTask(raft, platform.stores, () => endpoints?.endpointsOfSite ?? [], rejected, telemetry)
   const sites = { service, ...(endpoints === undefined ? {} : { endpoints }), ...(stores === undefined ? {} : { stores }) }
-  const controlServer = new ControlServer(raft, hosts, orders, sites, replica => { learnt.set(replica.id, replica.address) })
+  const controlServer = new ControlServer(raft, hosts, orders, sites, replica => { addressesById.set(replica.id, replica.address) })
   controlServer.register(server)
-  const surroundings = {
+  const endpointPorts = {
     probe: platform?.probe,
     endpoints: () => endpoints?.endpointsOfSite ?? [],
     service: (name: string) => state.sites.put?.site.services.find(service => service.type === 'replicated' && service.name === name) as ReplicatedService | undefined,
@@ -164,7 +164,7 @@
     isLeader: () => core.role === 'leader',
     register: state.quarantine,
     propose: async command => await raft.propose(command),
-    detector: platform === undefined ? new ConfiguredCrashDetector(() => state.configuration) : new ListedCrashDetector(surroundings),
+    detector: platform === undefined ? new ConfiguredCrashDetector(() => state.configuration) : new ListedCrashDetector(endpointPorts),
     telemetry
   })
   quarantine.register(server)
@@ -174,7 +174,7 @@
   const datagramOutcomes = telemetry.labelledCounter('datagrams_total', 'Datagrams of hosts by what they ask, or why they were not taken', 'outcome')
   const datagrams = new DatagramServer(outcome => { datagramOutcomes.count(outcome) })
   controlServer.registerDatagrams(datagrams)
-  const loads = new LoadBoardTask(surroundings)
+  const loads = new LoadBoardTask(endpointPorts)
   loads.register(datagrams)
   await datagrams.listen(settings.host, port)
   registerGauges(telemetry, raft, hosts)
@@ -185,25 +185,25 @@
     telemetry.stateChanged('group-founded', { replica: replicaId, address: self.address })
   }
   const contacts = (): readonly string[] => platform?.contacts() ?? settings.join
-  const keeper = new GroupKeeper(raft, rpc, contacts, settings.minimumVoters, telemetry)
-  keeper.run().catch(fail)
-  const operators = await platform?.openOperatorEdge(service, telemetry)
+  const membershipTask = new MembershipTask(raft, rpc, contacts, settings.minimumVoters, telemetry)
+  membershipTask.run().catch(fail)
+  const operators = await platform?.openOperatorApi(service, telemetry)
   const startedAt = performance.now()
-  const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_MS)
-  const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRE_MS)
+  const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_INTERVAL_MS)
+  const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRY_INTERVAL_MS)
 
   return {
     addresses: { rpc: `${settings.host}:${port}`, replicaId, ...(operators === undefined ? {} : { operators: operators.address }) },
     isReady: () => core.leader !== undefined,
     drain: async () => {
       raft.transfer()
-      const deadline = performance.now() + TRANSFER_WAIT_MS
+      const deadline = performance.now() + TRANSFER_TIMEOUT_MS
       while (core.role === 'leader' && core.membership.voters.length > 1 && performance.now() < deadline) await sleep(20)
     },
     close: async () => {
       clearInterval(shardTimer)
       clearInterval(expireTimer)
-      keeper.stop()
+      membershipTask.stop()
       datagrams.close()
       loads.stop()
       quarantine.stop()
@@ -212,7 +212,7 @@
       stores?.stop()
       await operators?.close()
       await orders.stop()
-      // A turn under way still answers its callers and peers.
+      // The batch in progress still answers its callers and sends messages to its peers.
       await raft.close()
       server.close()
       rpc.close()
@@ -221,22 +221,22 @@
   }
 }
 
-/** With several addresses to choose from, all hosts agree that the first in order founds the group. */
+/** If several addresses are given to join, the host with the first address in sort order founds the group, so that all hosts choose the same one. */
 function isFounder (settings: ControlSettings, core: RaftCore): boolean {
   if (!settings.bootstrap || core.lastIndex > 0) return false
   return settings.join.length === 0 || [...settings.join].sort()[0] === core.self.address
 }
 
 function raftSettings ({ heartbeatMs, electionTimeoutMs, minimumVoters }: ControlSettings): RaftSettings {
-  const { leaseMs, electionTimeoutMs: usualTimeoutMs } = DEFAULT_RAFT_SETTINGS
-  return { ...DEFAULT_RAFT_SETTINGS, heartbeatMs, electionTimeoutMs, minimumVoters, leaseMs: electionTimeoutMs * leaseMs / usualTimeoutMs }
+  const { leaseMs, electionTimeoutMs: defaultTimeoutMs } = DEFAULT_RAFT_SETTINGS
+  return { ...DEFAULT_RAFT_SETTINGS, heartbeatMs, electionTimeoutMs, minimumVoters, leaseMs: electionTimeoutMs * leaseMs / defaultTimeoutMs }
 }
 
 async function assignShards (raft: RaftTask, hosts: HostTable, settings: ControlSettings, startedAt: number): Promise<void> {
   const now = performance.now()
   const { core, state } = raft
   if (!core.canRead(now)) return
-  // After a restart, directories that have not reported yet are not taken for dead.
+  // After a restart, a directory that has not reported yet is not assumed to be down.
   const areReportsComplete = now - startedAt > settings.freshnessMs
   if (!areReportsComplete && state.shards.length > 0) return
   const owners = planShards(state.shards, settings.shards, hosts.liveDirectories(now))
--- a/apps/control/src/lib/ControlServer.ts
+++ b/apps/control/src/lib/ControlServer.ts
@@ -1,4 +1,4 @@
-/** Serves a control host's methods to hosts, operators and other replicas. */
+/** Serves the RPC methods of a control host to hosts, operators and other replicas. */
 import { randomUUID } from 'node:crypto'
 import { EventEmitter, once } from 'node:events'
 import type { Replica } from '@eelgrassmux/consensus/messages/raftMessages'
@@ -18,48 +18,48 @@
 import type { SiteService } from './site/SiteService.js'
 import { quarantineMessage } from './quarantine/quarantineMessage.js'
 
-/** The parts of a control host that serve sites. */
-export interface SiteParts {
+/** Services of a control host that depend on the site. */
+export interface SiteServices {
   readonly service: SiteService
-  /** Absent where the platform has no list of endpoints. */
+  /** Absent if the platform has no list of endpoints. */
   readonly endpoints?: EndpointListTask
-  /** Absent where there are no stores to follow. */
+  /** Absent if the platform has no stores. */
   readonly stores?: StoreTask
 }
 
-/** Answers calls from the replica's present state. */
+/** Answers calls from the current state of the replica. */
 export class ControlServer {
   readonly #changes = new EventEmitter()
   readonly #startedAt = performance.now()
-  /** Names this life of the process to hosts that watch it. */
+  /** Identifies this run of the process, so that watching hosts detect a restart. */
   readonly #incarnation = randomUUID()
 
   /**
-   * @param raft - log and state
-   * @param hosts - hosts that report here
-   * @param orders - reconciliation of engines
-   * @param sites - what this host does for sites
-   * @param learnReplica - told of each replica that sent a message
+   * @param raft - replica with the log and the state
+   * @param hosts - hosts that report to this control host
+   * @param orders - reconciliation of configured engines
+   * @param sites - services that depend on the site
+   * @param onReplicaSeen - called with the sender of each Raft message
    */
   constructor (
     private readonly raft: RaftTask,
     private readonly hosts: HostTable,
     private readonly orders: OrderTask,
-    private readonly sites: SiteParts,
-    private readonly learnReplica: (replica: Replica) => void
+    private readonly sites: SiteServices,
+    private readonly onReplicaSeen: (replica: Replica) => void
   ) {
     this.#changes.setMaxListeners(0)
   }
 
-  /** Wakes all watches; call after the state has changed. */
+  /** Wakes all watch streams. Call this after the state has changed. */
   notify (): void {
     this.#changes.emit('change')
   }
 
-  /** @param server - where to register all methods */
+  /** @param server - RPC server on which to register all methods */
   register (server: RpcServer): void {
     server.handle(exchangeRaft, async envelope => {
-      this.#receive(envelope)
+      this.#receiveRaft(envelope)
       return {}
     })
     server.handle(propose, async ({ command }) => await this.raft.propose(command))
@@ -83,27 +83,27 @@
     })
     server.handle(listOrders, async () => ({ orders: this.orders.reports() }))
     server.handle(changeMembershipMethod, async change => await changeMembership(this.raft, change))
-    server.handleStream(watchView, async ({ viewRevision }, stream) => { await this.#watch(viewRevision, stream) })
+    server.handleStream(watchView, async ({ viewRevision }, stream) => { await this.#watchView(viewRevision, stream) })
     server.handleStream(watchEndpoints, async (_request, stream) => { await this.#watchEndpoints(stream) })
     server.handleStream(watchStoredParts, async (_request, stream) => { await this.#watchStoredParts(stream) })
   }
 
-  /** @param datagrams - where to register what hosts ask again and again */
+  /** @param datagrams - datagram server on which to register the methods that hosts call periodically */
   registerDatagrams (datagrams: DatagramServer): void {
-    datagrams.handle(reportStatus, report => this.#answerReport(report))
+    datagrams.handle(reportStatus, report => this.#respondToReport(report))
     datagrams.handle(tellRaft, envelope => {
-      this.#receive(envelope)
+      this.#receiveRaft(envelope)
       return undefined
     })
   }
 
-  #receive ({ from, to, message }: RaftEnvelope): void {
-    this.learnReplica(from)
-    // A message for another identity at this address is for a replica that has lost its disk.
+  #receiveRaft ({ from, to, message }: RaftEnvelope): void {
+    this.onReplicaSeen(from)
+    // A message to another id at this address is meant for an earlier replica that has lost its disk.
     if (to === this.raft.core.self.id) this.raft.receive(message)
   }
 
-  #answerReport ({ membershipIndex: known, wantsPeers, ...status }: StatusRequest): StatusResponse {
+  #respondToReport ({ membershipIndex: known, wantsPeers, ...status }: StatusRequest): StatusResponse {
     const now = performance.now()
     const { membership, membershipIndex, core, state } = this.raft
     const { endpoints, stores } = this.sites
@@ -127,7 +127,7 @@
     }
   }
 
-  async #watch (from: number, stream: ResponseStream<ViewMessage>): Promise<void> {
+  async #watchView (from: number, stream: ResponseStream<ViewMessage>): Promise<void> {
     let sent = from
     while (!stream.signal.aborted) {
       if (this.raft.state.viewRevision > sent) {
@@ -170,7 +170,7 @@
     const watcher = stores.addWatcher(() => { changes.emit('change') })
     try {
       while (!stream.signal.aborted) {
-        await stream.send({ incarnation: this.#incarnation, ...stores.take(watcher) })
+        await stream.send({ incarnation: this.#incarnation, ...stores.takePending(watcher) })
         if (watcher.pending.length === 0) await nextChange(changes, stream.signal)
       }
     } finally {
@@ -192,18 +192,18 @@
     }
     const upserts = new Map(changes.flatMap(change => change.upserts.map(document => [`${document.kind}/${document.name}`, document])))
     const removes = changes.flatMap(change => change.removes)
-    const kept = this.#stillRemoved(removes)
-    for (const { kind, name } of kept) upserts.delete(`${kind}/${name}`)
-    return { kind: 'changes', fromViewRevision: known, viewRevision, revision, upserts: [...upserts.values()], removes: kept, shards, weights, ...site, ...evacuation, ...quarantineMessage(state.quarantine, changes.flatMap(change => change.quarantineChanged), Date.now()) }
+    const effectiveRemoves = this.#withoutRecreated(removes)
+    for (const { kind, name } of effectiveRemoves) upserts.delete(`${kind}/${name}`)
+    return { kind: 'changes', fromViewRevision: known, viewRevision, revision, upserts: [...upserts.values()], removes: effectiveRemoves, shards, weights, ...site, ...evacuation, ...quarantineMessage(state.quarantine, changes.flatMap(change => change.quarantineChanged), Date.now()) }
   }
 
-  /** A document removed and later created again within the same changes is not removed. */
-  #stillRemoved<Name extends { readonly kind: string, readonly name: string }> (removes: readonly Name[]): Name[] {
+  /** Drops documents that were removed and created again within the same changes. */
+  #withoutRecreated<Name extends { readonly kind: string, readonly name: string }> (removes: readonly Name[]): Name[] {
     return removes.filter(({ kind, name }) => !this.raft.state.hasDocument(kind, name))
   }
 }
 
-/** Resolves at the next change, or when the watch ends. */
+/** Resolves at the next change or when the watch stream is aborted. */
 async function nextChange (changes: EventEmitter, signal: AbortSignal): Promise<void> {
   await new Promise<void>(resolve => {
     function finish (): void {
--- a/apps/control/src/lib/hosts/HostTable.ts
+++ b/apps/control/src/lib/hosts/HostTable.ts
@@ -1,44 +1,45 @@
-/** Hosts that report to this control host, and how long ago. */
+/** Tracks the hosts that report to this control host and the age of their reports. */
 import type { HostReport, HostStatus } from '@eelgrassmux/rpc/methods/controlMethods'
 
-/** Reports older than this are forgotten, in milliseconds. */
-const FORGET_MS = 60_000
+/** Age at which a report is discarded, in milliseconds. */
+const REPORT_EXPIRY_MS = 60_000
 
-/** Interval between looks for such reports, in milliseconds: looked through with each of 340 hosts' reports they would cost more than those. */
-const FORGET_LOOK_MS = 1000
+/** Interval between searches for expired reports, in milliseconds. With 340 hosts, a search at each report would cost more than handling the report. */
+const EXPIRY_CHECK_INTERVAL_MS = 1000
 
-/** Most entry hosts that tell each other of every dispatch: the messages grow with the square of their number. */
-const LARGEST_PEER_GROUP = 16
+/** Maximum number of entry hosts that notify each other of every dispatch. The number of messages grows with the square of the number of hosts. */
+const MAX_PEER_GROUP_SIZE = 16
 
 interface ReportedHost {
   readonly report: HostStatus
   readonly reportedAt: number
 }
 
-/** Last report of each host. */
+/** Holds the last report of each host. */
 export class HostTable {
   readonly #hosts = new Map<string, ReportedHost>()
-  #forgottenAt = Number.NEGATIVE_INFINITY
+  #lastExpiryCheckAt = Number.NEGATIVE_INFINITY
 
-  /** @param freshnessMs - time for which a host may act on what it last confirmed */
+  /** @param freshnessMs - time for which a host may act on its last confirmed view */
   constructor (private readonly freshnessMs: number) {}
 
   /**
-   * @param report - a host's report
+   * @param report - report of a host
    * @param now - monotonic milliseconds
    */
   observe (report: HostStatus, now: number): void {
     this.#hosts.set(`${report.role}/${report.host}`, { report, reportedAt: now })
-    if (now - this.#forgottenAt < FORGET_LOOK_MS) return
-    this.#forgottenAt = now
+    if (now - this.#lastExpiryCheckAt < EXPIRY_CHECK_INTERVAL_MS) return
+    this.#lastExpiryCheckAt = now
     for (const [name, { reportedAt }] of this.#hosts) {
-      if (now - reportedAt > FORGET_MS) this.#hosts.delete(name)
+      if (now - reportedAt > REPORT_EXPIRY_MS) this.#hosts.delete(name)
     }
   }
 
   /**
-   * Entry hosts that may still admit requests. One that fell silent counts until
-   * its lease has surely ended, so that the shares never add up to more than one.
+   * Counts the entry hosts that may still admit requests. A host that has stopped
+   * reporting counts until its lease has certainly expired, so that the shares of
+   * all hosts never add up to more than one.
    *
    * @param now - monotonic milliseconds
    */
@@ -51,14 +52,14 @@
   }
 
   /**
-   * Peer addresses of live entry hosts, for telling each other of dispatches.
+   * Returns the peer addresses of live entry hosts, which notify each other of dispatches.
    *
    * @param now - monotonic milliseconds
-   * @returns the addresses; empty when the hosts are too many for that
+   * @returns the addresses; empty if there are more than {@link MAX_PEER_GROUP_SIZE} hosts
    */
   entryPeers (now: number): string[] {
     const entries = this.#live(now).filter(report => report.role === 'entry')
-    return entries.length > LARGEST_PEER_GROUP ? [] : entries.map(report => report.address)
+    return entries.length > MAX_PEER_GROUP_SIZE ? [] : entries.map(report => report.address)
   }
 
   /**
@@ -72,7 +73,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns all reports with their age
+   * @returns all reports with their ages
    */
   reports (now: number): HostReport[] {
     return [...this.#hosts.values()].map(({ report, reportedAt }) => ({ ...report, ageMs: now - reportedAt }))
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -8,16 +8,16 @@
 import { LoadBoardTask, type LoadBoardPorts } from './LoadBoardTask.js'
 
 const listed = { id: 'e', startedAtMs: 46_655, service: 's', address: '10.0.0.1:80', dataCentre: 'n', slots: 1, isLeaving: false, isBusy: false, models: [] }
-/** Its name with its start. */
+/** Incarnation name of the listed endpoint, which contains its start time. */
 const INCARNATION = 'e@zzz'
 const service = { type: 'replicated' as const, name: 's', connectionsPerEndpoint: 1, healthPath: '/well' }
 const silent: EndpointLoad = { ...NO_ENDPOINT_LOAD, endpoint: INCARNATION, inFlight: 4, lastByteAgoMs: 900, waitedMs: 900 }
 
 type Answer = (report: LoadReport) => Uint8Array | undefined
 
-/** A task whose hosts report as a test says, on a virtual clock. */
-class World {
-  questions = 0
+/** Runs the task with reports from the test on a virtual clock. */
+class LoadBoardFixture {
+  probes = 0
   isAlive = false
   readonly #answers = new Map<unknown, Answer>()
   #sequence = 0
@@ -26,8 +26,8 @@
   constructor (ports: Partial<LoadBoardPorts> = {}) {
     this.task = new LoadBoardTask({
       probe: {
-        answers: async () => {
-          this.questions += 1
+        isResponsive: async () => {
+          this.probes += 1
           return await Promise.resolve(this.isAlive)
         },
         hasCrashed: async () => await Promise.resolve(undefined)
@@ -45,50 +45,50 @@
     this.#answers.get(tellLoad)?.({ host: 'h', sequence: ++this.#sequence, work, links: [] })
   }
 
-  /** @returns what the host hears of the endpoint */
+  /** @returns the work of the endpoint as reported to the host */
   ask (): EndpointLoad | undefined {
     const bytes = this.#answers.get(askLoad)?.({ host: 'h', sequence: ++this.#sequence, work: [], links: [] })
     return bytes === undefined ? undefined : decodeLoadTotals(Buffer.from(bytes)).work.find(({ endpoint }) => endpoint === INCARNATION)
   }
 
-  async pass (milliseconds: number): Promise<void> { await vi.advanceTimersByTimeAsync(milliseconds) }
+  async advance (milliseconds: number): Promise<void> { await vi.advanceTimersByTimeAsync(milliseconds) }
 }
 
 describe('LoadBoardTask', () => {
   beforeEach(() => { vi.useFakeTimers({ toFake: ['setInterval', 'clearInterval', 'performance'] }) })
   afterEach(() => { vi.useRealTimers() })
 
-  it('tells all hosts of an endpoint that answers neither them nor it, until it answers', async () => {
-    const world = new World()
-    world.tell([silent])
-    await world.pass(300)
-    expect(world.questions).toBe(1)
-    expect(world.ask()?.unresponsive).toBe(1)
-    world.isAlive = true
-    for (let turn = 0; turn < 20; turn += 1) {
-      world.tell([])
-      await world.pass(100)
+  it('reports an endpoint that answers neither the hosts nor a probe as unresponsive until it answers', async () => {
+    const fixture = new LoadBoardFixture()
+    fixture.tell([silent])
+    await fixture.advance(300)
+    expect(fixture.probes).toBe(1)
+    expect(fixture.ask()?.unresponsive).toBe(1)
+    fixture.isAlive = true
+    for (let round = 0; round < 20; round += 1) {
+      fixture.tell([])
+      await fixture.advance(100)
     }
-    expect(world.ask()).toBeUndefined()
-    world.task.stop()
+    expect(fixture.ask()).toBeUndefined()
+    fixture.task.stop()
   })
 
-  it('asks nobody while all hosts are silent, nor where it has nobody to ask through', async () => {
-    const world = new World()
-    world.tell([silent])
-    await world.pass(3000)
-    const { questions } = world
-    await world.pass(10_000)
-    expect(world.questions).toBe(questions)
-    const withoutProbe = new World({ probe: undefined })
+  it('probes nothing while no host reports, or without a probe', async () => {
+    const fixture = new LoadBoardFixture()
+    fixture.tell([silent])
+    await fixture.advance(3000)
+    const { probes } = fixture
+    await fixture.advance(10_000)
+    expect(fixture.probes).toBe(probes)
+    const withoutProbe = new LoadBoardFixture({ probe: undefined })
     withoutProbe.tell([silent])
     expect(vi.getTimerCount()).toBe(0)
   })
 
-  it('asks no endpoint that the site does not have', async () => {
-    const world = new World({ endpoints: () => [] })
-    world.tell([silent])
-    await world.pass(500)
-    expect(world.questions).toBe(0)
+  it('probes no endpoint that is missing from the site', async () => {
+    const fixture = new LoadBoardFixture({ endpoints: () => [] })
+    fixture.tell([silent])
+    await fixture.advance(500)
+    expect(fixture.probes).toBe(0)
   })
 })
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -1,9 +1,9 @@
 /**
- * Finds requests that crash the endpoints that run them, from what all entry hosts report, and
- * proposes that they be quarantined.
+ * Finds requests that crash the endpoints that run them, based on the reports of all entry
+ * hosts, and proposes to quarantine them.
  *
- * Only the leader adds up, in memory; what is decided is in the agreed log. Hosts tell a new
- * leader again what they hold, so that a change of leader loses no evidence.
+ * Only the leader correlates the reports, in memory; decisions are committed to the log. Hosts
+ * send the reports they hold again to a new leader, so that a change of leader loses no evidence.
  */
 import { CrashCorrelator } from '@eelgrassmux/routing/quarantine/CrashCorrelator'
 import { reportCrashes, type ReportCrashesRequest, type ReportCrashesResponse } from '@eelgrassmux/rpc/methods/quarantineMethods'
@@ -12,25 +12,25 @@
 import type { Command } from '@eelgrassmux/state/commands'
 import type { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { CrashCheck } from './CrashCheck.js'
+import { CrashChecker } from './CrashChecker.js'
 import type { CrashDetector } from './CrashDetector.js'
 
-/** Interval between looks while reports settle and endpoints answer, in milliseconds. */
-const LOOK_MS = 100
+/** Interval between checks while further reports and answers of endpoints arrive, in milliseconds. */
+const SETTLING_CHECK_INTERVAL_MS = 100
 
-/** Time after the last news in which that may go on, in milliseconds. */
-const SETTLING_MS = 1000
+/** Time after the last evidence in which further reports and answers may arrive, in milliseconds. */
+const SETTLING_PERIOD_MS = 1000
 
-/** Interval between looks after that, in milliseconds. */
-const SLOW_LOOK_MS = 500
+/** Interval between checks after the settling period, in milliseconds. */
+const ACTIVE_CHECK_INTERVAL_MS = 500
 
-/** Time after the last news in which the list may still tell that an endpoint has ended, in milliseconds. */
-const ACTIVE_MS = 15_000
+/** Time after the last evidence in which the endpoint list may still show that an endpoint has ended, in milliseconds. */
+const ACTIVE_PERIOD_MS = 15_000
 
-/** Interval between looks at entries that are over, in milliseconds. */
-const EXPIRE_MS = 1000
+/** Interval between checks for expired quarantine entries, in milliseconds. */
+const EXPIRY_CHECK_INTERVAL_MS = 1000
 
-/** What the task needs from around it. */
+/** Dependencies of the task. */
 export interface QuarantinePorts {
   isLeader (): boolean
   readonly register: QuarantineRegister
@@ -39,38 +39,38 @@
   readonly telemetry: Telemetry
 }
 
-/** Works while hosts report. */
+/** Correlates crash reports and proposes quarantine decisions. */
 export class QuarantineTask {
   readonly #correlator = new CrashCorrelator()
-  readonly #check: CrashCheck
+  readonly #crashChecker: CrashChecker
   readonly #decisions: LabelledCounter
   readonly #reports: LabelledCounter
   readonly #expireTimer: NodeJS.Timeout
-  #lookTimer: NodeJS.Timeout | undefined
-  #newsAt = 0
+  #checkTimer: NodeJS.Timeout | undefined
+  #lastEvidenceAt = 0
   #isProposing = false
-  /** Decided while a proposal was under way. */
-  #waiting: QuarantineDecision[] = []
+  /** Decisions made while a proposal is in progress. */
+  #queuedDecisions: QuarantineDecision[] = []
 
-  /** @param ports - surroundings */
+  /** @param ports - dependencies */
   constructor (private readonly ports: QuarantinePorts) {
     const { telemetry } = ports
     this.#decisions = telemetry.labelledCounter('quarantine_decisions_total', 'Changes of the quarantine by kind', 'decision')
     this.#reports = telemetry.labelledCounter('crash_reports_total', 'Reports of requests that were lost with an endpoint, by what became of them', 'outcome')
     telemetry.gauge('requests_quarantined', 'Requests that are kept from endpoints', () => ports.register.all.filter(({ state }) => state === 'quarantined').length)
     telemetry.gauge('endpoint_crashes_held', 'Ends of endpoints that still count against the requests that were there', () => this.#correlator.crashCount)
-    this.#check = new CrashCheck((endpoint, hasCrashed) => { this.#settle(endpoint, hasCrashed) })
-    this.#expireTimer = setInterval(() => { this.#expire() }, EXPIRE_MS)
+    this.#crashChecker = new CrashChecker((endpoint, hasCrashed) => { this.#settleCrash(endpoint, hasCrashed) })
+    this.#expireTimer = setInterval(() => { this.#expire() }, EXPIRY_CHECK_INTERVAL_MS)
   }
 
-  /** @param server - where to register */
+  /** @param server - RPC server on which to register the method */
   register (server: RpcServer): void {
     server.handle(reportCrashes, async report => this.observe(report))
   }
 
   /**
-   * @param report - of one host
-   * @returns whether it was taken
+   * @param report - report of one host
+   * @returns whether the report was accepted, which only the leader does
    */
   observe ({ losses, completed }: ReportCrashesRequest): ReportCrashesResponse {
     if (!this.ports.isLeader()) {
@@ -80,58 +80,58 @@
     const now = performance.now()
     for (const loss of losses) this.#correlator.observe(loss, now)
     this.#reports.count('taken', losses.length)
-    this.#clear(completed, now)
-    this.#wake(now)
+    this.#clearCompleted(completed, now)
+    this.#restartChecks(now)
     return { isTaken: true }
   }
 
-  /** Ends judging. */
+  /** Stops all checks. */
   stop (): void {
     clearInterval(this.#expireTimer)
-    clearTimeout(this.#lookTimer)
+    clearTimeout(this.#checkTimer)
   }
 
-  #wake (now: number): void {
-    this.#newsAt = now
-    clearTimeout(this.#lookTimer)
-    this.#scheduleLook(LOOK_MS)
+  #restartChecks (now: number): void {
+    this.#lastEvidenceAt = now
+    clearTimeout(this.#checkTimer)
+    this.#scheduleCheck(SETTLING_CHECK_INTERVAL_MS)
   }
 
-  #scheduleLook (delayMs: number): void {
-    this.#lookTimer = setTimeout(() => { this.#look() }, delayMs)
+  #scheduleCheck (delayMs: number): void {
+    this.#checkTimer = setTimeout(() => { this.#runCheck() }, delayMs)
   }
 
-  #look (): void {
+  #runCheck (): void {
     const now = performance.now()
     if (!this.ports.isLeader()) {
       this.#correlator.reset()
       return
     }
-    const quietMs = now - this.#newsAt
-    if (quietMs < ACTIVE_MS) this.#scheduleLook(quietMs < SETTLING_MS ? LOOK_MS : SLOW_LOOK_MS)
-    this.#verify(now)
-    // What is under way would be decided a second time.
+    const idleMs = now - this.#lastEvidenceAt
+    if (idleMs < ACTIVE_PERIOD_MS) this.#scheduleCheck(idleMs < SETTLING_PERIOD_MS ? SETTLING_CHECK_INTERVAL_MS : ACTIVE_CHECK_INTERVAL_MS)
+    this.#verifyCrashes(now)
+    // While a proposal is in progress, its decisions would be made a second time.
     if (!this.#isProposing) this.#propose(this.#correlator.decide(this.ports.register, now))
   }
 
-  #verify (now: number): void {
-    const uncertain = this.#correlator.unconfirmedCrashes(this.ports.register)
-    this.#check.retain(name => uncertain.includes(name))
-    if (uncertain.length === 0) return
-    for (const [name, knowledge] of this.ports.detector.look(uncertain)) {
-      if (knowledge === 'ended') this.#settle(name, true)
-      else if (knowledge !== undefined) this.#check.ask(name, knowledge, now)
+  #verifyCrashes (now: number): void {
+    const unconfirmed = this.#correlator.unconfirmedCrashes(this.ports.register)
+    this.#crashChecker.retain(name => unconfirmed.includes(name))
+    if (unconfirmed.length === 0) return
+    for (const [name, knowledge] of this.ports.detector.check(unconfirmed)) {
+      if (knowledge === 'ended') this.#settleCrash(name, true)
+      else if (knowledge !== undefined) this.#crashChecker.ask(name, knowledge, now)
     }
   }
 
-  #settle (endpoint: string, hasCrashed: boolean): void {
+  #settleCrash (endpoint: string, hasCrashed: boolean): void {
     const now = performance.now()
     this.#correlator.recordCrashCheck(endpoint, hasCrashed, now)
     this.ports.telemetry.stateChanged('endpoint-crash-checked', { endpoint, hasCrashed })
-    this.#wake(now)
+    this.#restartChecks(now)
   }
 
-  #clear (fingerprints: readonly string[], now: number): void {
+  #clearCompleted (fingerprints: readonly string[], now: number): void {
     const decisions = fingerprints.flatMap((fingerprint): QuarantineDecision[] => {
       const entry = this.ports.register.find(fingerprint)
       this.#correlator.recordCompletion(fingerprint, now)
@@ -142,7 +142,7 @@
 
   #propose (decisions: readonly QuarantineDecision[]): void {
     if (this.#isProposing) {
-      this.#waiting.push(...decisions)
+      this.#queuedDecisions.push(...decisions)
       return
     }
     if (decisions.length === 0) return
@@ -153,8 +153,8 @@
     }
     const finish = (): void => {
       this.#isProposing = false
-      this.#wake(performance.now())
-      this.#propose(this.#waiting.splice(0))
+      this.#restartChecks(performance.now())
+      this.#propose(this.#queuedDecisions.splice(0))
     }
     this.ports.propose({ kind: 'change-quarantine', decisions: [...decisions] }).then(finish, finish)
   }
--- a/apps/control/src/lib/raft/GroupKeeper.ts
+++ b/apps/control/src/lib/raft/MembershipTask.ts
@@ -1,38 +1,38 @@
 /**
- * Keeps this replica in its group, and the group free of replicas that have gone.
+ * Keeps this replica in its group and removes unreachable replicas from the group.
  *
- * A replica joins when it is not a member, also when it finds out after a
- * restart that it was removed while it was away. The leader removes voters that
- * a successor has replaced.
+ * A replica joins if it is not a member, or if it learns after a restart that it
+ * was removed while it was down. The leader removes voters that have been
+ * replaced by another host.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import { listHosts } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { findSurplusReplica, removeIfStillSurplus } from './MembershipKeeper.js'
+import { findSurplusReplica, removeIfStillSurplus } from './surplusReplicas.js'
 import { joinGroup } from './joinGroup.js'
 import type { RaftTask } from './RaftTask.js'
 
-/** Interval between looks at the membership, in milliseconds. */
-const LOOK_MS = 300
+/** Interval between checks of the membership, in milliseconds. */
+const CHECK_INTERVAL_MS = 300
 
-/** Time without a leader after which a replica asks whether it still belongs to the group, in milliseconds. */
-const LEADERLESS_MS = 1500
+/** Time without a leader after which a replica queries whether it is still a member, in milliseconds. */
+const LEADERLESS_TIMEOUT_MS = 1500
 
-/** Deadline of that question, in milliseconds. */
-const ASK_MS = 500
+/** Timeout of the membership query, in milliseconds. */
+const MEMBERSHIP_QUERY_TIMEOUT_MS = 500
 
-/** Looks after the membership until stopped. */
-export class GroupKeeper {
+/** Checks the membership periodically until stopped. */
+export class MembershipTask {
   #isStopped = false
   #leaderlessSince: number | undefined
 
   /**
-   * @param raft - this host's replica
+   * @param raft - replica of this host
    * @param rpc - client for calls to other control hosts
-   * @param contacts - addresses of control hosts that may know the group, as of now
-   * @param targetVoters - voters that the group needs
+   * @param contacts - returns the current addresses of control hosts that may be members of the group
+   * @param targetVoters - number of voters that the group needs
    * @param telemetry - log
    */
   constructor (
@@ -43,26 +43,26 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Runs until {@link GroupKeeper.stop}. */
+  /** Runs until {@link MembershipTask.stop}. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      await this.#turn()
-      await sleep(LOOK_MS)
+      await this.#checkMembership()
+      await sleep(CHECK_INTERVAL_MS)
     }
   }
 
-  /** Ends the loop. */
+  /** Stops the loop. */
   stop (): void {
     this.#isStopped = true
   }
 
-  async #turn (): Promise<void> {
+  async #checkMembership (): Promise<void> {
     const { core } = this.raft
     if (core.role === 'leader') {
       await this.#removeSurplus(core)
       return
     }
-    if (this.#others().length === 0) return
+    if (this.#otherContacts().length === 0) return
     const isVoter = core.membership.voters.some(voter => voter.id === core.self.id)
     if (!isVoter || await this.#wasRemoved(core)) await this.#join(core)
   }
@@ -83,10 +83,10 @@
       return false
     }
     this.#leaderlessSince ??= now
-    if (now - this.#leaderlessSince < LEADERLESS_MS) return false
-    for (const contact of this.#others()) {
-      const answer = await this.rpc.call(contact, listHosts, {}, ASK_MS)
-      // Only the leader's committed membership is newer than our own for certain.
+    if (now - this.#leaderlessSince < LEADERLESS_TIMEOUT_MS) return false
+    for (const contact of this.#otherContacts()) {
+      const answer = await this.rpc.call(contact, listHosts, {}, MEMBERSHIP_QUERY_TIMEOUT_MS)
+      // Only the committed membership of the leader is certainly newer than this replica's own.
       if (!answer.ok || answer.value.leader !== answer.value.replicaId) continue
       return ![...answer.value.voters, ...answer.value.learners].some(replica => replica.id === core.self.id)
     }
@@ -94,13 +94,13 @@
   }
 
   async #join (core: RaftCore): Promise<void> {
-    this.telemetry.stateChanged('joining', { replica: core.self.id, contacts: this.#others().join(' ') })
-    await joinGroup(this.rpc, core, () => this.#others(), () => this.#isStopped)
+    this.telemetry.stateChanged('joining', { replica: core.self.id, contacts: this.#otherContacts().join(' ') })
+    await joinGroup(this.rpc, core, () => this.#otherContacts(), () => this.#isStopped)
     this.#leaderlessSince = undefined
     this.telemetry.stateChanged('joined', { replica: core.self.id })
   }
 
-  #others (): string[] {
+  #otherContacts (): string[] {
     const { self, membership } = this.raft.core
     const known = [...this.contacts(), ...membership.voters.map(voter => voter.address)]
     return [...new Set(known)].filter(address => address !== self.address && address !== '')
--- a/apps/control/src/lib/raft/RaftTask.ts
+++ b/apps/control/src/lib/raft/RaftTask.ts
@@ -1,9 +1,10 @@
 /**
- * The task that owns one replica: its core, its storage and its mailbox.
+ * Owns one replica with its Raft core, its storage and its mailbox.
  *
- * All input waits in the mailbox. One turn takes everything that has arrived,
- * steps the core, syncs the writes of the whole turn at once, and only then
- * sends, applies and answers. So one sync serves all commands of a turn.
+ * All input is queued in the mailbox. The task takes everything that has arrived
+ * as one batch, steps the core, syncs all writes of the batch at once, and only
+ * then sends messages, applies entries and answers callers. One sync therefore
+ * covers all commands of a batch.
  */
 import { decode, encode } from '@msgpack/msgpack'
 import type { RaftCore } from '@eelgrassmux/consensus/RaftCore'
@@ -15,27 +16,27 @@
 import { decodeCommand, encodeCommand } from '@eelgrassmux/state/commandCodec'
 import { stateImageSchema, type Command, type CommandResult, type StampedCommand } from '@eelgrassmux/state/commands'
 import type { StateMachine } from '@eelgrassmux/state/StateMachine'
-import { DecisionNotice, type CommandDecision } from './DecisionNotice.js'
+import { DecisionNotifier, type CommandDecision } from './DecisionNotifier.js'
 import { membershipIndexOf, newestViewBound } from './logBounds.js'
 
-/** What became of a proposed command. */
+/** Outcome of a proposed command. */
 export type ProposeOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
   | { readonly kind: 'not-leader', readonly leader: string }
   | { readonly kind: 'uncertain' }
 
-/** What the task needs from around it. */
+/** Dependencies and callbacks of the task. */
 export interface RaftTaskPorts {
-  /** Sends a message; it may be lost. */
+  /** Sends a message, which may be lost. */
   send (to: Replica, message: RaftMessage): void
   /** Called after the state machine has changed. */
   applied (): void
   roleChanged (role: string, term: number): void
-  /** Called when the decision about commands has changed, or what it rests on. */
+  /** Called when the decision whether to accept commands has changed, or the membership that it is based on. */
   commandDecided (decision: CommandDecision): void
-  /** Called when a write fails while the task is closing: nothing that hangs on it was sent or answered. */
+  /** Called when a write fails while the task is closing. Nothing that depends on the write was sent or answered. */
   lostWhileClosing (error: unknown): void
-  /** Called when the disk or an invariant fails; the process must stop. */
+  /** Called when a write fails or an invariant is violated. The process must then stop. */
   fail (error: unknown): void
 }
 
@@ -52,44 +53,44 @@
   | { readonly kind: 'transfer' }
   | { readonly kind: 'read', readonly resolve: (isConfirmed: boolean) => void }
 
-/** Interval of the core's timers, in milliseconds. */
-const TICK_MS = 20
+/** Interval at which the core's timers advance, in milliseconds. */
+const TICK_INTERVAL_MS = 20
 
-/** Log entries after which the state is saved as a snapshot. */
-const SNAPSHOT_EVERY = 5000
+/** Number of log entries after which a snapshot of the state is saved. */
+const SNAPSHOT_LOG_ENTRIES = 5000
 
-/** Bytes of commands after which it is, too: sites are large, and the log is held in memory. */
-const SNAPSHOT_BYTES = 8 * 1024 * 1024
+/** Number of command bytes after which a snapshot is saved, because sites are large and the log is held in memory. */
+const SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 
-/** Longest wait for a quorum to confirm a read, in milliseconds; callers turn to another host after a second. */
-const READ_WAIT_MS = 700
+/** Maximum wait for a quorum to confirm a read, in milliseconds. Callers switch to another host after one second. */
+const READ_TIMEOUT_MS = 700
 
-/** A read that waits for a quorum to follow this leader. */
+/** A read that waits until a quorum confirms this leader. */
 interface PendingRead {
   readonly readAt: number
   readonly resolve: (isConfirmed: boolean) => void
 }
 
-/** Owns one replica. */
+/** Runs one replica. */
 export class RaftTask {
   #mailbox: MailboxItem[] = []
-  #working = false
-  #closed = false
-  #turn: Promise<void> = Promise.resolve()
+  #isProcessing = false
+  #isClosed = false
+  #processing: Promise<void> = Promise.resolve()
   #pending = new Map<number, PendingProposal>()
   #reads: PendingRead[] = []
   #appliedIndex: number
   #lastRole = 'follower'
-  #turns = 0
-  readonly #decisions = new DecisionNotice(decision => { this.ports.commandDecided(decision) })
+  #syncCount = 0
+  readonly #decisionNotifier = new DecisionNotifier(decision => { this.ports.commandDecided(decision) })
   readonly #ticker: NodeJS.Timeout
 
   /**
-   * @param core - protocol state
-   * @param storage - its disk
-   * @param state - what the log drives
-   * @param ports - surroundings
-   * @param clock - wall clock in milliseconds, to stamp commands
+   * @param core - Raft protocol state
+   * @param storage - persistent storage of the core
+   * @param state - state machine that the log is applied to
+   * @param ports - dependencies and callbacks
+   * @param clock - wall clock in milliseconds, used to timestamp commands
    */
   constructor (
     readonly core: RaftCore,
@@ -101,29 +102,29 @@
     this.#appliedIndex = core.commitIndex
     const { snapshot } = core
     if (snapshot !== undefined) this.#restore(snapshot.state)
-    this.#ticker = setInterval(() => { this.#post({ kind: 'tick' }) }, TICK_MS)
+    this.#ticker = setInterval(() => { this.#post({ kind: 'tick' }) }, TICK_INTERVAL_MS)
   }
 
   get appliedIndex (): number { return this.#appliedIndex }
-  /** Turns that wrote to the disk; one sync each. */
-  get syncs (): number { return this.#turns }
+  /** Number of batches that were synced to the disk. */
+  get syncs (): number { return this.#syncCount }
   get membership (): Membership { return this.core.membership }
 
-  /** Upper bound of any view in this replica's log, committed or not. */
+  /** Upper bound of the view revisions in this replica's log, including uncommitted entries. */
   get newestView (): number { return newestViewBound(this.core, this.#appliedIndex, this.state.viewRevision) }
-  /** Index of the log entry that set the membership in force. */
+  /** Index of the log entry with the current membership. */
   get membershipIndex (): number { return membershipIndexOf(this.core) }
 
-  /** @param message - a message from another replica */
+  /** @param message - message from another replica */
   receive (message: RaftMessage): void {
     this.#post({ kind: 'message', message })
   }
 
   /**
-   * Proposes a command; the core appends none before the group is formed.
+   * Proposes a command. The core appends no commands before the group is complete.
    *
-   * @param command - what to apply
-   * @returns what became of it; `not-leader` without a leader's name while the group forms
+   * @param command - command to apply
+   * @returns the outcome; `not-leader` with an empty leader address while the group is incomplete
    */
   async propose (command: Command): Promise<ProposeOutcome> {
     return await new Promise(resolve => { this.#post({ kind: 'propose', command, resolve }) })
@@ -132,67 +133,67 @@
   /**
    * Changes the membership through the core.
    *
-   * @param change - the core's method to call
-   * @returns why it was refused, or undefined
+   * @param change - calls the method of the core that makes the change
+   * @returns the reason for a refusal, or undefined
    */
   async change (change: (core: RaftCore, now: number) => Result<RaftEffects, RaftError>): Promise<RaftError | undefined> {
     return await new Promise(resolve => { this.#post({ kind: 'change', change, resolve }) })
   }
 
   /**
-   * Waits until a quorum has followed this leader after the call, so that the
-   * applied state is as new as anything acknowledged before it.
+   * Waits until a quorum has confirmed this leader after the call, so that the
+   * applied state includes everything that was acknowledged before the call.
    *
-   * @returns false on any other replica, and when no quorum answers in time
+   * @returns false if this replica is not the leader or no quorum answers in time
    */
   async confirmRead (): Promise<boolean> {
     return await new Promise(resolve => { this.#post({ kind: 'read', resolve }) })
   }
 
-  /** Hands leadership over, for a planned stop. */
+  /** Transfers leadership to another replica before a graceful shutdown. */
   transfer (): void {
     this.#post({ kind: 'transfer' })
   }
 
   /** Stops the task and closes the storage. */
   async close (): Promise<void> {
-    this.#closed = true
+    this.#isClosed = true
     clearInterval(this.#ticker)
-    // A turn under way may still write; the file must stay open for it.
-    await this.#turn
+    // The batch in progress may still write, so the file must stay open until it ends.
+    await this.#processing
     await this.storage.close()
   }
 
   #post (item: MailboxItem): void {
-    if (this.#closed) return
+    if (this.#isClosed) return
     this.#mailbox.push(item)
-    if (this.#working) return
-    this.#working = true
-    setImmediate(() => { this.#turn = this.#work().catch((error: unknown) => { this.#failed(error) }) })
+    if (this.#isProcessing) return
+    this.#isProcessing = true
+    setImmediate(() => { this.#processing = this.#processMailbox().catch((error: unknown) => { this.#handleFailure(error) }) })
   }
 
-  #failed (error: unknown): void {
-    const isLostOnly = this.#closed && !(error instanceof InvariantViolation)
-    if (isLostOnly) this.ports.lostWhileClosing(error)
+  #handleFailure (error: unknown): void {
+    const isWriteLostOnClose = this.#isClosed && !(error instanceof InvariantViolation)
+    if (isWriteLostOnClose) this.ports.lostWhileClosing(error)
     else this.ports.fail(error)
   }
 
-  async #work (): Promise<void> {
-    while (this.#mailbox.length > 0 && !this.#closed) {
+  async #processMailbox (): Promise<void> {
+    while (this.#mailbox.length > 0 && !this.#isClosed) {
       const batch = this.#mailbox
       this.#mailbox = []
       const effects = batch.flatMap(item => this.#step(item))
       const writes = effects.flatMap(effect => effect.writes)
       if (writes.length > 0) {
-        this.#turns += 1
+        this.#syncCount += 1
         await this.storage.persist(writes)
       }
-      for (const effect of effects) this.#carryOut(effect)
-      this.#settleReads()
-      this.#noticeRole()
-      await this.#maybeSnapshot()
+      for (const effect of effects) this.#executeEffects(effect)
+      this.#resolveReads()
+      this.#reportRoleChange()
+      await this.#snapshotIfDue()
     }
-    this.#working = false
+    this.#isProcessing = false
   }
 
   #step (item: MailboxItem): RaftEffects[] {
@@ -203,7 +204,7 @@
       case 'transfer': return [this.core.transferLeadership(now)]
       case 'read': {
         this.#reads.push({ readAt: now, resolve: item.resolve })
-        // Answers to earlier messages carry earlier times and don't confirm it.
+        // Answers to earlier messages carry earlier timestamps and do not confirm this read.
         return [this.core.probeQuorum(performance.now())]
       }
       case 'propose': return this.#stepProposal(item.command, item.resolve, now)
@@ -220,7 +221,7 @@
     const { formation } = this.core
     const proposed = this.core.propose(encodeCommand(stamped), now)
     const isHeldBack = !proposed.ok && proposed.error.kind === 'forming'
-    if (proposed.ok || isHeldBack) this.#decisions.notice({ isTaken: proposed.ok, term: this.core.term, formation })
+    if (proposed.ok || isHeldBack) this.#decisionNotifier.observe({ isTaken: proposed.ok, term: this.core.term, formation })
     if (!proposed.ok) {
       const leader = proposed.error.kind === 'not-leader' ? proposed.error.leader?.address ?? '' : ''
       resolve({ kind: 'not-leader', leader })
@@ -232,18 +233,18 @@
     return [effects]
   }
 
-  #settleReads (): void {
+  #resolveReads (): void {
     if (this.#reads.length === 0) return
     const now = performance.now()
     this.#reads = this.#reads.filter(({ readAt, resolve }) => {
       const isConfirmed = this.core.isReadConfirmed(readAt, now)
-      const isHopeless = this.core.role !== 'leader' || now - readAt > READ_WAIT_MS
-      if (isConfirmed || isHopeless) resolve(isConfirmed)
-      return !isConfirmed && !isHopeless
+      const hasFailed = this.core.role !== 'leader' || now - readAt > READ_TIMEOUT_MS
+      if (isConfirmed || hasFailed) resolve(isConfirmed)
+      return !isConfirmed && !hasFailed
     })
   }
 
-  #carryOut (effects: RaftEffects): void {
+  #executeEffects (effects: RaftEffects): void {
     for (const { to, message } of effects.messages) this.ports.send(to, message)
     if (effects.installed !== undefined) {
       this.#restore(effects.installed.state)
@@ -264,11 +265,11 @@
     const pending = this.#pending.get(entry.index)
     if (pending === undefined) return
     this.#pending.delete(entry.index)
-    // Another leader's entry at this index means that the proposal was overwritten.
+    // An entry with another term at this index means that another leader has overwritten the proposal.
     pending.resolve(pending.term === entry.term ? { kind: 'applied', result } : { kind: 'uncertain' })
   }
 
-  #noticeRole (): void {
+  #reportRoleChange (): void {
     const { role, term } = this.core
     if (role === this.#lastRole) return
     this.#lastRole = role
@@ -278,8 +279,8 @@
     this.#pending.clear()
   }
 
-  async #maybeSnapshot (): Promise<void> {
-    if (this.core.logLength < SNAPSHOT_EVERY && this.core.logBytes < SNAPSHOT_BYTES) return
+  async #snapshotIfDue (): Promise<void> {
+    if (this.core.logLength < SNAPSHOT_LOG_ENTRIES && this.core.logBytes < SNAPSHOT_LOG_BYTES) return
     if (this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
     const effects = this.core.compact(this.#appliedIndex, encode(this.state.image(), { ignoreUndefined: true }))
     await this.storage.persist(effects.writes)
--- a/apps/control/src/lib/raft/joinGroup.test.ts
+++ b/apps/control/src/lib/raft/joinGroup.test.ts
@@ -10,8 +10,8 @@
 const LEADER: Replica = { id: 'leader', address: 'leader' }
 const FRESH: Replica = { id: 'fresh', address: 'fresh' }
 
-/** A leader that does what it is asked, and a contact that has not joined any group yet. */
-class Contacts {
+/** Simulates a leader that makes every requested change, and a contact that has not joined a group yet. */
+class FakeContacts {
   readonly changes: MembershipChange[] = []
 
   async call (address: string, method: unknown, request: unknown): Promise<Result<unknown, never>> {
@@ -23,8 +23,8 @@
 }
 
 describe('joinGroup', () => {
-  it('removes its former identity although the first contact knows of no group', async () => {
-    const contacts = new Contacts()
+  it('removes its earlier id even if the first contact does not know the group', async () => {
+    const contacts = new FakeContacts()
     const core: JoiningReplica = { self: SELF, leader: LEADER, membership: { voters: [LEADER, FORMER], learners: [SELF] } }
     await joinGroup(contacts as unknown as RpcClient, core, () => [FRESH.address, LEADER.address], () => false)
     expect(contacts.changes).toEqual([{ kind: 'add-learner', replica: SELF }, { kind: 'remove', id: FORMER.id }, { kind: 'promote', id: SELF.id }])
--- a/apps/control/src/lib/raft/MembershipKeeper.test.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.test.ts
@@ -2,12 +2,12 @@
 import { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import { DEFAULT_RAFT_SETTINGS } from '@eelgrassmux/consensus/RaftSettings'
 import type { Replica } from '@eelgrassmux/consensus/messages/raftMessages'
-import { findSurplusReplica, LEARNER_SILENCE_MS, removeIfStillSurplus, SURPLUS_SILENCE_MS } from './MembershipKeeper.js'
+import { findSurplusReplica, LEARNER_SILENCE_MS, removeIfStillSurplus, SURPLUS_VOTER_SILENCE_MS } from './surplusReplicas.js'
 
 const replica = (id: string): Replica => ({ id, address: `10.0.0.${id.length}:${id}` })
 
-/** A leader whose peers answer as long as they are named. */
-class Group {
+/** A leader with simulated peers, which answer until they are silenced. */
+class SimulatedGroup {
   readonly leader = new RaftCore(replica('self'), { term: 0, votedFor: undefined, snapshot: undefined, entries: [] }, DEFAULT_RAFT_SETTINGS, () => 0.5, 0)
   readonly #answering = new Set<string>()
   now = 0
@@ -33,7 +33,7 @@
     this.leader.addLearner(replica(id), this.now)
   }
 
-  /** Ten milliseconds a step; peers take everything that is sent to them. */
+  /** Runs in steps of 10 ms. Answering peers accept all entries sent to them. */
   run (forMs: number): void {
     for (const end = this.now + forMs; this.now < end; this.now += 10) {
       let effects = this.leader.tick(this.now)
@@ -57,24 +57,24 @@
 }
 
 describe('findSurplusReplica', () => {
-  it('keeps a silent voter while it has no successor', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+  it('keeps a silent voter while it has no replacement', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.silence('d')
-    group.run(SURPLUS_SILENCE_MS * 3)
+    group.run(SURPLUS_VOTER_SILENCE_MS * 3)
     expect(group.surplus(5)).toBeUndefined()
   })
 
-  it('names the silent voter once there is one more than needed', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+  it('returns the silent voter once there is one voter more than needed', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS - 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS - 500)
     expect(group.surplus(5)).toBeUndefined()
     group.run(1000)
     expect(group.surplus(5)).toBe('b')
   })
 
-  it('does not take a learner that was just added for silent, however long the leader has led', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+  it('does not consider a newly added learner silent, regardless of how long the leader has led', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.run(LEARNER_SILENCE_MS * 2)
     group.add('late', false)
     group.run(200)
@@ -82,8 +82,8 @@
     expect(group.surplus(5)).toBeUndefined()
   })
 
-  it('names a learner that fell silent', () => {
-    const group = new Group('a', 'b', 'c', 'd')
+  it('returns a learner that has become silent', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd')
     group.add('late')
     group.run(500)
     group.silence('late')
@@ -93,10 +93,10 @@
 })
 
 describe('removeIfStillSurplus', () => {
-  it('leaves the group as it is when a host removed its former identity in between', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+  it('leaves the group unchanged if a host has removed its earlier id in the meantime', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS + 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS + 500)
     expect(group.surplus(5)).toBe('b')
     group.leader.remove('d', group.now)
     group.run(100)
@@ -105,18 +105,18 @@
     expect(group.leader.membership.voters).toHaveLength(5)
   })
 
-  it('removes what is still surplus', () => {
-    const group = new Group('a', 'b', 'c', 'd', 'successor')
+  it('removes a replica that is still surplus', () => {
+    const group = new SimulatedGroup('a', 'b', 'c', 'd', 'successor')
     group.silence('b')
-    group.run(SURPLUS_SILENCE_MS + 500)
+    group.run(SURPLUS_VOTER_SILENCE_MS + 500)
     expect(removeIfStillSurplus(group.leader, 'b', 5, group.now).ok).toBe(true)
     expect(group.leader.membership.voters.map(voter => voter.id)).not.toContain('b')
   })
 })
 
 describe('RaftCore.isReadConfirmed', () => {
-  it('needs a quorum that followed after the read began, whatever the lease says', () => {
-    const group = new Group('a', 'b')
+  it('requires confirmation by a quorum after the start of the read, regardless of the lease', () => {
+    const group = new SimulatedGroup('a', 'b')
     const readAt = group.now
     expect(group.leader.holdsLease(group.now)).toBe(true)
     expect(group.leader.isReadConfirmed(readAt, group.now)).toBe(false)
@@ -124,8 +124,8 @@
     expect(group.leader.isReadConfirmed(readAt, group.now)).toBe(true)
   })
 
-  it('is never given by a quorum that can not be reached', () => {
-    const group = new Group('a', 'b')
+  it('stays false while no quorum can be reached', () => {
+    const group = new SimulatedGroup('a', 'b')
     group.silence('a')
     group.silence('b')
     const readAt = group.now
--- a/apps/control/src/lib/rollout/RolloutPlan.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.ts
@@ -1,154 +1,155 @@
 /**
- * Which engines to look at and to order next, so that all run the named weights.
+ * Plans which engines to poll and to order next, until all run the desired weights.
  *
- * A core without network: it takes what the list and the engines said and
- * returns what to do. Versions only rise while an engine runs, so an old list can
- * delay a step but never undo one. An engine that has started again holds what it
- * says, and counts its orders anew.
+ * The plan does no I/O: it takes observations from the list and the engines and
+ * returns the next steps. Versions only increase while an engine runs, so an
+ * outdated list can delay a step but never undo one. A restarted engine holds the
+ * version that it reports and counts its orders from zero again.
  */
 import { isLaterStart } from '@eelgrassmux/schema/site/isLaterStart'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { NamedWeights } from '@eelgrassmux/state/commands'
 import { planLoads, type LoadTarget, type ObservedEngine } from '../orders/planLoads.js'
 
-/** What an engine says of itself. */
+/** Status that an engine reports. */
 export interface EngineStatus {
-  /** Start of the incarnation that says it, in Unix milliseconds on its own clock; undefined if it does not. */
+  /** Start time of the reporting incarnation, in Unix milliseconds on its own clock; undefined if the engine does not report it. */
   readonly startedAtMs: number | undefined
   readonly versions: ReadonlyMap<string, number>
-  /** Whether an order is being carried out. */
+  /** Whether an order is being executed. */
   readonly isBusy: boolean
-  /** Orders it has accepted since it started. */
+  /** Number of orders that the engine has accepted since it started. */
   readonly acceptedOrders: number
 }
 
 /** An order to load weights. */
 export interface LoadOrder {
   readonly endpoint: ListedEndpoint
-  /** Start of the incarnation for which it is meant. */
+  /** Start time of the incarnation that the order is for. */
   readonly startedAtMs: number | undefined
   readonly model: string
   readonly version: number
-  /** Orders that the engine must have accepted so far; an order that arrives late then has no effect. */
+  /** Number of orders that the engine must have accepted so far, so that an order that arrives late has no effect. */
   readonly expectedOrders: number
 }
 
-/** What became of an order. */
+/** Outcome of an order. */
 export type OrderOutcome = 'accepted' | 'already-holds' | 'conflict' | 'refused' | 'unanswered'
 
 /**
- * Share of a fleet that loads at once. The users' sheets say that loads slow
- * down beyond 2 of 8, 3 of 13, 18 of 63 and 28 of 98 engines at once: 2/7 of each.
+ * Share of a fleet that may load weights concurrently. According to the users' data
+ * sheets, loads slow down beyond 2 of 8, 3 of 13, 18 of 63 and 28 of 98 engines, which
+ * is 2/7 of each fleet.
  */
-const LOADING_SHARE = 2 / 7
+const CONCURRENT_LOAD_SHARE = 2 / 7
 
-/** Time between the announcement that an engine will be busy and the order itself, in milliseconds: hosts hear of it first. */
-const ANNOUNCE_MS = 60
+/** Time between the announcement that an engine will be busy and the order itself, in milliseconds, so that hosts receive the announcement first. */
+const ANNOUNCEMENT_LEAD_MS = 60
 
-/** Interval between looks at an engine that loads or is to load, in milliseconds; reports lag by 100 to 200. */
-const LOOK_MS = 150
+/** Interval between polls of an engine that is loading or about to load, in milliseconds. Reports are delayed by 100 to 200 ms. */
+const POLL_INTERVAL_MS = 150
 
-/** Time after which an accepted order without an effect counts as lost, in milliseconds. */
-const EFFECT_MS = 3000
+/** Time after which an accepted order without a visible effect is considered lost, in milliseconds. */
+const ORDER_EFFECT_TIMEOUT_MS = 3000
 
 /**
- * Time within which an order without an answer may still be carried out, in
- * milliseconds, as the platform states it. An engine that starts again in it counts
- * from 0, so the late order may meet the count that it expects.
+ * Time within which an unanswered order may still be executed, in milliseconds, as
+ * specified by the platform. An engine that restarts within this time counts orders
+ * from 0, so the late order may match the expected count.
  */
-const LATE_ORDER_MS = 12_000
+const LATE_ORDER_WINDOW_MS = 12_000
 
-/** Interval between looks at an engine that a late order may reach, in milliseconds: looks are priced. */
-const WATCH_LOOK_MS = 1000
+/** Interval between polls of an engine that a late order may reach, in milliseconds. It is long because the platform charges for polls. */
+const WATCH_POLL_INTERVAL_MS = 1000
 
-/** Interval between looks at an engine that did not answer the last one, in milliseconds: the list names engines that are gone for seconds. */
-const SILENT_LOOK_MS = 500
+/** Interval between polls of an engine that did not answer the last poll, in milliseconds. The list contains engines for seconds after they are gone. */
+const SILENT_POLL_INTERVAL_MS = 500
 
-/** Of one incarnation. */
+/** Progress of one incarnation of an engine. */
 interface EngineProgress {
   readonly startedAtMs: number | undefined
   status: EngineStatus | undefined
-  lookedAt: number
+  polledAt: number
   announcedAt: number | undefined
   orderedAt: number
   wasAccepted: boolean
-  /** Whether the last look brought no answer; such an engine keeps no other from being ordered. */
+  /** Whether the last poll was not answered. Such an engine does not block orders to other engines. */
   isSilent: boolean
-  /** Until when an order without an answer may be carried out. */
-  lateUntil: number
-  /** Until when an order to a former incarnation may reach this one; its status then goes before the list. */
+  /** Time until which an unanswered order may still be executed. */
+  lateOrderUntil: number
+  /** Time until which an order to an earlier incarnation may reach this one. Until then, the status of the engine takes precedence over the list. */
   watchedUntil: number | undefined
 }
 
 /** Next steps of a rollout. */
 export interface RolloutSteps {
-  /** Engines to ask for their status. */
-  readonly looks: ListedEndpoint[]
+  /** Engines whose status is to be polled. */
+  readonly polls: ListedEndpoint[]
   readonly orders: LoadOrder[]
 }
 
-/** Progress of all engines towards the named weights. */
+/** Tracks the progress of all engines towards the desired weights. */
 export class RolloutPlan {
   readonly #engines = new Map<string, EngineProgress>()
 
-  /** Forgets everything, when this host stops leading. */
+  /** Drops all progress when this host is no longer the leader. */
   clear (): void {
     this.#engines.clear()
   }
 
   /**
-   * @param id - endpoint
-   * @param status - what it said of itself
+   * @param id - id of the endpoint
+   * @param status - status that the engine reported
    * @param now - monotonic milliseconds
    */
   observeStatus (id: string, status: EngineStatus, now: number): void {
     const progress = this.#progressOf(id, status.startedAtMs)
-    if (isFormer(status.startedAtMs, progress)) return
+    if (isFromEarlierStart(status.startedAtMs, progress)) return
     progress.status = status
     progress.isSilent = false
-    progress.lookedAt = now
+    progress.polledAt = now
   }
 
   /**
-   * Notes that an engine did not answer a look.
+   * Records that an engine did not answer a poll.
    *
-   * @param id - endpoint
-   * @param startedAtMs - start under which it was listed
+   * @param id - id of the endpoint
+   * @param startedAtMs - start time with which the endpoint was listed
    */
-  observeSilence (id: string, startedAtMs: number | undefined): void {
+  observeNoAnswer (id: string, startedAtMs: number | undefined): void {
     const progress = this.#progressOf(id, startedAtMs)
-    if (!isFormer(startedAtMs, progress)) progress.isSilent = true
+    if (!isFromEarlierStart(startedAtMs, progress)) progress.isSilent = true
   }
 
   /**
-   * @param order - as planned
-   * @param outcome - what became of it
+   * @param order - planned order
+   * @param outcome - outcome of the order
    * @param now - monotonic milliseconds
    */
   observeOrder (order: LoadOrder, outcome: OrderOutcome, now: number): void {
     const progress = this.#progressOf(order.endpoint.id, order.startedAtMs)
-    const lateUntil = outcome === 'unanswered' ? now + LATE_ORDER_MS : Number.NEGATIVE_INFINITY
+    const lateOrderUntil = outcome === 'unanswered' ? now + LATE_ORDER_WINDOW_MS : Number.NEGATIVE_INFINITY
     if (progress.startedAtMs !== order.startedAtMs) {
-      if (outcome === 'unanswered') progress.watchedUntil = Math.max(lateUntil, progress.watchedUntil ?? lateUntil)
+      if (outcome === 'unanswered') progress.watchedUntil = Math.max(lateOrderUntil, progress.watchedUntil ?? lateOrderUntil)
       return
     }
-    progress.lateUntil = Math.max(progress.lateUntil, lateUntil)
+    progress.lateOrderUntil = Math.max(progress.lateOrderUntil, lateOrderUntil)
     progress.wasAccepted = outcome === 'accepted'
     progress.announcedAt = undefined
-    // Look again before the next step: the answer may have been lost, or another order may be in progress.
-    progress.lookedAt = outcome === 'accepted' ? now : Number.NEGATIVE_INFINITY
+    // Poll again before the next step, because the answer may have been lost or another order may be in progress.
+    progress.polledAt = outcome === 'accepted' ? now : Number.NEGATIVE_INFINITY
   }
 
   /**
-   * Plans the next steps; orders count as sent from now on.
+   * Plans the next steps. The returned orders are considered sent.
    *
-   * @param weights - versions that models should run
-   * @param endpoints - the list
-   * @param mayOrder - whether this host may give orders now
+   * @param weights - desired weight versions of models
+   * @param endpoints - listed endpoints
+   * @param mayOrder - whether this host may send orders now
    * @param now - monotonic milliseconds
    */
   next (weights: readonly NamedWeights[], endpoints: readonly ListedEndpoint[], mayOrder: boolean, now: number): RolloutSteps {
-    const looks: ListedEndpoint[] = []
+    const polls: ListedEndpoint[] = []
     const orders: LoadOrder[] = []
     for (const { id, startedAtMs } of endpoints) {
       if (this.#engines.has(id)) this.#progressOf(id, startedAtMs)
@@ -158,44 +159,44 @@
       const fleet = endpoints.filter(endpoint => endpoint.models.some(held => held.model === model) && !endpoint.isLeaving)
       const observed = fleet.map(endpoint => this.#observed(endpoint, model, now))
       const target: LoadTarget = { name: model, version: String(version), servingFloor: 0 }
-      const permits = Math.max(1, Math.floor(fleet.length * LOADING_SHARE))
+      const permits = Math.max(1, Math.floor(fleet.length * CONCURRENT_LOAD_SHARE))
       const planned = planLoads(new Map([[model, target]]), observed, permits).map(({ engine }) => engine.endpoint.listed)
-      for (const endpoint of fleet) this.#lookIfDue(endpoint, model, version, planned, now, looks)
+      for (const endpoint of fleet) this.#pollIfDue(endpoint, model, version, planned, now, polls)
       if (!mayOrder) continue
       for (const endpoint of planned) {
         const order = this.#orderIfAnnounced(endpoint, model, version, now)
         if (order !== undefined) orders.push(order)
       }
     }
-    return { looks, orders }
+    return { polls, orders }
   }
 
   /**
-   * @param endpoint - as listed
-   * @param model - model name
-   * @returns the newest version it is known to hold
+   * @param endpoint - listed endpoint
+   * @param model - name of the model
+   * @returns the newest weight version that the endpoint is known to hold
    */
   versionOf (endpoint: ListedEndpoint, model: string): number {
     const listed = endpoint.models.find(held => held.model === model)?.version ?? 0
     const progress = this.#engines.get(endpoint.id)
     const stated = progress?.status?.versions.get(model)
     if (progress === undefined || stated === undefined || isLaterStart(endpoint.startedAtMs, progress.startedAtMs)) return listed
-    const isListFormer = isFormer(endpoint.startedAtMs, progress)
-    return isListFormer || progress.watchedUntil !== undefined ? stated : Math.max(listed, stated)
+    const isListOutdated = isFromEarlierStart(endpoint.startedAtMs, progress)
+    return isListOutdated || progress.watchedUntil !== undefined ? stated : Math.max(listed, stated)
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether a late order may reach an engine that has started again
+   * @returns whether a late order may reach an engine that has restarted
    */
   isWatching (now: number): boolean {
     return [...this.#engines.values()].some(({ watchedUntil }) => watchedUntil !== undefined && now < watchedUntil)
   }
 
   /**
-   * @param id - endpoint
+   * @param id - id of the endpoint
    * @param now - monotonic milliseconds
-   * @returns whether it starts no new work now or will not in a moment
+   * @returns whether the endpoint accepts no new work now or will shortly stop accepting it
    */
   isBusy (id: string, now: number): boolean {
     const progress = this.#engines.get(id)
@@ -214,16 +215,16 @@
     }
   }
 
-  #lookIfDue (endpoint: ListedEndpoint, model: string, version: number, planned: readonly ListedEndpoint[], now: number, looks: ListedEndpoint[]): void {
+  #pollIfDue (endpoint: ListedEndpoint, model: string, version: number, planned: readonly ListedEndpoint[], now: number, polls: ListedEndpoint[]): void {
     const isDone = this.versionOf(endpoint, model) >= version
     const progress = this.#engines.get(endpoint.id)
-    const sinceLook = now - (progress?.lookedAt ?? Number.NEGATIVE_INFINITY)
-    if (isDone && progress?.watchedUntil !== undefined && sinceLook >= WATCH_LOOK_MS) {
-      progress.lookedAt = now
-      looks.push(endpoint)
+    const sincePoll = now - (progress?.polledAt ?? Number.NEGATIVE_INFINITY)
+    if (isDone && progress?.watchedUntil !== undefined && sincePoll >= WATCH_POLL_INTERVAL_MS) {
+      progress.polledAt = now
+      polls.push(endpoint)
     }
     if (isDone && progress?.status?.isBusy !== true) {
-      // Complete: whatever was pending has had its effect. The version stays known, because the list lags.
+      // The rollout on this engine is complete, so no order is pending. Its status is kept, because the list is delayed.
       if (progress !== undefined) {
         progress.announcedAt = undefined
         progress.wasAccepted = false
@@ -232,40 +233,40 @@
     }
     const isSilent = progress?.isSilent === true
     const isInvolved = isSilent || planned.includes(endpoint) || this.isBusy(endpoint.id, now)
-    if (isInvolved && sinceLook >= (isSilent ? SILENT_LOOK_MS : LOOK_MS)) {
-      this.#progressOf(endpoint.id, endpoint.startedAtMs).lookedAt = now
-      looks.push(endpoint)
+    if (isInvolved && sincePoll >= (isSilent ? SILENT_POLL_INTERVAL_MS : POLL_INTERVAL_MS)) {
+      this.#progressOf(endpoint.id, endpoint.startedAtMs).polledAt = now
+      polls.push(endpoint)
     }
   }
 
   #orderIfAnnounced (endpoint: ListedEndpoint, model: string, version: number, now: number): LoadOrder | undefined {
     const progress = this.#progressOf(endpoint.id, endpoint.startedAtMs)
     progress.announcedAt ??= now
-    if (progress.status === undefined || now - progress.announcedAt < ANNOUNCE_MS) return undefined
+    if (progress.status === undefined || now - progress.announcedAt < ANNOUNCEMENT_LEAD_MS) return undefined
     progress.orderedAt = now
     progress.wasAccepted = true
     return { endpoint, startedAtMs: progress.startedAtMs, model, version, expectedOrders: progress.status.acceptedOrders }
   }
 
   #isPending (progress: EngineProgress, now: number): boolean {
-    return progress.wasAccepted && now - progress.orderedAt < EFFECT_MS
+    return progress.wasAccepted && now - progress.orderedAt < ORDER_EFFECT_TIMEOUT_MS
   }
 
-  /** Progress of the latest incarnation known; a later start than that begins anew. */
+  /** Returns the progress of the latest known incarnation. A later start time resets the progress. */
   #progressOf (id: string, startedAtMs: number | undefined): EngineProgress {
     const present = this.#engines.get(id)
     if (present !== undefined && !isLaterStart(startedAtMs, present.startedAtMs)) return present
-    const mayBeLate = present !== undefined && (present.lateUntil > Number.NEGATIVE_INFINITY || present.watchedUntil !== undefined)
+    const mayHaveLateOrder = present !== undefined && (present.lateOrderUntil > Number.NEGATIVE_INFINITY || present.watchedUntil !== undefined)
     const fresh: EngineProgress = {
       startedAtMs,
       status: undefined,
-      lookedAt: Number.NEGATIVE_INFINITY,
+      polledAt: Number.NEGATIVE_INFINITY,
       announcedAt: undefined,
       orderedAt: Number.NEGATIVE_INFINITY,
       wasAccepted: false,
       isSilent: false,
-      lateUntil: Number.NEGATIVE_INFINITY,
-      watchedUntil: mayBeLate ? Math.max(present.lateUntil, present.watchedUntil ?? present.lateUntil) : undefined
+      lateOrderUntil: Number.NEGATIVE_INFINITY,
+      watchedUntil: mayHaveLateOrder ? Math.max(present.lateOrderUntil, present.watchedUntil ?? present.lateOrderUntil) : undefined
     }
     this.#engines.set(id, fresh)
     return fresh
@@ -278,7 +279,7 @@
   }
 }
 
-/** Whether a statement is of an earlier start than the one that is known. */
-function isFormer (startedAtMs: number | undefined, progress: EngineProgress): boolean {
+/** Returns true if an observation belongs to an earlier start than the latest known one. */
+function isFromEarlierStart (startedAtMs: number | undefined, progress: EngineProgress): boolean {
   return startedAtMs !== undefined && isLaterStart(progress.startedAtMs, startedAtMs)
 }
--- a/apps/control/src/lib/rollout/RolloutTask.test.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.test.ts
@@ -15,11 +15,11 @@
 }
 const PREDECESSOR: OrderHolder = { replicaId: 'other', term: 1 }
 
-/** What the task sees of its replica; the test decides on role and term. */
+/** Replica whose role and term the test controls. */
 class LeadingReplica {
   readonly core = { self: { id: 'self', address: '' }, role: 'leader', term: 2 }
   readonly state = { sites: { weights: [{ model: MODEL, version: 2 }], orderHolder: undefined as OrderHolder | undefined } }
-  /** Runs while a quorum is asked, before it answers. */
+  /** Called while a read is being confirmed by a quorum. */
   whileConfirming = (): void => {}
 
   async propose (command: Command): Promise<{ kind: 'applied' }> {
@@ -58,67 +58,67 @@
     vi.useRealTimers()
   })
 
-  const pass = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
+  const advance = async (milliseconds: number): Promise<void> => { await vi.advanceTimersByTimeAsync(milliseconds) }
 
-  it('orders at once where nobody has given orders before', async () => {
-    await pass(500)
+  it('orders immediately if no host has held the right to send orders before', async () => {
+    await advance(500)
     expect(orders).not.toEqual([])
   })
 
-  it('waits out the last order of the host before it', async () => {
+  it('waits until the last order of the previous holder can no longer take effect', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
-  it('waits also for a host whose claim it has not applied yet when it is elected', async () => {
+  it('also waits for a holder whose claim it has not applied yet when it is elected', async () => {
     replica.whileConfirming = () => { replica.state.sites.orderHolder ??= PREDECESSOR }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
-  it('goes on waiting when it is elected anew in between', async () => {
+  it('continues to wait if it is elected again in the meantime', async () => {
     replica.state.sites.orderHolder = PREDECESSOR
-    await pass(500)
+    await advance(500)
     replica.core.role = 'follower'
-    await pass(100)
+    await advance(100)
     replica.core.role = 'leader'
     replica.core.term = 3
-    await pass(ORDER_LEASE_MS - 600)
+    await advance(ORDER_LEASE_MS - 600)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
-  it('waits for a host that led and took the right over between two looks', async () => {
-    await pass(5000)
+  it('waits for a host that became the leader and took the right over between two reconciliations', async () => {
+    await advance(5000)
     expect(orders).toHaveLength(2)
     replica.core.term = 4
     replica.state.sites.orderHolder = { replicaId: 'other', term: 3 }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toHaveLength(2)
-    await pass(1000)
+    await advance(1000)
     expect(orders).toHaveLength(3)
   })
 
-  it('waits also for what its own process ordered before a restart', async () => {
+  it('also waits for orders that this host sent before a restart', async () => {
     replica.state.sites.orderHolder = { replicaId: 'self', term: 1 }
-    await pass(ORDER_LEASE_MS)
+    await advance(ORDER_LEASE_MS)
     expect(orders).toEqual([])
-    await pass(1000)
+    await advance(1000)
     expect(orders).not.toEqual([])
   })
 
-  it('gives no order if another host took the right over while a quorum was asked', async () => {
+  it('sends no order if another host took the right over while the quorum was queried', async () => {
     replica.whileConfirming = () => {
       replica.core.term = 4
       replica.state.sites.orderHolder = { replicaId: 'other', term: 3 }
     }
-    await pass(500)
+    await advance(500)
     expect(orders).toEqual([])
   })
 })
--- a/apps/control/src/lib/rollout/RolloutTask.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.ts
@@ -1,63 +1,64 @@
 /**
- * Carries out rollouts of weights on listed engines. Runs on every control host
- * and acts only on the leader.
+ * Rolls out weights to listed engines. The task runs on every control host and
+ * acts only on the leader.
  *
- * Engines need not check fencing numbers. So that two hosts never give orders by
- * turns, the right to give them is claimed in the agreed log; whoever takes it
- * over from another host first waits out the time for which that host's last
- * order may count, and before each order a quorum confirms that this host leads.
+ * Engines need not check fencing tokens. To keep two hosts from sending orders
+ * alternately, a host claims the right to send orders in the replicated log. A
+ * host that takes the right over first waits until the last order of the previous
+ * holder can no longer take effect, and before each order a quorum confirms that
+ * this host is the leader.
  */
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { EndpointListTask, EndpointOverlay } from '../endpoints/EndpointListTask.js'
-import { LeadershipClock, type Leadership } from '../raft/LeadershipClock.js'
+import { LeadershipTracker, type Leadership } from '../raft/LeadershipTracker.js'
 import type { RaftTask } from '../raft/RaftTask.js'
 import { RolloutPlan, type EngineStatus, type LoadOrder, type OrderOutcome } from './RolloutPlan.js'
 
-/** Who gives an order, for engines that check it. */
+/** Sender of an order, for engines that check it. */
 export interface OrderAuthority {
   readonly holder: string
-  /** Rises whenever another host takes over. */
+  /** Fencing token, which increases whenever another host takes over. */
   readonly fence: number
 }
 
-/** Engines as a rollout sees them. */
+/** Access of a rollout to engines. */
 export interface RolloutBackend {
-  /** @returns what the engine says of itself */
+  /** @returns the status that the engine reports */
   status (endpoint: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>>
-  /** @returns what became of the order */
+  /** @returns the outcome of the order */
   load (order: LoadOrder, authority: OrderAuthority): Promise<OrderOutcome>
 }
 
-/** Interval between turns, in milliseconds. */
-const TURN_MS = 50
+/** Interval between reconciliations, in milliseconds. */
+const RECONCILE_INTERVAL_MS = 50
 
-/** Added to the time for which another host's orders may count, in milliseconds: its last order may still be on its way. */
+/** Margin added to the time for which orders of the previous holder may take effect, in milliseconds. Its last order may still be in transit. */
 const HANDOVER_MARGIN_MS = 300
 
-/** Reconciles engines with the named weights. */
+/** Reconciles engines with the desired weights. */
 export class RolloutTask {
   readonly #plan = new RolloutPlan()
-  readonly #leadership = new LeadershipClock()
+  readonly #leadership = new LeadershipTracker()
   #isLeading = false
-  /** Until when another host's last order may count; kept over elections, because that host's order does not know of them. */
-  #waitsOutUntil: number | undefined
-  /** Whether this process has claimed the right; an earlier one of this host may have waited for somebody, too. */
+  /** Time until which the last order of another host may take effect. It is kept across elections, which do not cancel that order. */
+  #handoverWaitUntil: number | undefined
+  /** Whether this process has claimed the right to send orders. An earlier process of this host may have been waiting for another holder when it stopped. */
   #hasClaimed = false
-  #isWatching = false
+  #isWatchingList = false
   #timer: NodeJS.Timeout | undefined
-  #isBusy = false
+  #isReconciling = false
   #wasActive = false
-  /** Engines whose status is on its way. */
-  readonly #asked = new Set<string>()
+  /** Ids of engines with a status poll in progress. */
+  readonly #pendingPolls = new Set<string>()
 
   /**
-   * @param raft - log and state
-   * @param list - the endpoint list; read while a rollout is under way
-   * @param backend - engines
-   * @param holder - name of this host towards engines
-   * @param orderLeaseMs - time for which another host's last order may count, in milliseconds
+   * @param raft - replica with the log and the state
+   * @param list - endpoint list, which this task watches while the site names weights
+   * @param backend - access to the engines
+   * @param holder - name of this host in orders to engines
+   * @param orderLeaseMs - time for which the last order of another host may take effect, in milliseconds
    * @param telemetry - log and metrics
    */
   constructor (
@@ -69,29 +70,29 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Starts to look after the engines. */
+  /** Starts to reconcile the engines periodically. */
   start (): void {
-    this.#timer = setInterval(() => { void this.#turn() }, TURN_MS)
+    this.#timer = setInterval(() => { void this.#reconcile() }, RECONCILE_INTERVAL_MS)
   }
 
-  /** Stops. */
+  /** Stops the reconciliation. */
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  async #turn (): Promise<void> {
-    if (this.#isBusy) return
-    this.#isBusy = true
+  async #reconcile (): Promise<void> {
+    if (this.#isReconciling) return
+    this.#isReconciling = true
     try {
-      const leadership = this.#leadership.look(this.raft.core, performance.now())
+      const leadership = this.#leadership.observe(this.raft.core, performance.now())
       if (leadership !== undefined) await this.#lead(leadership)
-      else this.#standBack()
+      else this.#stopLeading()
     } finally {
-      this.#isBusy = false
+      this.#isReconciling = false
     }
   }
 
-  #standBack (): void {
+  #stopLeading (): void {
     if (!this.#isLeading) return
     this.#isLeading = false
     this.#wasActive = false
@@ -109,12 +110,12 @@
     const isDue = this.#isRolloutDue()
     this.#wasActive = isDue || this.#plan.isWatching(performance.now())
     if (!this.#wasActive && !wasActive) return
-    const mayOrder = isDue && await this.#holdsOrders(since)
+    const mayOrder = isDue && await this.#holdsOrderRight(since)
     const steps = this.#plan.next(weights, this.list.endpointsOfSite, mayOrder, performance.now())
-    this.#publish()
-    // Nobody waits for these: one engine without an answer must not hold up the others.
-    for (const endpoint of steps.looks) void this.#look(endpoint)
-    void this.#give(steps.orders)
+    this.#publishOverlays()
+    // These calls are not awaited, so that one engine without an answer does not delay the others.
+    for (const endpoint of steps.polls) void this.#poll(endpoint)
+    void this.#sendOrders(steps.orders)
   }
 
   #isRolloutDue (): boolean {
@@ -122,16 +123,16 @@
       endpoint.models.some(held => held.model === model) && this.#plan.versionOf(endpoint, model) < version))
   }
 
-  /** Claims the right to give orders; true once it is held and nobody else's order may count any more. */
-  async #holdsOrders (leaderSince: number): Promise<boolean> {
+  /** Claims the right to send orders. Returns true once this host holds it and no order of another host can take effect any more. */
+  async #holdsOrderRight (leaderSince: number): Promise<boolean> {
     const { core, state } = this.raft
-    if (this.#isHolder()) return this.#waitsOutUntil === undefined || performance.now() >= this.#waitsOutUntil
-    // A new leader may not have applied its predecessor's claim yet.
+    if (this.#isHolder()) return this.#handoverWaitUntil === undefined || performance.now() >= this.#handoverWaitUntil
+    // A new leader may not have applied the claim of its predecessor yet.
     if (!await this.raft.confirmRead()) return false
     const present = state.sites.orderHolder
     const isOwn = present?.replicaId === core.self.id && this.#hasClaimed
     const isTakenOver = present !== undefined && !isOwn
-    if (isTakenOver) this.#waitsOutUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
+    if (isTakenOver) this.#handoverWaitUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
     this.#hasClaimed = true
     const outcome = await this.raft.propose({ kind: 'claim-orders', holder: { replicaId: core.self.id, term: core.term } })
     this.telemetry.stateChanged('order-right-claimed', {
@@ -146,14 +147,14 @@
     return orderHolder?.replicaId === core.self.id && orderHolder.term === core.term
   }
 
-  async #look (endpoint: ListedEndpoint): Promise<void> {
-    if (this.#asked.has(endpoint.id)) return
-    this.#asked.add(endpoint.id)
+  async #poll (endpoint: ListedEndpoint): Promise<void> {
+    if (this.#pendingPolls.has(endpoint.id)) return
+    this.#pendingPolls.add(endpoint.id)
     const status = await this.backend.status(endpoint)
-    this.#asked.delete(endpoint.id)
+    this.#pendingPolls.delete(endpoint.id)
     if (!this.#isLeading) return
     if (!status.ok) {
-      this.#plan.observeSilence(endpoint.id, endpoint.startedAtMs)
+      this.#plan.observeNoAnswer(endpoint.id, endpoint.startedAtMs)
       return
     }
     this.#plan.observeStatus(endpoint.id, status.value, performance.now())
@@ -161,16 +162,16 @@
     this.list.observeStart(endpoint.id, this.#overlayOf({ ...endpoint, startedAtMs }))
   }
 
-  async #give (orders: readonly LoadOrder[]): Promise<void> {
+  async #sendOrders (orders: readonly LoadOrder[]): Promise<void> {
     if (orders.length === 0) return
-    // A lease would not do: this host may have been suspended since it was confirmed.
-    // While the quorum was asked, another host may have taken the right over.
+    // A lease is not sufficient, because this host may have been suspended since the lease was confirmed.
+    // Another host may also have taken the right over while the quorum was queried.
     const isConfirmed = await this.raft.confirmRead() && this.#isHolder()
     await Promise.all(orders.map(async order => {
       const outcome = isConfirmed
         ? await this.backend.load(order, { holder: this.holder, fence: this.raft.core.term })
         : 'refused'
-      // An answer that comes after leadership has ended belongs to no plan.
+      // An answer that arrives after the leadership has ended must not enter the next plan.
       if (this.#isLeading) this.#plan.observeOrder(order, outcome, performance.now())
       this.telemetry.stateChanged('weights-ordered', {
         endpoint: order.endpoint.id, model: order.model, version: order.version, expectedOrders: order.expectedOrders, outcome, isConfirmed
@@ -178,7 +179,7 @@
     }))
   }
 
-  #publish (): void {
+  #publishOverlays (): void {
     this.list.setOverlays(new Map(this.list.endpointsOfSite.map(endpoint => [endpoint.id, this.#overlayOf(endpoint)])))
   }
 
@@ -188,8 +189,8 @@
   }
 
   #watchList (isWanted: boolean): void {
-    if (isWanted === this.#isWatching) return
-    this.#isWatching = isWanted
+    if (isWanted === this.#isWatchingList) return
+    this.#isWatchingList = isWanted
     if (isWanted) this.list.addWatcher()
     else this.list.removeWatcher()
   }
--- a/apps/control/src/lib/rollout/rolloutEngines.test.ts
+++ b/apps/control/src/lib/rollout/rolloutEngines.test.ts
@@ -4,7 +4,7 @@
 import { RejectedEntries } from '@eelgrassmux/telemetry/RejectedEntries'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { EndpointListTask } from '../endpoints/EndpointListTask.js'
-import type { EndpointReading } from '../endpoints/EndpointRegister.js'
+import type { EndpointListing } from '../endpoints/EndpointRegistry.js'
 import type { RaftTask } from '../raft/RaftTask.js'
 import type { EngineStatus, LoadOrder, OrderOutcome } from './RolloutPlan.js'
 import { RolloutTask, type RolloutBackend } from './RolloutTask.js'
@@ -17,16 +17,16 @@
 
 const SITE = { services: [{ type: 'replicated', name: 'pool' }] }
 
-/** The leader's log, as far as a rollout reads it. */
+/** Leader replica with the state that a rollout reads. */
 const RAFT = {
   core: { role: 'leader', term: 1, self: { id: 'r' } },
   state: { sites: { weights: [{ model: 'm', version: 2 }], orderHolder: { replicaId: 'r', term: 1 }, put: { site: SITE } } },
   confirmRead: async () => true
 } as unknown as RaftTask
 
-/** Engines that started at 2000, while the list says 1000. */
+/** Engines that started at 2000 while the list still shows 1000. */
 class RestartedEngines implements RolloutBackend {
-  readonly asked = new Set<string>()
+  readonly polled = new Set<string>()
   readonly ordered: Promise<LoadOrder>
   #resolve: (order: LoadOrder) => void = () => {}
 
@@ -35,7 +35,7 @@
   }
 
   async status ({ id }: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>> {
-    this.asked.add(id)
+    this.polled.add(id)
     return succeed({ startedAtMs: 2000, versions: new Map([['m', 1]]), isBusy: false, acceptedOrders: 3 })
   }
 
@@ -45,7 +45,7 @@
   }
 }
 
-/** Engines of which one neither answers nor refuses an order. */
+/** Engines of which one never responds to an order. */
 class HangingEngines implements RolloutBackend {
   readonly ordered = new Set<string>()
   readonly allOthersOrdered: Promise<void>
@@ -68,7 +68,7 @@
 }
 
 describe('engines of a RolloutTask', () => {
-  it('goes on with other engines while one leaves an order without an answer', async () => {
+  it('continues with other engines while one does not answer an order', async () => {
     const telemetry = new Telemetry('test')
     const endpoints = Array.from({ length: 8 }, (_, number) => listed(`e${number}`, 'pool'))
     const list = new EndpointListTask({ list: async () => succeed({ endpoints, rejected: [], incompleteBecause: undefined }) }, LIST_MS, () => undefined, new RejectedEntries(telemetry), telemetry)
@@ -81,17 +81,17 @@
     expect(engines.ordered.has('e0')).toBe(false)
   })
 
-  it('tells the list of a start that an engine states, and orders only engines of the site', async () => {
+  it('passes the start time that an engine reports to the list, and orders only engines of the site', async () => {
     const telemetry = new Telemetry('test')
-    const reading: EndpointReading = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
-    const list = new EndpointListTask({ list: async () => succeed(reading) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
+    const listing: EndpointListing = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
+    const list = new EndpointListTask({ list: async () => succeed(listing) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
     const engines = new RestartedEngines()
     const task = new RolloutTask(RAFT, list, engines, 'host', 3000, telemetry)
     task.start()
     const order = await engines.ordered
     task.stop()
     list.stop()
-    expect([...engines.asked]).toEqual(['a'])
+    expect([...engines.polled]).toEqual(['a'])
     expect(order).toMatchObject({ endpoint: { id: 'a' }, startedAtMs: 2000, expectedOrders: 3 })
     expect(list.endpoints).toMatchObject([{ id: 'b', startedAtMs: 1000 }, { id: 'a', startedAtMs: 2000, models: [{ version: 1 }] }])
   })
--- a/apps/control/src/lib/site/SiteService.test.ts
+++ b/apps/control/src/lib/site/SiteService.test.ts
@@ -5,17 +5,17 @@
 import type { ProposeOutcome, RaftTask } from '../raft/RaftTask.js'
 import { SiteService } from './SiteService.js'
 
-/** A leader whose proposals are applied at once, after what others have proposed in between. */
-class Leader {
+/** Leader that applies proposals immediately, after commands that others propose in the meantime. */
+class FakeLeader {
   readonly state = new StateMachine()
   readonly proposed: Command[] = []
-  /** Applied before each proposal. */
-  before: () => void = () => {}
+  /** Called before each proposal is applied. */
+  beforePropose: () => void = () => {}
   outcome: ProposeOutcome | undefined
 
   async propose (command: Command): Promise<ProposeOutcome> {
     this.proposed.push(command)
-    this.before()
+    this.beforePropose()
     return await Promise.resolve(this.outcome ?? { kind: 'applied', result: this.apply(command) })
   }
 
@@ -23,55 +23,55 @@
     return this.state.apply({ stampedAt: 0, command })
   }
 
-  /** An order of another operator that knows all others. */
-  orderElsewhere (dataCentre: string, isEvacuated: boolean): void {
+  /** Applies an order of another operator that is based on the latest revision. */
+  applyOtherOrder (dataCentre: string, isEvacuated: boolean): void {
     this.apply({ kind: 'order-evacuation', dataCentre, isEvacuated, knownRevision: this.state.evacuations.revision })
   }
 }
 
 describe('SiteService', () => {
-  describe('orders of evacuations', () => {
-    const stays = (): boolean => false
-    const serve = (): { leader: Leader, service: SiteService } => {
-      const leader = new Leader()
+  describe('evacuation orders', () => {
+    const isStillWaiting = (): boolean => false
+    const createService = (): { leader: FakeLeader, service: SiteService } => {
+      const leader = new FakeLeader()
       return { leader, service: new SiteService(leader as unknown as RaftTask, {} as RpcClient) }
     }
 
-    it('are acknowledged once they are applied, also when they come again', async () => {
-      const { leader, service } = serve()
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
+    it('are acknowledged once they are applied, even if they are repeated', async () => {
+      const { leader, service } = createService()
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
-    it('are proposed anew if another came in between and the caller still waits', async () => {
-      const { leader, service } = serve()
-      leader.before = () => {
-        leader.before = () => {}
-        leader.orderElsewhere('north', false)
+    it('are proposed again if another order was applied first and the caller is still waiting', async () => {
+      const { leader, service } = createService()
+      leader.beforePropose = () => {
+        leader.beforePropose = () => {}
+        leader.applyOtherOrder('north', false)
       }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'applied' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'applied' })
       expect(leader.proposed).toHaveLength(2)
       expect(leader.state.evacuations.evacuated).toEqual(['north'])
     })
 
-    it('change nothing once their caller has left', async () => {
-      const { leader, service } = serve()
+    it('change nothing after the caller has disconnected', async () => {
+      const { leader, service } = createService()
       expect(await service.orderEvacuation('north', true, () => true)).toEqual({ kind: 'overtaken' })
       expect(leader.proposed).toEqual([])
     })
 
-    it('are given up when others keep coming in between', async () => {
-      const { leader, service } = serve()
-      leader.before = () => { leader.orderElsewhere('north', false) }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'overtaken' })
+    it('are abandoned if other orders keep being applied first', async () => {
+      const { leader, service } = createService()
+      leader.beforePropose = () => { leader.applyOtherOrder('north', false) }
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'overtaken' })
       expect(leader.state.evacuations.evacuated).toEqual([])
     })
 
-    it('are not acknowledged while nobody takes them', async () => {
-      const { leader, service } = serve()
+    it('are not acknowledged while no leader accepts them', async () => {
+      const { leader, service } = createService()
       leader.outcome = { kind: 'uncertain' }
-      expect(await service.orderEvacuation('north', true, stays)).toEqual({ kind: 'unavailable' })
+      expect(await service.orderEvacuation('north', true, isStillWaiting)).toEqual({ kind: 'unavailable' })
     })
   })
 })
--- a/apps/control/src/lib/stores/StoreFollower.ts
+++ b/apps/control/src/lib/stores/StoreFollower.ts
@@ -1,9 +1,10 @@
 /**
- * Follows what one store holds through its numbered events.
+ * Tracks the contents of one store through its numbered events.
  *
- * Events come late and some never come: a gap, or any long time, is mended from
- * the store's whole list. A part that is believed to be there and is not costs a
- * moment; one that is there and not believed costs a reading. Neither is wrong.
+ * Events arrive late and some are lost, so the whole listing is read again after
+ * a gap and at a fixed interval. If a tracked part no longer exists, the fetch
+ * fails and costs a moment; if an existing part is not tracked, the prompt part
+ * is computed again. Neither makes an answer incorrect.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Result } from '@eelgrassmux/schema/Result'
@@ -13,56 +14,56 @@
 import type { RejectedEntries, RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
-/** Events since a number. */
+/** Events since a given sequence number. */
 export interface StoreEvents {
-  /** Start of the store's process, in Unix milliseconds on its own clock; undefined if it does not state it. */
+  /** Start time of the store process, in Unix milliseconds on its own clock; undefined if the store does not report it. */
   readonly startedAtMs: number | undefined
-  /** Changes when the store restarts; it is then empty. */
+  /** Changes when the store restarts, which empties it. */
   readonly epoch: number
   readonly next: number
-  /** Whether events in between are gone. */
+  /** Whether events since the requested number are missing. */
   readonly hasGap: boolean
   readonly events: ReadonlyArray<{ readonly kind: 'stored' | 'removed', readonly part: StoredPart }>
   readonly clockMs: number | undefined
-  /** Events that can't be used. */
+  /** Events that cannot be used. */
   readonly rejected: readonly RejectedEntry[]
 }
 
-/** All that a store holds. */
+/** Complete contents of a store. */
 export interface StoreListing {
-  /** Start of the store's process, as in {@link StoreEvents}. */
+  /** Start time of the store process, as in {@link StoreEvents}. */
   readonly startedAtMs: number | undefined
   readonly epoch: number
   readonly next: number
   readonly parts: readonly StoredPart[]
-  /** Parts that are not whole, with the tokens that have arrived. */
+  /** Incomplete parts with the number of tokens received so far. */
   readonly partial: ReadonlyArray<{ readonly part: StoredPart, readonly tokens: number }>
-  /** Entries that can't be used. */
+  /** Entries that cannot be used. */
   readonly rejected: readonly RejectedEntry[]
 }
 
-/** Stores as control hosts see them. */
+/** Access of control hosts to stores. */
 export interface StoreSource {
   events (store: StoreService, since: number, waitMs: number): Promise<Result<StoreEvents, { readonly kind: string }>>
   listing (store: StoreService): Promise<Result<StoreListing, { readonly kind: string }>>
   /**
-   * Frees parts, unless the store has restarted or the time has passed.
+   * Frees parts unless the store has restarted or the deadline has passed.
    *
-   * @param untilMs - on the stores' clock
+   * @param untilMs - deadline on the stores' clock
    */
   free (store: StoreService, parts: readonly StoredPart[], epoch: number, untilMs: number): Promise<Result<true, { readonly kind: string }>>
 }
 
-/** How long a call for events waits for one, in milliseconds; the platform prices shorter ones. */
-const WAIT_MS = 1000
+/** Time for which a call for events waits for the next event, in milliseconds. The platform charges for shorter waits. */
+const EVENT_WAIT_MS = 1000
 
-/** Pause after a call that failed, in milliseconds. */
-const RETRY_MS = 250
+/** Delay after a failed call, in milliseconds. */
+const RETRY_DELAY_MS = 250
 
-/** Interval between whole lists, in milliseconds: one event in a hundred never comes. */
-const LISTING_MS = 10_000
+/** Interval between reads of the whole listing, in milliseconds. One event in a hundred is lost. */
+const LISTING_INTERVAL_MS = 10_000
 
-/** Follows one store until stopped. */
+/** Tracks one store until stopped. */
 export class StoreFollower {
   #parts = new Map<string, StoredPart>()
   #partial: StoreListing['partial'] = []
@@ -70,15 +71,15 @@
   #epoch: number | undefined
   #next = 0
   #listedAt = Number.NEGATIVE_INFINITY
-  #isAnswering = false
+  #isAvailable = false
   #isStopped = false
 
   /**
-   * @param store - which store
-   * @param source - asks it
-   * @param onChange - told of each change
-   * @param onClock - told of the stores' clock whenever a store states it
-   * @param rejected - told of entries that can't be used
+   * @param store - store to track
+   * @param source - access to the store
+   * @param onChange - called with each change
+   * @param onClock - called with the stores' clock whenever the store reports it
+   * @param rejected - records entries that cannot be used
    * @param telemetry - log
    */
   constructor (
@@ -90,70 +91,70 @@
     private readonly telemetry: Telemetry
   ) {}
 
-  /** Whether the store answers, so that its parts may be used. */
-  get isAnswering (): boolean { return this.#isAnswering }
+  /** Whether the store answered the last call, so that its parts may be used. */
+  get isAvailable (): boolean { return this.#isAvailable }
   get epoch (): number | undefined { return this.#epoch }
   get parts (): readonly StoredPart[] { return [...this.#parts.values()] }
-  /** Incomplete parts as last listed. */
+  /** Incomplete parts in the last listing. */
   get partial (): StoreListing['partial'] { return this.#partial }
 
   /** Runs until {@link StoreFollower.stop}. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      const isListingDue = performance.now() - this.#listedAt > LISTING_MS
-      const isFine = isListingDue ? await this.#list() : await this.#follow()
-      if (!isFine) await sleep(RETRY_MS)
+      const isListingDue = performance.now() - this.#listedAt > LISTING_INTERVAL_MS
+      const hasSucceeded = isListingDue ? await this.#refreshListing() : await this.#pollEvents()
+      if (!hasSucceeded) await sleep(RETRY_DELAY_MS)
     }
   }
 
-  /** Ends the following. */
+  /** Stops the loop. */
   stop (): void {
     this.#isStopped = true
   }
 
-  /** @param parts - parts that were freed, before their events come */
-  forget (parts: readonly StoredPart[]): void {
-    for (const part of parts) this.#parts.delete(keyOf(part))
+  /** @param parts - parts that are being freed, removed here before their events arrive */
+  removeFreed (parts: readonly StoredPart[]): void {
+    for (const part of parts) this.#parts.delete(partKey(part))
     this.#emit({ kind: 'delta', added: [], removed: [...parts] })
   }
 
-  async #follow (): Promise<boolean> {
-    const answer = await this.source.events(this.store, this.#next, WAIT_MS)
-    if (!answer.ok) return this.#lose(answer.error.kind)
+  async #pollEvents (): Promise<boolean> {
+    const answer = await this.source.events(this.store, this.#next, EVENT_WAIT_MS)
+    if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, hasGap, events, clockMs, rejected } = answer.value
     this.rejected.note(this.store.name, rejected, performance.now())
-    if (this.#isFormer(startedAtMs)) return false
+    if (this.#isFromEarlierStart(startedAtMs)) return false
     if (clockMs !== undefined) this.onClock(clockMs)
     if (epoch !== this.#epoch || hasGap || isLaterStart(startedAtMs, this.#startedAtMs)) {
       this.#listedAt = Number.NEGATIVE_INFINITY
       return true
     }
     this.#next = next
-    if (events.length > 0) this.#take(events)
+    if (events.length > 0) this.#applyEvents(events)
     return true
   }
 
-  #take (events: StoreEvents['events']): void {
+  #applyEvents (events: StoreEvents['events']): void {
     const added = new Map<string, StoredPart>()
     const removed = new Map<string, StoredPart>()
     for (const { kind, part } of events) {
-      const key = keyOf(part)
-      const [into, outOf] = kind === 'stored' ? [added, removed] : [removed, added]
-      into.set(key, part)
-      outOf.delete(key)
+      const key = partKey(part)
+      const [target, opposite] = kind === 'stored' ? [added, removed] : [removed, added]
+      target.set(key, part)
+      opposite.delete(key)
       if (kind === 'stored') this.#parts.set(key, part)
       else this.#parts.delete(key)
     }
     this.#emit({ kind: 'delta', added: [...added.values()], removed: [...removed.values()] })
   }
 
-  async #list (): Promise<boolean> {
+  async #refreshListing (): Promise<boolean> {
     const answer = await this.source.listing(this.store)
-    if (!answer.ok) return this.#lose(answer.error.kind)
+    if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, parts, partial, rejected } = answer.value
     this.rejected.note(this.store.name, rejected, performance.now())
-    if (this.#isFormer(startedAtMs)) return false
-    const isNew = !this.#isAnswering || epoch !== this.#epoch || isLaterStart(startedAtMs, this.#startedAtMs)
+    if (this.#isFromEarlierStart(startedAtMs)) return false
+    const isNew = !this.#isAvailable || epoch !== this.#epoch || isLaterStart(startedAtMs, this.#startedAtMs)
     if (isNew) {
       this.telemetry.stateChanged('store-followed', { store: this.store.name, epoch, parts: parts.length, partial: partial.length })
     }
@@ -161,17 +162,17 @@
     this.#epoch = epoch
     this.#next = next
     this.#partial = partial
-    this.#isAnswering = true
+    this.#isAvailable = true
     this.#listedAt = performance.now()
-    const listed = new Map(parts.map(part => [keyOf(part), part]))
+    const listed = new Map(parts.map(part => [partKey(part), part]))
     if (isNew) this.#emit({ kind: 'whole', added: [...parts], removed: [] })
     else this.#emitDifference(listed)
     this.#parts = listed
     return true
   }
 
-  /** An answer of the process before the last restart says nothing of what the store holds now. */
-  #isFormer (startedAtMs: number | undefined): boolean {
+  /** Detects an answer from before the last restart, which says nothing about the current contents. */
+  #isFromEarlierStart (startedAtMs: number | undefined): boolean {
     return startedAtMs !== undefined && isLaterStart(this.#startedAtMs, startedAtMs)
   }
 
@@ -181,10 +182,10 @@
     if (added.length + removed.length > 0) this.#emit({ kind: 'delta', added, removed })
   }
 
-  #lose (reason: string): false {
+  #markLost (reason: string): false {
     this.#listedAt = Number.NEGATIVE_INFINITY
-    if (!this.#isAnswering) return false
-    this.#isAnswering = false
+    if (!this.#isAvailable) return false
+    this.#isAvailable = false
     this.#parts.clear()
     this.telemetry.stateChanged('store-lost', { store: this.store.name, reason })
     this.#emit({ kind: 'lost', added: [], removed: [] })
@@ -196,6 +197,6 @@
   }
 }
 
-function keyOf ([scope, id]: StoredPart): string {
+function partKey ([scope, id]: StoredPart): string {
   return `${scope}/${id}`
 }
