--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -6,7 +6,7 @@
  * and sends on what changed.
  */
 import { EventEmitter } from 'node:events'
-import type { HeldModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
+import type { LoadedModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { Result } from '@eelgrassmux/schema/Result'
 import { rejectEntry, type RejectedEntries, type RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
@@ -24,7 +24,7 @@
 export interface EndpointOverlay {
   /** Start of the incarnation of which it is known, as in the list. */
   readonly startedAtMs: number | undefined
-  readonly models: readonly HeldModel[]
+  readonly models: readonly LoadedModel[]
   readonly isBusy: boolean
 }
 
--- a/apps/entry/src/lib/plain/PlainHandler.ts
+++ b/apps/entry/src/lib/plain/PlainHandler.ts
@@ -142,7 +142,7 @@
       const isUnstarted = isNotStarted(answer.error)
       if (isUnstarted) dispatch.markNotStarted()
       if (answer.error.kind !== 'not-started') this.fleet.serviceTable.observeFailure(endpoint.name, performance.now())
-      const mayRepeat = isUnstarted || (profile.retries > 0 && budget.tryRetry())
+      const mayRepeat = isUnstarted || (profile.retries > 0 && budget.tryConsume())
       if (!mayRepeat || tried.size > Math.max(profile.retries, 1) || performance.now() >= deadline) {
         return fail(refuse({ reason: 'endpoint-failed', status: 502, detail: `the last attempt ended with ${answer.error.kind}`, retryAfterSeconds: 1 }, dispatch))
       }
--- a/apps/entry/src/lib/routed/harness/PlainCodec.ts
+++ b/apps/entry/src/lib/routed/harness/PlainCodec.ts
@@ -1,6 +1,6 @@
 /** Headers of routed requests as the product's own tests write them. */
 import { endToEndHeaders } from '../headers.js'
-import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
+import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { AnswerFields, CallerFields, EndpointFields, RequestCodec } from '../RequestCodec.js'
 
 /** Names of the headers. */
@@ -32,7 +32,7 @@
       version: undefined,
       requestsPerSecond: rateLimit === undefined ? undefined : Number(rateLimit),
       isLeaving: valueOf(headers, PLAIN_HEADERS.leaving) === '1',
-      retryAfterMs: readRetryAfter(valueOf(headers, PLAIN_HEADERS.retryAfter), Date.now())
+      retryAfterMs: parseRetryAfter(valueOf(headers, PLAIN_HEADERS.retryAfter), Date.now())
     }
   }
 }
