--- a/packages/backends/src/lib/EngineClient.ts
+++ b/packages/backends/src/lib/EngineClient.ts
@@ -12,7 +12,7 @@
 import { ServerSentEventReader } from './ServerSentEventReader.js'
 
 /** Deadline of short calls, in milliseconds. */
-const SHORT_CALL_MS = 1000
+const SHORT_CALL_TIMEOUT_MS = 1000
 
 /** One message of a run, or why the stream broke. A stream that ends without an end mark yields an error. */
 export type RunStreamItem = Result<RunMessage, BackendError>
@@ -20,12 +20,12 @@
 /** What the system asks of a model engine. */
 export interface EngineBackend {
   report (): Promise<Result<EngineReport, BackendError>>
-  cacheEvents (after: number): Promise<Result<CacheEvents, BackendError>>
+  cacheEvents (fromSequence: number): Promise<Result<CacheEvents, BackendError>>
   cacheListing (): Promise<Result<CacheListing, BackendError>>
   /** Starts a run; an error before the first item says whether it may have started. */
-  startRun (request: RunRequest, stallMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
+  startRun (request: RunRequest, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
   /** Reads a run that is under way again, from an offset. */
-  resumeRun (run: string, offset: number, stallMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
+  resumeRun (run: string, offset: number, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
   cancelRun (run: string): Promise<void>
   stageImport (request: ImportRequest, timeoutMs: number, signal: AbortSignal): Promise<Result<{ bytes: number }, BackendError>>
   discardImport (importId: string): Promise<void>
@@ -43,46 +43,46 @@
   }
 
   async report (): Promise<Result<EngineReport, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_MS }, engineLoadSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_TIMEOUT_MS }, engineLoadSchema)
   }
 
-  async cacheEvents (after: number): Promise<Result<CacheEvents, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: `/cache/events?from=${after}`, timeoutMs: SHORT_CALL_MS }, cacheEventsSchema)
+  async cacheEvents (fromSequence: number): Promise<Result<CacheEvents, BackendError>> {
+    return await this.#http.requestJson({ method: 'GET', path: `/cache/events?from=${fromSequence}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, cacheEventsSchema)
   }
 
   async cacheListing (): Promise<Result<CacheListing, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/cache/blocks', timeoutMs: SHORT_CALL_MS }, cacheListingSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/cache/blocks', timeoutMs: SHORT_CALL_TIMEOUT_MS }, cacheListingSchema)
   }
 
-  async startRun (request: RunRequest, stallMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>> {
-    const response = await this.#http.open({ method: 'POST', path: '/runs', json: request, timeoutMs: stallMs, signal })
+  async startRun (request: RunRequest, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>> {
+    const response = await this.#http.openResponse({ method: 'POST', path: '/runs', json: request, timeoutMs: stallTimeoutMs, signal })
     return response.ok ? succeed(readRun(response.value)) : response
   }
 
-  async resumeRun (run: string, offset: number, stallMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>> {
+  async resumeRun (run: string, offset: number, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>> {
     const path = `/runs/${encodeURIComponent(run)}?from=${offset}`
-    const response = await this.#http.open({ method: 'GET', path, timeoutMs: stallMs, signal })
+    const response = await this.#http.openResponse({ method: 'GET', path, timeoutMs: stallTimeoutMs, signal })
     return response.ok ? succeed(readRun(response.value)) : response
   }
 
   async cancelRun (run: string): Promise<void> {
-    await this.#http.json({ method: 'DELETE', path: `/runs/${encodeURIComponent(run)}`, timeoutMs: SHORT_CALL_MS }, z.unknown())
+    await this.#http.requestJson({ method: 'DELETE', path: `/runs/${encodeURIComponent(run)}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, z.unknown())
   }
 
   async stageImport (request: ImportRequest, timeoutMs: number, signal: AbortSignal): Promise<Result<{ bytes: number }, BackendError>> {
-    return await this.#http.json({ method: 'POST', path: '/imports', json: request, timeoutMs, signal }, importResponseSchema)
+    return await this.#http.requestJson({ method: 'POST', path: '/imports', json: request, timeoutMs, signal }, importResponseSchema)
   }
 
   async discardImport (importId: string): Promise<void> {
-    await this.#http.json({ method: 'DELETE', path: `/imports/${encodeURIComponent(importId)}`, timeoutMs: SHORT_CALL_MS }, z.unknown())
+    await this.#http.requestJson({ method: 'DELETE', path: `/imports/${encodeURIComponent(importId)}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, z.unknown())
   }
 
   async exportBlocks (request: ExportRequest, timeoutMs: number): Promise<Result<ExportResponse, BackendError>> {
-    return await this.#http.json({ method: 'POST', path: '/exports', json: request, timeoutMs }, exportResponseSchema)
+    return await this.#http.requestJson({ method: 'POST', path: '/exports', json: request, timeoutMs }, exportResponseSchema)
   }
 
   async sendOrder (request: OrderRequest, timeoutMs: number): Promise<Result<{ ok: true }, BackendError>> {
-    return await this.#http.json({ method: 'POST', path: '/orders', json: request, timeoutMs }, okSchema)
+    return await this.#http.requestJson({ method: 'POST', path: '/orders', json: request, timeoutMs }, okSchema)
   }
 
   /** Closes all connections at once. */
--- a/packages/backends/src/lib/HttpBackend.ts
+++ b/packages/backends/src/lib/HttpBackend.ts
@@ -6,7 +6,7 @@
 import type { BackendError } from './BackendError.js'
 
 /** Connections kept to one back end; runs hold one each. */
-const CONNECTIONS = 1024
+const MAX_CONNECTIONS = 1024
 
 /** Longest wait for a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1000
@@ -26,7 +26,7 @@
 
   /** @param address - IP number and port */
   constructor (readonly address: string) {
-    this.#pool = new Pool(`http://${address}`, { connections: CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT_MS } })
+    this.#pool = new Pool(`http://${address}`, { connections: MAX_CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT_MS } })
   }
 
   /**
@@ -36,8 +36,8 @@
    * @param schema - what a successful answer must look like
    * @returns the answer or the error
    */
-  async json<Answer> (call: HttpCall, schema: z.ZodType<Answer>): Promise<Result<Answer, BackendError>> {
-    const response = await this.open(call)
+  async requestJson<Answer> (call: HttpCall, schema: z.ZodType<Answer>): Promise<Result<Answer, BackendError>> {
+    const response = await this.openResponse(call)
     if (!response.ok) return response
     try {
       const parsed = schema.safeParse(await response.value.body.json())
@@ -54,7 +54,7 @@
    * @param call - what to send
    * @returns the response, or the error
    */
-  async open (call: HttpCall): Promise<Result<Dispatcher.ResponseData, BackendError>> {
+  async openResponse (call: HttpCall): Promise<Result<Dispatcher.ResponseData, BackendError>> {
     try {
       const response = await this.#pool.request({
         method: call.method,
@@ -102,7 +102,7 @@
 }
 
 function statusError ({ statusCode: status, headers }: Dispatcher.ResponseData, body: string): BackendError {
-  const reason = reasonOf(body)
+  const reason = parseReason(body)
   switch (reason) {
     case 'leaving':
     case 'full':
@@ -114,7 +114,7 @@
   }
 }
 
-function reasonOf (body: string): string {
+function parseReason (body: string): string {
   try {
     const parsed: unknown = JSON.parse(body)
     return typeof parsed === 'object' && parsed !== null && 'error' in parsed ? String(parsed.error) : ''
--- a/packages/backends/src/lib/MembershipClient.ts
+++ b/packages/backends/src/lib/MembershipClient.ts
@@ -4,7 +4,7 @@
 import type { BackendError } from './BackendError.js'
 import { HttpBackend } from './HttpBackend.js'
 
-const SHORT_CALL_MS = 1000
+const SHORT_CALL_TIMEOUT_MS = 1000
 
 export const memberListSchema = z.object({
   members: z.array(z.object({
@@ -27,7 +27,7 @@
 
   /** @returns the list as the platform has it now */
   async list (): Promise<Result<MemberList, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/members', timeoutMs: SHORT_CALL_MS }, memberListSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/members', timeoutMs: SHORT_CALL_TIMEOUT_MS }, memberListSchema)
   }
 
   /** Closes all connections at once. */
--- a/packages/backends/src/lib/ServiceClient.test.ts
+++ b/packages/backends/src/lib/ServiceClient.test.ts
@@ -14,7 +14,7 @@
   })
 
   /** What a call comes to at an endpoint that does not start it. */
-  async function rejectedWith (status: number, headers: Readonly<Record<string, string>>): Promise<unknown> {
+  async function callRejectingEndpoint (status: number, headers: Readonly<Record<string, string>>): Promise<unknown> {
     const listening = createServer((_request, response) => {
       response.writeHead(status, { [RUN_STATE_HEADER]: 'not-run', ...headers })
       response.end()
@@ -28,15 +28,15 @@
 
   // Guards against an endpoint that is full for a moment being taken for one that leaves for good.
   it('tells an endpoint that asks for a pause from one that leaves', async () => {
-    expect(await rejectedWith(503, { 'retry-after': '2' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 2000 })
+    expect(await callRejectingEndpoint(503, { 'retry-after': '2' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 2000 })
   })
 
   it('takes a rejection without a pause for that of an endpoint that leaves', async () => {
-    expect(await rejectedWith(503, {})).toEqual({ kind: 'not-started', reason: 'leaving' })
+    expect(await callRejectingEndpoint(503, {})).toEqual({ kind: 'not-started', reason: 'leaving' })
   })
 
   it('reads a pause beside any status', async () => {
-    expect(await rejectedWith(429, { 'retry-after': '0.5' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 500 })
-    expect(await rejectedWith(429, {})).toEqual({ kind: 'not-started', reason: 'other' })
+    expect(await callRejectingEndpoint(429, { 'retry-after': '0.5' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 500 })
+    expect(await callRejectingEndpoint(429, {})).toEqual({ kind: 'not-started', reason: 'other' })
   })
 })
--- a/packages/backends/src/lib/ServiceClient.ts
+++ b/packages/backends/src/lib/ServiceClient.ts
@@ -8,7 +8,7 @@
 /** Header by which a service states that it did not start a request. */
 export const RUN_STATE_HEADER = 'eelgrassmux-run'
 
-const SHORT_CALL_MS = 1000
+const SHORT_CALL_TIMEOUT_MS = 1000
 
 export const serviceHealthSchema = z.object({ incarnation: z.number().int().min(0), state: z.enum(['serving', 'leaving']) })
 
@@ -43,7 +43,7 @@
 
   /** @returns the endpoint's own word on its state */
   async health (): Promise<Result<ServiceHealth, BackendError>> {
-    return await this.#health.json({ method: 'GET', path: '/healthz', timeoutMs: SHORT_CALL_MS }, serviceHealthSchema)
+    return await this.#health.requestJson({ method: 'GET', path: '/healthz', timeoutMs: SHORT_CALL_TIMEOUT_MS }, serviceHealthSchema)
   }
 
   /**
@@ -78,7 +78,7 @@
 }
 
 /** An endpoint that names the time after which to come back is not leaving. */
-function notStarted ({ statusCode, headers }: Dispatcher.ResponseData): BackendError {
+function toNotStartedError ({ statusCode, headers }: Dispatcher.ResponseData): BackendError {
   const pause = requestedPause(headers)
   if (pause.retryAfterMs !== undefined) return { kind: 'not-started', reason: 'full', ...pause }
   return { kind: 'not-started', reason: statusCode === 503 ? 'leaving' : 'other' }
@@ -96,7 +96,7 @@
     })
     const body = new Uint8Array(await response.body.arrayBuffer())
     if (response.headers[RUN_STATE_HEADER] === 'not-run') {
-      return fail(notStarted(response))
+      return fail(toNotStartedError(response))
     }
     return succeed({ status: response.statusCode, contentType: String(response.headers['content-type'] ?? 'application/octet-stream'), body })
   } catch (error) {
--- a/packages/backends/src/lib/StoreClient.ts
+++ b/packages/backends/src/lib/StoreClient.ts
@@ -4,16 +4,16 @@
 import type { BackendError } from './BackendError.js'
 import { HttpBackend } from './HttpBackend.js'
 
-const count = z.number().int().min(0)
+const nonNegativeInteger = z.number().int().min(0)
 
 /** Deadline of short calls, in milliseconds. */
-const SHORT_CALL_MS = 2000
+const SHORT_CALL_TIMEOUT_MS = 2000
 
 export const storeLoadSchema = z.object({
-  incarnation: count,
-  usedBytes: count,
-  capacityBytes: count,
-  backlogBytes: count
+  incarnation: nonNegativeInteger,
+  usedBytes: nonNegativeInteger,
+  capacityBytes: nonNegativeInteger,
+  backlogBytes: nonNegativeInteger
 })
 
 /** Only objects that are complete and whose checksum was verified are listed. */
@@ -22,9 +22,9 @@
     name: z.string(),
     customer: z.string(),
     keys: z.array(z.string()),
-    tokens: count,
-    firstBlock: count,
-    bytes: count,
+    tokens: nonNegativeInteger,
+    firstBlock: nonNegativeInteger,
+    bytes: nonNegativeInteger,
     sha256: z.string(),
     tier: z.enum(['memory', 'disk'])
   }))
@@ -50,15 +50,15 @@
   }
 
   async load (): Promise<Result<StoreLoad, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_MS }, storeLoadSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_TIMEOUT_MS }, storeLoadSchema)
   }
 
   async list (): Promise<Result<StoreListing, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/objects', timeoutMs: SHORT_CALL_MS }, storeListingSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/objects', timeoutMs: SHORT_CALL_TIMEOUT_MS }, storeListingSchema)
   }
 
   async remove (name: string): Promise<Result<unknown, BackendError>> {
-    return await this.#http.json({ method: 'DELETE', path: `/objects/${name}`, timeoutMs: SHORT_CALL_MS }, z.unknown())
+    return await this.#http.requestJson({ method: 'DELETE', path: `/objects/${name}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, z.unknown())
   }
 
   /** Closes all connections at once. */
--- a/packages/backends/src/lib/engineProtocol.ts
+++ b/packages/backends/src/lib/engineProtocol.ts
@@ -1,15 +1,15 @@
 /** The model engines' protocol, as far as the system uses it. */
 import { z } from 'zod'
 
-const count = z.number().int().min(0)
+const nonNegativeInteger = z.number().int().min(0)
 
 export const engineLoadSchema = z.object({
-  incarnation: count,
+  incarnation: nonNegativeInteger,
   state: z.enum(['serving', 'leaving']),
   model: z.string(),
   version: z.string(),
   loadingVersion: z.string().optional(),
-  running: count,
+  running: nonNegativeInteger,
   maxRunning: z.number().int().min(1),
   queuedTokens: z.number().min(0),
   prefillTokensPerMs: z.number().positive(),
@@ -20,15 +20,15 @@
   ageMs: z.number().min(0)
 })
 
-export const cacheEventSchema = z.object({ sequence: count, kind: z.enum(['stored', 'removed']), keys: z.array(z.string()) })
+export const cacheEventSchema = z.object({ sequence: nonNegativeInteger, kind: z.enum(['stored', 'removed']), keys: z.array(z.string()) })
 
 export const cacheEventsSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('events'), incarnation: count, events: z.array(cacheEventSchema) }),
+  z.object({ kind: z.literal('events'), incarnation: nonNegativeInteger, events: z.array(cacheEventSchema) }),
   /** Events from the wanted number on are gone. */
-  z.object({ kind: z.literal('gap'), incarnation: count })
+  z.object({ kind: z.literal('gap'), incarnation: nonNegativeInteger })
 ])
 
-export const cacheListingSchema = z.object({ incarnation: count, nextSequence: count, keys: z.array(z.string()) })
+export const cacheListingSchema = z.object({ incarnation: nonNegativeInteger, nextSequence: nonNegativeInteger, keys: z.array(z.string()) })
 
 export const runRequestSchema = z.object({
   run: z.string(),
@@ -44,13 +44,13 @@
 })
 
 export const runMessageSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('tokens'), offset: count, tokens: z.array(z.string()), version: z.string() }),
+  z.object({ kind: z.literal('tokens'), offset: nonNegativeInteger, tokens: z.array(z.string()), version: z.string() }),
   z.object({
     kind: z.literal('end'),
-    length: count,
+    length: nonNegativeInteger,
     finishReason: z.enum(['stop', 'length']),
-    promptTokens: count,
-    cachedTokens: count,
+    promptTokens: nonNegativeInteger,
+    cachedTokens: nonNegativeInteger,
     version: z.string()
   })
 ])
@@ -58,26 +58,26 @@
 export const importRequestSchema = z.object({
   importId: z.string(),
   objects: z.array(z.object({
-    storeAddress: z.string(), name: z.string(), keys: z.array(z.string()), bytes: count, sha256: z.string()
+    storeAddress: z.string(), name: z.string(), keys: z.array(z.string()), bytes: nonNegativeInteger, sha256: z.string()
   }))
 })
 
-export const importResponseSchema = z.object({ bytes: count })
+export const importResponseSchema = z.object({ bytes: nonNegativeInteger })
 
 export const exportRequestSchema = z.object({
   storeAddress: z.string(),
   name: z.string(),
   customer: z.string(),
   keys: z.array(z.string()),
-  tokens: count,
+  tokens: nonNegativeInteger,
   /** Position of the first block in its chain. */
-  firstBlock: count
+  firstBlock: nonNegativeInteger
 })
 
-export const exportResponseSchema = z.object({ bytes: count, sha256: z.string(), tier: z.enum(['memory', 'disk']) })
+export const exportResponseSchema = z.object({ bytes: nonNegativeInteger, sha256: z.string(), tier: z.enum(['memory', 'disk']) })
 
 export const orderRequestSchema = z.object({
-  fence: z.object({ term: count, index: count }),
+  fence: z.object({ term: nonNegativeInteger, index: nonNegativeInteger }),
   order: z.object({ kind: z.literal('load-version'), model: z.string(), version: z.string() })
 })
 
--- a/packages/cache/src/lib/DirectoryShard.ts
+++ b/packages/cache/src/lib/DirectoryShard.ts
@@ -48,8 +48,8 @@
   readonly #unpublished = new Map<string, PublishedObject>()
   readonly #writes = new Map<string, PendingWrite>()
   readonly #pendingKeys = new Set<string>()
-  readonly #freeNothingBefore: number
-  readonly #adoptNothingBefore: number
+  readonly #gracePeriodEndsAt: number
+  readonly #adoptionAllowedAt: number
   #nextNumber = 0
 
   /**
@@ -64,8 +64,8 @@
     private readonly settings: ShardSettings,
     ownedSince: number
   ) {
-    this.#adoptNothingBefore = ownedSince + settings.ownershipMs + settings.deletionMs
-    this.#freeNothingBefore = ownedSince + settings.ownershipMs + settings.deletionMs + Math.max(settings.readLeaseMs, settings.writeReservationMs)
+    this.#adoptionAllowedAt = ownedSince + settings.ownershipMs + settings.deletionMs
+    this.#gracePeriodEndsAt = ownedSince + settings.ownershipMs + settings.deletionMs + Math.max(settings.readLeaseMs, settings.writeReservationMs)
   }
 
   /**
@@ -73,7 +73,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  isInGracePeriod (now: number): boolean { return now < this.#freeNothingBefore }
+  isInGracePeriod (now: number): boolean { return now < this.#gracePeriodEndsAt }
 
   get objectCount (): number { return this.#published.size }
   get unpublishedCount (): number { return this.#unpublished.size }
@@ -88,7 +88,7 @@
    * @returns whether it was new
    */
   adopt (object: StoredObject, now: number): boolean {
-    if (now < this.#adoptNothingBefore || !this.#isUnknown(object.name)) return false
+    if (now < this.#adoptionAllowedAt || !this.#isUnknown(object.name)) return false
     this.#publish(object, now)
     return true
   }
@@ -122,7 +122,7 @@
    */
   storedBlocks (keys: readonly string[]): number {
     let count = 0
-    while (count < keys.length && this.#publishedWith(keys[count]) !== undefined) count += 1
+    while (count < keys.length && this.#findPublished(keys[count]) !== undefined) count += 1
     return count
   }
 
@@ -138,7 +138,7 @@
     const covering: CoveringObject[] = []
     let block = fromBlock
     while (block < keys.length) {
-      const object = this.#publishedWith(keys[block])?.object
+      const object = this.#findPublished(keys[block])?.object
       if (object === undefined) break
       let position = object.keys.indexOf(keys[block] ?? '')
       while (position < object.keys.length && block < keys.length && object.keys[position] === keys[block]) {
@@ -161,7 +161,7 @@
     request: { readonly customer: string, readonly store: string, readonly keys: readonly string[], readonly tokensPerBlock: number },
     now: number
   ): WriteReservation | undefined {
-    this.#dropLapsedWrites(now)
+    this.#dropExpiredWrites(now)
     const from = this.storedBlocks(request.keys)
     const missing = request.keys.slice(from)
     const firstPending = missing.findIndex(key => this.#pendingKeys.has(key) || this.#objectByKey.has(key))
@@ -186,10 +186,10 @@
    * @returns false if the reservation has lapsed; the object is then freed
    */
   publish (name: string, acknowledged: { readonly bytes: number, readonly sha256: string, readonly tier: StoreTier }, now: number): boolean {
-    this.#dropLapsedWrites(now)
+    this.#dropExpiredWrites(now)
     const write = this.#writes.get(name)
     if (write === undefined) return false
-    this.#endWrite(write.reservation)
+    this.#removeWrite(write.reservation)
     this.#publish({ ...write.reservation, ...acknowledged }, now)
     return true
   }
@@ -201,7 +201,7 @@
    */
   abandon (name: string): void {
     const write = this.#writes.get(name)
-    if (write !== undefined) this.#endWrite(write.reservation)
+    if (write !== undefined) this.#removeWrite(write.reservation)
   }
 
   /**
@@ -254,8 +254,8 @@
   evict (store: string, bytesToFree: number, now: number): string[] {
     const present = [...this.#published.values()].filter(({ object }) => object.store === store)
     const total = present.reduce((sum, { object }) => sum + object.bytes, 0)
-    const held = new Map<string, number>()
-    for (const { object } of present) held.set(object.customer, (held.get(object.customer) ?? 0) + object.bytes)
+    const bytesByCustomer = new Map<string, number>()
+    for (const { object } of present) bytesByCustomer.set(object.customer, (bytesByCustomer.get(object.customer) ?? 0) + object.bytes)
     const limit = total * this.settings.customerShare
     const byValue = present
       .map(published => ({ published, value: valuePerByte(published, now) }))
@@ -268,12 +268,12 @@
         if (freed >= bytesToFree) return
         if (!this.#published.has(object.name) || !eligible(object.customer)) continue
         this.unpublish(object.name)
-        held.set(object.customer, (held.get(object.customer) ?? 0) - object.bytes)
+        bytesByCustomer.set(object.customer, (bytesByCustomer.get(object.customer) ?? 0) - object.bytes)
         freed += object.bytes
         victims.push(object.name)
       }
     }
-    evictWhere(customer => (held.get(customer) ?? 0) > limit)
+    evictWhere(customer => (bytesByCustomer.get(customer) ?? 0) > limit)
     evictWhere(() => true)
     return victims
   }
@@ -325,12 +325,12 @@
   /** Earlier objects of a chain are worth as much as later ones, also when an engine still holds them. */
   #touchPrefix (keys: readonly string[], now: number): void {
     for (const key of keys) {
-      const published = this.#publishedWith(key)
+      const published = this.#findPublished(key)
       if (published !== undefined) published.lastUsedAt = now
     }
   }
 
-  #publishedWith (key: string | undefined): PublishedObject | undefined {
+  #findPublished (key: string | undefined): PublishedObject | undefined {
     const name = key === undefined ? undefined : this.#objectByKey.get(key)
     return name === undefined ? undefined : this.#published.get(name)
   }
@@ -340,14 +340,14 @@
     for (const key of object.keys) this.#objectByKey.set(key, object.name)
   }
 
-  #endWrite (reservation: WriteReservation): void {
+  #removeWrite (reservation: WriteReservation): void {
     this.#writes.delete(reservation.name)
     for (const key of reservation.keys) this.#pendingKeys.delete(key)
   }
 
-  #dropLapsedWrites (now: number): void {
+  #dropExpiredWrites (now: number): void {
     for (const { reservation, endsAt } of this.#writes.values()) {
-      if (endsAt < now) this.#endWrite(reservation)
+      if (endsAt < now) this.#removeWrite(reservation)
     }
   }
 }
--- a/packages/policy/src/lib/health/EndpointTable.ts
+++ b/packages/policy/src/lib/health/EndpointTable.ts
@@ -1,36 +1,36 @@
 /**
- * Which endpoints may get new work.
+ * Decides which endpoints may get new work.
  *
- * Three sources speak: the platform's lagging list, the endpoint's own reports
- * and its answers to requests. The first that says "leaving" wins for that
- * incarnation. A list that stopped updating says nothing about life; only a
- * recent report from the endpoint itself does.
+ * Endpoint state comes from three sources: the platform's member list, which
+ * lags behind, the endpoint's own reports, and its answers to requests. Once any
+ * of them says "leaving", the endpoint counts as leaving for the rest of that
+ * incarnation. Only a recent report from the endpoint itself shows that it is
+ * alive: the list may have stopped updating.
  */
 
 /** Timing and limits. Durations are in milliseconds. */
 export interface EndpointTableSettings {
-  /** A report older than this is no evidence of life. */
+  /** Age at which a report no longer shows that the endpoint is alive. */
   readonly reportLifetimeMs: number
-  /** Failures in a row after which an endpoint is ejected. */
-  readonly failuresToEject: number
+  readonly consecutiveFailuresToEject: number
   readonly ejectionMs: number
-  readonly longestEjectionMs: number
-  /** Largest share of endpoints that may be ejected at once, 0 to 1. */
-  readonly ejectedShare: number
+  readonly maxEjectionMs: number
+  /** Largest fraction of endpoints that may be ejected at once, 0 to 1. */
+  readonly maxEjectedFraction: number
 }
 
 export const DEFAULT_ENDPOINT_SETTINGS: EndpointTableSettings = {
-  reportLifetimeMs: 2000, failuresToEject: 3, ejectionMs: 1000, longestEjectionMs: 30_000, ejectedShare: 0.34
+  reportLifetimeMs: 2000, consecutiveFailuresToEject: 3, ejectionMs: 1000, maxEjectionMs: 30_000, maxEjectedFraction: 0.34
 }
 
-/** One member as the platform lists it. */
+/** One member of the platform's list. */
 export interface ListedMember {
   readonly name: string
   readonly state: 'live' | 'leaving'
   readonly incarnation: number
 }
 
-/** Why an endpoint gets no new work; also the metric label. */
+/** Why an endpoint gets no new work. Also used as a metric label. */
 export type Ineligibility = 'leaving' | 'evacuated' | 'silent' | 'ejected' | 'asked-to-pause' | 'unknown-endpoint'
 
 interface EndpointState {
@@ -43,7 +43,7 @@
   pausedUntil: number
 }
 
-/** Eligibility of all configured endpoints. */
+/** Tracks which of the configured endpoints may get new work. */
 export class EndpointTable {
   readonly #endpoints = new Map<string, EndpointState>()
   #evacuated: ReadonlySet<string> = new Set()
@@ -59,7 +59,7 @@
     for (const name of names) this.#stateOf(name)
   }
 
-  /** @param members - the platform's list as last read */
+  /** @param members - latest copy of the platform's list */
   observeMemberList (members: readonly ListedMember[]): void {
     for (const member of members) {
       const state = this.#endpoints.get(member.name)
@@ -70,10 +70,10 @@
   }
 
   /**
-   * Takes an endpoint's own report.
+   * Applies an endpoint's own report. Reports of an earlier incarnation are ignored.
    *
    * @param name - endpoint
-   * @param report - its state and incarnation
+   * @param report - state and incarnation of the endpoint
    * @param now - monotonic milliseconds
    */
   observeReport (name: string, report: { readonly leaving: boolean, readonly incarnation: number }, now: number): void {
@@ -91,8 +91,10 @@
   }
 
   /**
-   * @param name - endpoint that rejected a request and wants nothing more from this host for a while
-   * @param milliseconds - for how long; a pause under way never becomes shorter
+   * Records that an endpoint rejected a request and asked this host for a pause.
+   *
+   * @param name - endpoint that asked for the pause
+   * @param milliseconds - length of the pause; never shortens a pause that is in effect
    * @param now - monotonic milliseconds
    */
   observePause (name: string, milliseconds: number, now: number): void {
@@ -109,7 +111,7 @@
   }
 
   /**
-   * Counts a failure; several in a row eject the endpoint for a growing time.
+   * Counts a failure. Consecutive failures eject the endpoint, each time for twice as long.
    *
    * @param name - endpoint that failed
    * @param now - monotonic milliseconds
@@ -119,9 +121,9 @@
     const state = this.#endpoints.get(name)
     if (state === undefined) return false
     state.failures += 1
-    if (state.failures < this.settings.failuresToEject || now < state.ejectedUntil) return false
+    if (state.failures < this.settings.consecutiveFailuresToEject || now < state.ejectedUntil) return false
     if (!this.#mayEject(now)) return false
-    const duration = Math.min(this.settings.longestEjectionMs, this.settings.ejectionMs * 2 ** state.ejections)
+    const duration = Math.min(this.settings.maxEjectionMs, this.settings.ejectionMs * 2 ** state.ejections)
     state.ejections += 1
     state.failures = 0
     state.ejectedUntil = now + duration
@@ -130,28 +132,28 @@
 
   /**
    * @param name - endpoint
-   * @returns its incarnation as last heard of; 0 if nothing was heard
+   * @returns the latest known incarnation, or 0 if none is known
    */
   incarnation (name: string): number {
     return this.#endpoints.get(name)?.incarnation ?? 0
   }
 
-  /** @returns whether the endpoint said itself, or the list did, that it is leaving */
+  /** @returns whether any source has said that the endpoint is leaving */
   isLeaving (name: string): boolean {
     return this.#endpoints.get(name)?.leaving ?? false
   }
 
-  /** @param names - endpoints in data centres that are evacuated; all others are not */
+  /** @param names - all endpoints in evacuated data centres; replaces the previous set */
   setEvacuated (names: ReadonlySet<string>): void {
     this.#evacuated = names
   }
 
   /**
-   * Says why an endpoint may not get new work.
+   * Returns why an endpoint may not get new work.
    *
    * @param name - endpoint
    * @param now - monotonic milliseconds
-   * @returns the reason, or undefined if it may
+   * @returns the reason, or undefined if the endpoint may get new work
    */
   ineligibility (name: string, now: number): Ineligibility | undefined {
     const state = this.#endpoints.get(name)
@@ -175,7 +177,7 @@
   #mayEject (now: number): boolean {
     const states = [...this.#endpoints.values()]
     const ejected = states.filter(state => now < state.ejectedUntil).length
-    return ejected + 1 <= states.length * this.settings.ejectedShare
+    return ejected + 1 <= states.length * this.settings.maxEjectedFraction
   }
 
   #observeIncarnation (state: EndpointState, incarnation: number): void {
--- a/packages/policy/src/lib/health/EngineLoadTable.ts
+++ b/packages/policy/src/lib/health/EngineLoadTable.ts
@@ -1,6 +1,6 @@
-/** Lagged load reports of engines, corrected by dispatches known here since each report was measured. */
+/** Load reports of engines, corrected for the dispatches that this host knows of since each report was measured. */
 
-/** An engine's own report. */
+/** An engine's report of its load. */
 export interface EngineLoad {
   readonly version: string
   readonly running: number
@@ -8,27 +8,27 @@
   readonly queuedTokens: number
   readonly prefillTokensPerMs: number
   readonly meanRunMs: number
-  /** Age of the figures when they were sent, in milliseconds. */
+  /** Age of the figures when the report was sent, in milliseconds. */
   readonly ageMs: number
-  /** How long evicted blocks had lain unused; undefined until something was evicted. */
+  /** How long blocks had been unused when they were evicted; undefined until the first eviction. */
   readonly residenceSeconds?: number | undefined
   readonly bytesPerToken: number
 }
 
-interface KnownDispatch {
+interface RecordedDispatch {
   readonly at: number
   readonly tokens: number
 }
 
-/** Loads of all engines. */
+/** Tracks the load of all engines. */
 export class EngineLoadTable {
   readonly #loads = new Map<string, { load: EngineLoad, measuredAt: number }>()
-  readonly #dispatches = new Map<string, KnownDispatch[]>()
+  readonly #dispatches = new Map<string, RecordedDispatch[]>()
 
   /**
    * @param engine - endpoint name
-   * @param load - its report
-   * @param now - monotonic milliseconds when the report came in
+   * @param load - the engine's report
+   * @param now - monotonic milliseconds when the report was received
    */
   observe (engine: string, load: EngineLoad, now: number): void {
     const measuredAt = now - load.ageMs
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Notes a dispatch of this host, or one that a peer announced.
+   * Records a dispatch that this host made or a peer announced.
    *
-   * @param engine - endpoint a request was sent to
-   * @param tokens - prefill tokens it has to compute
+   * @param engine - endpoint the request was sent to
+   * @param tokens - prefill tokens that the engine has to compute
    * @param now - monotonic milliseconds
    */
   recordDispatch (engine: string, tokens: number, now: number): void {
@@ -58,12 +58,12 @@
   load (engine: string, now: number): EngineLoad | undefined {
     const entry = this.#loads.get(engine)
     if (entry === undefined) return undefined
-    const since = this.#dispatches.get(engine) ?? []
-    const tokensSince = since.reduce((sum, dispatch) => sum + dispatch.tokens, 0)
+    const dispatchesSince = this.#dispatches.get(engine) ?? []
+    const tokensSince = dispatchesSince.reduce((sum, dispatch) => sum + dispatch.tokens, 0)
     const computedSince = (now - entry.measuredAt) * entry.load.prefillTokensPerMs
     return {
       ...entry.load,
-      running: entry.load.running + since.length,
+      running: entry.load.running + dispatchesSince.length,
       queuedTokens: Math.max(0, entry.load.queuedTokens + tokensSince - computedSince)
     }
   }
--- a/packages/policy/src/lib/health/LinkTable.ts
+++ b/packages/policy/src/lib/health/LinkTable.ts
@@ -1,33 +1,33 @@
-/** Speed and backlog of store links, learnt from own transfers and the stores' reports. */
+/** Estimates speed and backlog of store links from this host's transfers and the stores' reports. */
 import type { LinkView } from '../placement/placementTypes.js'
 
 /**
- * A transfer that shared the link with others looks slow, so the fastest of the
- * last few is taken for the link's speed. A link that has really slowed down
- * shows in all of them.
+ * Number of recent transfers over which the speed is estimated. The estimate is
+ * the fastest of them, because a transfer that shares the link with others
+ * measures less than the link's speed. If the link itself slows down, all of them do.
  */
-const SAMPLES_KEPT = 6
+const MAX_SPEED_SAMPLES = 6
 
 interface LinkState {
   configuredBytesPerMs: number
-  /** Speeds of the last transfers, newest last. */
+  /** Speeds of recent transfers in bytes per millisecond, newest last. */
   samples: number[]
   reportedBacklog: number
   reportedAt: number
-  ownPendingBytes: number
-  transferredAt: number
+  localPendingBytes: number
+  lastTransferAt: number
 }
 
-/** After this time without a transfer one slow sample is forgotten, so that a mended link is tried again, in milliseconds. */
-const RECOVERY_MS = 1000
+/** Time without a transfer after which the oldest sample is dropped, so that a link that has recovered is tried again. */
+const SAMPLE_EXPIRY_MS = 1000
 
-/** All links known to one entry host. */
+/** Tracks all store links of one entry host. */
 export class LinkTable {
   readonly #links = new Map<string, LinkState>()
 
   /**
    * @param store - store name
-   * @param bytesPerSecond - configured speed of its link
+   * @param bytesPerSecond - configured speed of the store's link
    */
   configure (store: string, bytesPerSecond: number): void {
     const bytesPerMs = bytesPerSecond / 1000
@@ -38,12 +38,12 @@
       samples: [],
       reportedBacklog: 0,
       reportedAt: Number.NEGATIVE_INFINITY,
-      ownPendingBytes: 0,
-      transferredAt: Number.NEGATIVE_INFINITY
+      localPendingBytes: 0,
+      lastTransferAt: Number.NEGATIVE_INFINITY
     })
   }
 
-  /** @param stores - stores still configured; all others are forgotten */
+  /** @param stores - stores that are still configured; all others are removed */
   retain (stores: ReadonlySet<string>): void {
     for (const store of this.#links.keys()) {
       if (!stores.has(store)) this.#links.delete(store)
@@ -52,7 +52,7 @@
 
   /**
    * @param store - store name
-   * @param backlogBytes - bytes it has queued on its link
+   * @param backlogBytes - bytes that the store has queued on its link
    * @param now - monotonic milliseconds
    */
   observeBacklog (store: string, backlogBytes: number, now: number): void {
@@ -60,55 +60,55 @@
     if (link === undefined) return
     link.reportedBacklog = backlogBytes
     link.reportedAt = now
-    link.ownPendingBytes = 0
+    link.localPendingBytes = 0
   }
 
   /**
    * @param store - store name
-   * @param bytes - size of a transfer that starts now
+   * @param bytes - size of the transfer that starts now
    */
   recordTransferStart (store: string, bytes: number): void {
     const link = this.#links.get(store)
-    if (link !== undefined) link.ownPendingBytes += bytes
+    if (link !== undefined) link.localPendingBytes += bytes
   }
 
   /**
-   * Learns from a finished transfer.
+   * Adds a finished transfer to the speed estimate.
    *
    * @param store - store name
-   * @param bytes - its size, with what was queued before it
-   * @param elapsedMs - from start to end
+   * @param bytes - size of the transfer plus the bytes that were queued ahead of it
+   * @param elapsedMs - time from the start to the end of the transfer
    * @param now - monotonic milliseconds
    */
   recordTransferEnd (store: string, bytes: number, elapsedMs: number, now: number): void {
     const link = this.#links.get(store)
     if (link === undefined) return
     link.samples.push(Math.min(bytes / Math.max(1, elapsedMs), link.configuredBytesPerMs))
-    if (link.samples.length > SAMPLES_KEPT) link.samples.shift()
-    link.transferredAt = now
+    if (link.samples.length > MAX_SPEED_SAMPLES) link.samples.shift()
+    link.lastTransferAt = now
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns present view of all links
+   * @returns current estimate for each store's link
    */
   views (now: number): Map<string, LinkView> {
     const views = new Map<string, LinkView>()
     for (const [store, link] of this.#links) {
-      if (now - link.transferredAt > RECOVERY_MS) {
+      if (now - link.lastTransferAt > SAMPLE_EXPIRY_MS) {
         link.samples.shift()
-        link.transferredAt = now
+        link.lastTransferAt = now
       }
-      const bytesPerMs = speedOf(link)
+      const bytesPerMs = estimateSpeed(link)
       const drained = Math.max(0, now - link.reportedAt) * bytesPerMs
       const reported = Math.max(0, link.reportedBacklog - drained)
-      views.set(store, { bytesPerMs, backlogBytes: reported + link.ownPendingBytes })
+      views.set(store, { bytesPerMs, backlogBytes: reported + link.localPendingBytes })
     }
     return views
   }
 }
 
-/** Until enough transfers have been seen the configured speed is believed. */
-function speedOf ({ samples, configuredBytesPerMs }: LinkState): number {
-  return samples.length < SAMPLES_KEPT ? configuredBytesPerMs : Math.max(...samples)
+/** Returns the configured speed until there are enough samples. */
+function estimateSpeed ({ samples, configuredBytesPerMs }: LinkState): number {
+  return samples.length < MAX_SPEED_SAMPLES ? configuredBytesPerMs : Math.max(...samples)
 }
--- a/packages/policy/src/lib/limits/AdmissionQueue.test.ts
+++ b/packages/policy/src/lib/limits/AdmissionQueue.test.ts
@@ -5,8 +5,8 @@
   ({ id, customer, share: 1, tokens: 100, waitLimitMs: 10_000, ...overrides })
 
 describe('AdmissionQueue', () => {
-  describe('room', () => {
-    it('admits at once while there is room', () => {
+  describe('capacity', () => {
+    it('admits immediately while capacity is free', () => {
       const queue = new AdmissionQueue(250, 10)
       expect(queue.request(request('1', 'a'), 0).kind).toBe('admitted')
       expect(queue.request(request('2', 'a'), 0).kind).toBe('admitted')
@@ -14,13 +14,13 @@
       expect(queue.release('1', 10)).toEqual([{ id: '3', decision: { kind: 'admitted' } }])
     })
 
-    it('runs a request that is larger than all room alone instead of never', () => {
+    it('admits a request that is larger than the capacity when nothing else is in flight', () => {
       const queue = new AdmissionQueue(50, 10)
       expect(queue.request(request('1', 'a'), 0).kind).toBe('admitted')
       expect(queue.request(request('2', 'a'), 0).kind).toBe('queued')
     })
 
-    it('gives back what a withdrawn request held in the queue', () => {
+    it('removes a withdrawn request from the queue', () => {
       const queue = new AdmissionQueue(100, 10)
       queue.request(request('1', 'a'), 0)
       queue.request(request('2', 'a'), 0)
@@ -30,7 +30,7 @@
   })
 
   describe('fairness', () => {
-    it('lets a small customer pass the queue of a large one', () => {
+    it('admits a small customer ahead of the queue of a large one', () => {
       const queue = new AdmissionQueue(100, 100)
       for (let turn = 0; turn < 10; turn += 1) queue.request(request(`large-${turn}`, 'large'), 0)
       queue.request(request('small', 'small'), 1)
@@ -38,7 +38,7 @@
       expect(first?.id).toBe('small')
     })
 
-    it('serves customers by their shares when all have a queue', () => {
+    it('admits customers in proportion to their shares when all of them have queued requests', () => {
       const queue = new AdmissionQueue(100, 1000)
       for (let turn = 0; turn < 60; turn += 1) {
         queue.request(request(`heavy-${turn}`, 'heavy', { share: 3 }), 0)
@@ -59,16 +59,16 @@
     const busy = (): AdmissionQueue => {
       const queue = new AdmissionQueue(100, 100)
       queue.request(request('1', 'a'), 0)
-      // One token a millisecond drains until something else was observed.
+      // Until a release is observed, the queue assumes a drain rate of one token per millisecond.
       return queue
     }
 
-    it('refuses at once what can not start in time, and says when to come back', () => {
+    it('refuses a request that cannot start in time immediately, with the time after which to retry', () => {
       expect(busy().request(request('2', 'b', { waitLimitMs: 40 }), 0))
         .toEqual({ kind: 'refused', reason: 'deadline-unreachable', retryAfterMs: 60 })
     })
 
-    it('refuses a queued request as soon as its limit has passed', () => {
+    it('refuses a queued request when its wait limit has passed', () => {
       const queue = busy()
       queue.request(request('2', 'b', { waitLimitMs: 150 }), 0)
       expect(queue.expire(149)).toEqual([])
@@ -76,7 +76,7 @@
       expect(queue.queued).toBe(0)
     })
 
-    it('bounds the queue', () => {
+    it('refuses a request when the queue is full', () => {
       const queue = new AdmissionQueue(100, 1)
       queue.request(request('1', 'a'), 0)
       queue.request(request('2', 'b'), 0)
--- a/packages/policy/src/lib/limits/AdmissionQueue.ts
+++ b/packages/policy/src/lib/limits/AdmissionQueue.ts
@@ -1,30 +1,31 @@
 /**
- * Weighted fair admission under a bound on tokens in flight.
+ * Weighted fair admission with a limit on tokens in flight.
  *
- * Requests start at once while there is room. When there is none they wait in
- * order of virtual start time: each customer's clock advances by its tokens over
- * its share, so a customer that sends a lot waits behind those that send little.
- * A request whose estimated wait passes its limit is refused at once.
+ * Requests are admitted immediately while they fit within the limit. Otherwise
+ * they are queued by virtual start time: each request advances its customer's
+ * virtual clock by tokens divided by share, so a customer that sends a lot queues
+ * behind those that send little. A request whose estimated wait exceeds its limit
+ * is refused immediately.
  */
 
-/** A request that asks for admission. */
+/** A request for admission. */
 export interface AdmissionRequest {
   readonly id: string
   readonly customer: string
   readonly share: number
-  /** Prompt and answer tokens it will hold. */
+  /** Prompt and answer tokens that count as in flight while the request runs. */
   readonly tokens: number
-  /** Longest wait that still makes sense, in milliseconds. */
+  /** Longest wait after which it is still useful to start, in milliseconds. */
   readonly waitLimitMs: number
 }
 
-/** What becomes of a request. */
+/** Decision on a request. */
 export type AdmissionDecision =
   | { readonly kind: 'admitted' }
   | { readonly kind: 'queued', readonly estimatedWaitMs: number }
   | { readonly kind: 'refused', readonly reason: 'deadline-unreachable' | 'over-share', readonly retryAfterMs: number }
 
-/** A queued request whose fate was decided later. */
+/** The decision on a request that had been queued. */
 export interface AdmissionOutcome {
   readonly id: string
   readonly decision: Exclude<AdmissionDecision, { kind: 'queued' }>
@@ -36,28 +37,28 @@
   readonly queuedAt: number
 }
 
-/** Weight of the newest sample in the drain rate. */
+/** Weight of the newest sample in the moving average of the drain rate. */
 const DRAIN_SMOOTHING = 0.1
 
-/** Customers remembered before idle ones are forgotten. */
-const REMEMBERED_CUSTOMERS = 1000
+/** Number of tracked customers at which idle ones are removed. */
+const MAX_TRACKED_CUSTOMERS = 1000
 
-/** Assumed before anything has drained, in tokens a millisecond. */
-const INITIAL_DRAIN = 1
+/** Drain rate assumed until it has been measured, in tokens per millisecond. */
+const INITIAL_DRAIN_TOKENS_PER_MS = 1
 
-/** One entry host's admission state. */
+/** Admits, queues or refuses the requests of one entry host. */
 export class AdmissionQueue {
   readonly #inFlight = new Map<string, AdmissionRequest>()
   readonly #customerTags = new Map<string, number>()
   #queue: QueuedRequest[] = []
   #virtualTime = 0
   #tokensInFlight = 0
-  #drainPerMs = INITIAL_DRAIN
+  #drainPerMs = INITIAL_DRAIN_TOKENS_PER_MS
   #lastReleaseAt: number | undefined
 
   /**
    * @param capacityTokens - most tokens in flight on this host
-   * @param queueLimit - most requests that wait
+   * @param queueLimit - most requests in the queue
    */
   constructor (private capacityTokens: number, private readonly queueLimit: number) {}
 
@@ -65,7 +66,7 @@
   get queued (): number { return this.#queue.length }
 
   /**
-   * Changes the capacity; what is in flight stays.
+   * Changes the capacity. Requests in flight are not affected.
    *
    * @param tokens - most tokens in flight on this host
    * @param now - monotonic milliseconds
@@ -73,15 +74,15 @@
    */
   setCapacity (tokens: number, now: number): AdmissionOutcome[] {
     this.capacityTokens = tokens
-    return this.#drain(now)
+    return this.#admitQueued(now)
   }
 
   /**
    * Asks for admission.
    *
-   * @param request - who and how much
+   * @param request - customer, size and wait limit
    * @param now - monotonic milliseconds
-   * @returns the decision; a queued request is decided by a later call
+   * @returns the decision; a later call returns the final decision on a queued request
    */
   request (request: AdmissionRequest, now: number): AdmissionDecision {
     const startTag = Math.max(this.#virtualTime, this.#customerTags.get(request.customer) ?? 0)
@@ -116,35 +117,35 @@
     this.#inFlight.delete(id)
     this.#tokensInFlight -= admitted.tokens
     this.#observeDrain(admitted.tokens, now)
-    return this.#drain(now)
+    return this.#admitQueued(now)
   }
 
   /**
-   * Refuses queued requests that can't start in time any more.
+   * Refuses queued requests whose wait limit has passed.
    *
    * @param now - monotonic milliseconds
    * @returns requests that were decided
    */
   expire (now: number): AdmissionOutcome[] {
     const outcomes: AdmissionOutcome[] = []
-    let ahead = 0
+    let precedingTokens = 0
     this.#queue = this.#queue.filter(queued => {
       const { request } = queued
       const waited = now - queued.queuedAt
-      const stillToWait = this.#drainTime(ahead + request.tokens)
-      const hopeless = waited >= request.waitLimitMs
-      if (!hopeless) {
-        ahead += request.tokens
+      const remainingWaitMs = this.#estimateDrainMs(precedingTokens + request.tokens)
+      const hasTimedOut = waited >= request.waitLimitMs
+      if (!hasTimedOut) {
+        precedingTokens += request.tokens
         return true
       }
-      outcomes.push({ id: request.id, decision: { kind: 'refused', reason: 'deadline-unreachable', retryAfterMs: stillToWait } })
+      outcomes.push({ id: request.id, decision: { kind: 'refused', reason: 'deadline-unreachable', retryAfterMs: remainingWaitMs } })
       return false
     })
     return outcomes
   }
 
   #hasRoom (request: AdmissionRequest): boolean {
-    // A request larger than the whole capacity runs alone instead of never.
+    // A request larger than the whole capacity is admitted when nothing else is in flight; otherwise it would never run.
     return this.#tokensInFlight === 0 || this.#tokensInFlight + request.tokens <= this.capacityTokens
   }
 
@@ -162,7 +163,7 @@
     else this.#queue.splice(position, 0, queued)
   }
 
-  #drain (now: number): AdmissionOutcome[] {
+  #admitQueued (now: number): AdmissionOutcome[] {
     const outcomes = this.expire(now)
     for (;;) {
       const next = this.#queue[0]
@@ -175,9 +176,9 @@
     return outcomes
   }
 
-  /** A tag that virtual time has passed says nothing any more. */
+  /** Removes customers whose start tag is behind virtual time, where it no longer affects their order. */
   #forgetIdleCustomers (): void {
-    if (this.#customerTags.size < REMEMBERED_CUSTOMERS) return
+    if (this.#customerTags.size < MAX_TRACKED_CUSTOMERS) return
     for (const [customer, tag] of this.#customerTags) {
       if (tag <= this.#virtualTime) this.#customerTags.delete(customer)
     }
@@ -186,11 +187,11 @@
   #estimateWait (startTag: number, request: AdmissionRequest): number {
     const ahead = this.#queue.filter(other => other.startTag <= startTag)
     const queuedTokens = ahead.reduce((sum, other) => sum + other.request.tokens, 0)
-    const missingRoom = this.#tokensInFlight + queuedTokens + request.tokens - this.capacityTokens
-    return this.#drainTime(Math.max(0, missingRoom))
+    const excessTokens = this.#tokensInFlight + queuedTokens + request.tokens - this.capacityTokens
+    return this.#estimateDrainMs(Math.max(0, excessTokens))
   }
 
-  #drainTime (tokens: number): number {
+  #estimateDrainMs (tokens: number): number {
     return tokens / this.#drainPerMs
   }
 
--- a/packages/policy/src/lib/limits/RetryBudget.ts
+++ b/packages/policy/src/lib/limits/RetryBudget.ts
@@ -1,32 +1,33 @@
-/** Keeps retries to a share of requests, so that a failing fleet is not loaded further. */
+/** Limits retries to a fraction of requests, so that retries do not overload a failing fleet. */
 
-/** Retries added to the budget by each first attempt. */
+/** Retries that each first attempt adds to the budget. */
 const RETRIES_PER_REQUEST = 0.1
 
-/** Retries allowed before any traffic was seen, and the most that can be saved up. */
-const LEAST_BUDGET = 3
-const LARGEST_BUDGET = 50
+/** Retries available before the first request. */
+const INITIAL_BUDGET = 3
+/** Most retries that can accumulate. */
+const MAX_BUDGET = 50
 
-/** Why a second attempt is made; also the metric label. */
+/** Why a request is attempted again. Also used as a metric label. */
 export type RetryReason =
   | 'connect-failed' | 'engine-refused' | 'version-mismatch' | 'engine-lost' | 'stream-gap' | 'hedge' | 'idempotent-failure'
 
-/** Budget of one service. */
+/** Retry budget of one service. */
 export class RetryBudget {
-  #budget = LEAST_BUDGET
+  #budget = INITIAL_BUDGET
 
   /** Number of retries that may be made now. */
   get available (): number { return Math.floor(this.#budget) }
 
-  /** Counts a first attempt. */
+  /** Adds the share of one first attempt to the budget. */
   recordRequest (): void {
-    this.#budget = Math.min(LARGEST_BUDGET, this.#budget + RETRIES_PER_REQUEST)
+    this.#budget = Math.min(MAX_BUDGET, this.#budget + RETRIES_PER_REQUEST)
   }
 
   /**
-   * Spends one retry.
+   * Takes one retry from the budget.
    *
-   * @returns false if the budget is used up
+   * @returns false if the budget is exhausted
    */
   tryConsume (): boolean {
     if (this.#budget < 1) return false
--- a/packages/policy/src/lib/limits/admitDuringShutdown.test.ts
+++ b/packages/policy/src/lib/limits/admitDuringShutdown.test.ts
@@ -1,34 +1,34 @@
 import { describe, expect, it } from 'vitest'
-import { admitDuringShutdown, type StoppingSituation } from './admitDuringShutdown.js'
+import { admitDuringShutdown, type ShutdownContext } from './admitDuringShutdown.js'
 
-const situation = (overrides: Partial<StoppingSituation>): StoppingSituation =>
+const createContext = (overrides: Partial<ShutdownContext>): ShutdownContext =>
   ({ timeToKillMs: 8000, remainingMs: 12_000, expectedMs: undefined, hasBalancerLagElapsed: false, ...overrides })
 
 describe('admitWhileStopping', () => {
-  describe('a request whose own time ends before the process', () => {
-    it('is taken, whoever knows of the stop', () => {
-      expect(admitDuringShutdown(situation({ remainingMs: 3000, hasBalancerLagElapsed: true }))).toBe(true)
-      expect(admitDuringShutdown(situation({ remainingMs: 3000 }))).toBe(true)
+  describe('a request whose deadline is before the kill', () => {
+    it('is admitted, whether or not the balancer has noticed the shutdown', () => {
+      expect(admitDuringShutdown(createContext({ remainingMs: 3000, hasBalancerLagElapsed: true }))).toBe(true)
+      expect(admitDuringShutdown(createContext({ remainingMs: 3000 }))).toBe(true)
     })
 
-    it('is not taken when it could end in the very last moment', () => {
-      expect(admitDuringShutdown(situation({ timeToKillMs: 3100, remainingMs: 3000, hasBalancerLagElapsed: true }))).toBe(false)
+    it('is refused when it could end within the reserve before the kill', () => {
+      expect(admitDuringShutdown(createContext({ timeToKillMs: 3100, remainingMs: 3000, hasBalancerLagElapsed: true }))).toBe(false)
     })
   })
 
-  describe('a request that could outlast the process', () => {
-    it('is not taken once the balancer knows, however short it is expected to be', () => {
-      expect(admitDuringShutdown(situation({ expectedMs: 10, hasBalancerLagElapsed: true }))).toBe(false)
+  describe('a request whose deadline is after the kill', () => {
+    it('is refused once the balancer has noticed, however short it is expected to be', () => {
+      expect(admitDuringShutdown(createContext({ expectedMs: 10, hasBalancerLagElapsed: true }))).toBe(false)
     })
 
-    it('is not taken in the last moment, whatever the balancer knows', () => {
-      expect(admitDuringShutdown(situation({ timeToKillMs: 300 }))).toBe(false)
+    it('is refused within the reserve before the kill, whether or not the balancer has noticed', () => {
+      expect(admitDuringShutdown(createContext({ timeToKillMs: 300 }))).toBe(false)
     })
 
-    it('is taken before that unless it is expected to outlast it', () => {
-      expect(admitDuringShutdown(situation({}))).toBe(true)
-      expect(admitDuringShutdown(situation({ expectedMs: 5000 }))).toBe(true)
-      expect(admitDuringShutdown(situation({ expectedMs: 7900 }))).toBe(false)
+    it('is admitted before that, unless it is expected to end after the kill', () => {
+      expect(admitDuringShutdown(createContext({}))).toBe(true)
+      expect(admitDuringShutdown(createContext({ expectedMs: 5000 }))).toBe(true)
+      expect(admitDuringShutdown(createContext({ expectedMs: 7900 }))).toBe(false)
     })
   })
 })
--- a/packages/policy/src/lib/limits/admitDuringShutdown.ts
+++ b/packages/policy/src/lib/limits/admitDuringShutdown.ts
@@ -1,39 +1,40 @@
 /**
- * Whether a host that is stopping takes a request.
+ * Decides whether a host that is shutting down admits a request.
  *
- * Answers the load in which many hosts are stopped in turn: with half of them stopping,
- * the balancer falls back to all of them, and requests keep coming to a stopping host
- * until it is killed. What it takes it must be able to finish: a stream that is cut
- * costs its caller all the time until then. What it refuses another host can run.
+ * Matters in a rolling restart: once half of the hosts are shutting down, the
+ * balancer falls back to all hosts, so a host gets requests until it is killed.
+ * The host must be able to finish every request that it admits, because the caller
+ * of a stream that is cut loses all the time spent on it. Another host can run the
+ * requests that it refuses.
  */
 
-/** What a stopping host knows of a request and of its own time. */
-export interface StoppingSituation {
+/** What a host that is shutting down knows about a request and its own remaining time. */
+export interface ShutdownContext {
   /** Milliseconds until the process is killed. */
   readonly timeToKillMs: number
-  /** Milliseconds until the request's own time is over, by its route or its caller. */
+  /** Milliseconds until the request's own deadline, set by its route or its caller. */
   readonly remainingMs: number
-  /** Milliseconds within which nine in ten such requests end, if known. */
+  /** 90th percentile of the duration of such requests in milliseconds, if known. */
   readonly expectedMs: number | undefined
-  /** Whether the balancer has had the time to notice that the host is stopping. */
+  /** Whether the balancer has had time to notice that the host is shutting down. */
   readonly hasBalancerLagElapsed: boolean
 }
 
-/** Time before the kill that admission leaves free, in milliseconds: a signal is noticed late and an answer is written late by some tenths of a second on a busy host. */
-const RESERVE_MS = 500
+/** Time before the kill that must stay free: a busy host handles signals and writes answers some tenths of a second late. */
+const SHUTDOWN_RESERVE_MS = 500
 
 /**
- * Whoever comes after the balancer has noticed is only taken if the request's own time
- * ends before the process: estimates are wrong too often for a promise. Before that,
- * refusing everything long would turn callers away who could not know better, so that
- * what will probably end in time is taken, too.
+ * Admits every request whose deadline is before the kill. Other requests are admitted
+ * only until the balancer has noticed the shutdown, if they are expected to end in time
+ * or their duration is unknown: until then, callers cannot avoid this host. Afterwards
+ * the deadline alone decides, because estimates are wrong too often to rely on.
  *
- * @param situation - what is known
+ * @param context - remaining times of host and request
  */
-export function admitDuringShutdown (situation: StoppingSituation): boolean {
-  const { timeToKillMs: leftMs, remainingMs, expectedMs, hasBalancerLagElapsed: isBalancerLagOver } = situation
-  const usableMs = leftMs - RESERVE_MS
+export function admitDuringShutdown (context: ShutdownContext): boolean {
+  const { timeToKillMs, remainingMs, expectedMs, hasBalancerLagElapsed } = context
+  const usableMs = timeToKillMs - SHUTDOWN_RESERVE_MS
   if (remainingMs <= usableMs) return true
-  if (isBalancerLagOver || usableMs <= 0) return false
+  if (hasBalancerLagElapsed || usableMs <= 0) return false
   return expectedMs === undefined || expectedMs <= usableMs
 }
--- a/packages/policy/src/lib/placement/CostPlacement.ts
+++ b/packages/policy/src/lib/placement/CostPlacement.ts
@@ -1,14 +1,14 @@
-/** Placement by estimated cost over every engine and every cut of the prompt. */
-import { estimatePlacement, importCuts } from './estimatePlacement.js'
+/** Placement by estimated cost, over every combination of engine and imported objects. */
+import { estimatePlacement, listImportOptions } from './estimatePlacement.js'
 import type { EngineCandidate, Placement, PlacementPolicy, PlacementRequest, PlacementWeights } from './placementTypes.js'
 
 /**
- * Placements whose first tokens are this close count as equal, in milliseconds.
- * Not a share of the score: for a long prompt that would let a long wait pass.
+ * Difference in time to first token within which placements count as tied. It is
+ * absolute because a fraction of the score would ignore long waits for long prompts.
  */
 const NEAR_TIE_MS = 2
 
-/** The product's own policy. Lowest score first; near-ties are broken at random so that hosts don't herd. */
+/** The default policy. Orders placements by score, lowest first, and shuffles near ties so that hosts do not all choose the same engine. */
 export class CostPlacement implements PlacementPolicy {
   readonly name = 'eelgrassmux'
 
@@ -26,7 +26,7 @@
   }
 
   #bestOn (request: PlacementRequest, engine: EngineCandidate): Placement {
-    const placements = importCuts(request, engine).map(cut => estimatePlacement(request, engine, cut, this.weights))
+    const placements = listImportOptions(request, engine).map(imports => estimatePlacement(request, engine, imports, this.weights))
     return placements.reduce((best, placement) => placement.score < best.score ? placement : best)
   }
 
--- a/packages/policy/src/lib/placement/baselines.ts
+++ b/packages/policy/src/lib/placement/baselines.ts
@@ -1,20 +1,20 @@
-/** Plain policies that the product's own is measured against in the same run. */
-import { estimatePlacement, estimateWait, importCuts } from './estimatePlacement.js'
+/** Baseline policies that the default policy is compared with in the same benchmark run. */
+import { estimatePlacement, estimateQueueWait, listImportOptions } from './estimatePlacement.js'
 import type { EngineCandidate, Placement, PlacementPolicy, PlacementRequest, PlacementWeights } from './placementTypes.js'
 
-const TIME_ONLY: PlacementWeights = { firstTokenMillisecond: 1, recomputedToken: 0, linkKilobyte: 0 }
+const LATENCY_ONLY_WEIGHTS: PlacementWeights = { firstTokenMillisecond: 1, recomputedToken: 0, linkKilobyte: 0 }
 
-/** Equal engines in random order: a fixed order would send all hosts to the first of them. */
+/** Shuffles the engines before they are sorted: with a fixed order, all hosts would choose the first of several equal engines. */
 function shuffled (engines: readonly EngineCandidate[], random: () => number): EngineCandidate[] {
   const keyed = engines.map(engine => ({ engine, key: random() }))
   return keyed.sort((left, right) => left.key - right.key).map(({ engine }) => engine)
 }
 
-function byWait (left: EngineCandidate, right: EngineCandidate): number {
-  return estimateWait(left) - estimateWait(right) || left.running - right.running
+function compareLoad (left: EngineCandidate, right: EngineCandidate): number {
+  return estimateQueueWait(left) - estimateQueueWait(right) || left.running - right.running
 }
 
-/** Engine with the least load; never looks at caches. */
+/** Prefers the engine with the least load, regardless of caches. */
 export class LeastLoaded implements PlacementPolicy {
   readonly name = 'least-loaded'
 
@@ -22,11 +22,11 @@
   constructor (private readonly random: () => number) {}
 
   rank (request: PlacementRequest, engines: readonly EngineCandidate[]): Placement[] {
-    return shuffled(engines, this.random).sort(byWait).map(engine => estimatePlacement(request, engine, [], TIME_ONLY))
+    return shuffled(engines, this.random).sort(compareLoad).map(engine => estimatePlacement(request, engine, [], LATENCY_ONLY_WEIGHTS))
   }
 }
 
-/** Engine with the longest resident prefix; no imports. */
+/** Prefers the engine with the longest resident prefix, without imports. */
 export class PrefixAffinity implements PlacementPolicy {
   readonly name = 'prefix-affinity'
 
@@ -34,12 +34,12 @@
   constructor (private readonly random: () => number) {}
 
   rank (request: PlacementRequest, engines: readonly EngineCandidate[]): Placement[] {
-    const ordered = shuffled(engines, this.random).sort((left, right) => right.residentBlocks - left.residentBlocks || byWait(left, right))
-    return ordered.map(engine => estimatePlacement(request, engine, [], TIME_ONLY))
+    const ordered = shuffled(engines, this.random).sort((left, right) => right.residentBlocks - left.residentBlocks || compareLoad(left, right))
+    return ordered.map(engine => estimatePlacement(request, engine, [], LATENCY_ONLY_WEIGHTS))
   }
 }
 
-/** Longest resident prefix first, then imports all that is stored beyond it. */
+/** Prefers the engine with the longest resident prefix and imports everything that is stored beyond it. */
 export class AlwaysImport implements PlacementPolicy {
   readonly name = 'always-import'
 
@@ -47,13 +47,13 @@
   constructor (private readonly random: () => number) {}
 
   rank (request: PlacementRequest, engines: readonly EngineCandidate[]): Placement[] {
-    const ordered = shuffled(engines, this.random).sort((left, right) => right.residentBlocks - left.residentBlocks || byWait(left, right))
+    const ordered = shuffled(engines, this.random).sort((left, right) => right.residentBlocks - left.residentBlocks || compareLoad(left, right))
     return ordered.map(engine =>
-      estimatePlacement(request, engine, importCuts(request, engine).at(-1) ?? [], TIME_ONLY))
+      estimatePlacement(request, engine, listImportOptions(request, engine).at(-1) ?? [], LATENCY_ONLY_WEIGHTS))
   }
 }
 
-/** Lowest estimated time to first token, without imports. */
+/** Prefers the lowest estimated time to first token, without imports. */
 export class NeverImport implements PlacementPolicy {
   readonly name = 'never-import'
 
@@ -61,7 +61,7 @@
   constructor (private readonly random: () => number) {}
 
   rank (request: PlacementRequest, engines: readonly EngineCandidate[]): Placement[] {
-    const placements = shuffled(engines, this.random).map(engine => estimatePlacement(request, engine, [], TIME_ONLY))
+    const placements = shuffled(engines, this.random).map(engine => estimatePlacement(request, engine, [], LATENCY_ONLY_WEIGHTS))
     return placements.sort((left, right) => left.firstTokenMs - right.firstTokenMs)
   }
 }
--- a/packages/policy/src/lib/placement/createPlacementPolicy.ts
+++ b/packages/policy/src/lib/placement/createPlacementPolicy.ts
@@ -3,24 +3,24 @@
 import { CostPlacement } from './CostPlacement.js'
 import type { PlacementPolicy, PlacementWeights } from './placementTypes.js'
 
-/** Names of the policies that can be set, the product's own first. */
+/** Names of the policies that can be configured, the default policy first. */
 export const PLACEMENT_POLICIES = ['eelgrassmux', 'least-loaded', 'prefix-affinity', 'always-import', 'never-import'] as const
 
 /** @public */
 export type PlacementPolicyName = typeof PLACEMENT_POLICIES[number]
 
 /**
- * @param name - a policy
- * @returns whether it imports from stores, so that exporting makes sense
+ * @param name - policy name
+ * @returns whether the policy imports from stores, so that exporting is useful
  */
 export function usesStores (name: PlacementPolicyName): boolean {
   return name === 'eelgrassmux' || name === 'always-import'
 }
 
 /**
- * Builds a placement policy.
+ * Creates a placement policy.
  *
- * @param name - which one
+ * @param name - policy name
  * @param weights - the profile's weights; baselines ignore them
  * @param random - source of numbers in [0, 1)
  * @returns the policy
--- a/packages/policy/src/lib/placement/estimatePlacement.ts
+++ b/packages/policy/src/lib/placement/estimatePlacement.ts
@@ -1,16 +1,16 @@
-/** Estimates what one way to run a request costs. */
+/** Estimates the cost of running a request on an engine with a given set of imports. */
 import type { EngineCandidate, ImportCandidate, Placement, PlacementRequest, PlacementWeights } from './placementTypes.js'
 
 const BYTES_PER_KILOBYTE = 1024
 
 /**
- * Estimates one engine with one cut of the prompt.
+ * Estimates the cost of one placement.
  *
- * Import and queueing overlap; what is neither resident nor imported is computed
- * after both.
+ * The import overlaps with the wait in the engine's queue. Tokens that are neither
+ * resident nor imported are computed after both.
  *
- * @param request - the prompt
- * @param engine - where it would run
+ * @param request - prompt to place
+ * @param engine - engine that would run it
  * @param imports - stored objects to import first, in chain order
  * @param weights - the profile's weights
  * @returns the placement with its estimated cost
@@ -25,7 +25,7 @@
   const recomputedTokens = Math.max(0, request.promptTokens - reusedBlocks * request.tokensPerBlock)
   const linkBytes = imports.reduce((sum, candidate) => sum + candidate.bytes, 0)
   const importMs = estimateImport(request, imports)
-  const firstTokenMs = Math.max(estimateWait(engine), importMs) + recomputedTokens / engine.prefillTokensPerMs
+  const firstTokenMs = Math.max(estimateQueueWait(engine), importMs) + recomputedTokens / engine.prefillTokensPerMs
   const score = weights.firstTokenMillisecond * firstTokenMs +
     weights.recomputedToken * recomputedTokens +
     weights.linkKilobyte * linkBytes / BYTES_PER_KILOBYTE
@@ -34,13 +34,13 @@
 
 /**
  * @param engine - engine with its load
- * @returns estimated time until it starts on a new prompt
+ * @returns estimated time until the engine starts on a new prompt, in milliseconds
  */
-export function estimateWait (engine: EngineCandidate): number {
+export function estimateQueueWait (engine: EngineCandidate): number {
   const queue = engine.queuedTokens / engine.prefillTokensPerMs
   const excess = engine.running + 1 - engine.maxRunning
   if (excess <= 0) return queue
-  // Places free up one after another, evenly over a mean run.
+  // Assumes that running requests end at even intervals over the mean run time.
   return queue + engine.meanRunMs * excess / engine.maxRunning
 }
 
@@ -57,15 +57,16 @@
 }
 
 /**
- * Lists the useful cuts for an engine: no import, and each longer run of stored objects.
+ * Lists the sets of objects that are worth considering for import: none, and each
+ * prefix of the stored objects that extend what the engine holds.
  *
- * @param request - the prompt
- * @param engine - where it would run
- * @returns lists of objects to import, the empty one first
+ * @param request - prompt to place
+ * @param engine - engine that would run it
+ * @returns lists of objects to import, starting with the empty list
  */
-export function importCuts (request: PlacementRequest, engine: EngineCandidate): ImportCandidate[][] {
-  const cuts: ImportCandidate[][] = [[]]
+export function listImportOptions (request: PlacementRequest, engine: EngineCandidate): ImportCandidate[][] {
+  const options: ImportCandidate[][] = [[]]
   const needed = request.stored.filter(candidate => candidate.coversTo > engine.residentBlocks)
-  for (let length = 1; length <= needed.length; length += 1) cuts.push(needed.slice(0, length))
-  return cuts
+  for (let length = 1; length <= needed.length; length += 1) options.push(needed.slice(0, length))
+  return options
 }
--- a/packages/policy/src/lib/placement/placementTypes.ts
+++ b/packages/policy/src/lib/placement/placementTypes.ts
@@ -1,18 +1,18 @@
-/** What placement knows and what it decides. Times are in milliseconds, sizes in tokens or bytes. */
+/** Input and output types of placement. Times are in milliseconds, sizes in tokens or bytes. */
 
-/** An engine that may take the request. */
+/** An engine that may run the request. */
 export interface EngineCandidate {
   readonly name: string
   readonly dataCentre: string
   /** Weight version the engine runs; the key chain of the prompt depends on it. */
   readonly version: string
-  /** Leading blocks of the prompt in the engine's own cache, as far as known. */
+  /** Number of leading blocks of the prompt known to be in the engine's own cache. */
   readonly residentBlocks: number
-  /** Prefill tokens queued before this request, dispatches since the report included. */
+  /** Prefill tokens queued ahead of this request, including dispatches since the engine's report. */
   readonly queuedTokens: number
   readonly running: number
   readonly maxRunning: number
-  /** Mean time a run holds its place, to estimate the wait for a full engine. */
+  /** Mean duration of a run, used to estimate the wait for a full engine. */
   readonly meanRunMs: number
   readonly prefillTokensPerMs: number
 }
@@ -23,14 +23,14 @@
   readonly store: string
   readonly dataCentre: string
   readonly bytes: number
-  /** Leading blocks covered once this object and all before it are there. */
+  /** Number of leading blocks covered once this object and all objects before it are imported. */
   readonly coversTo: number
 }
 
-/** A store's link as last observed. */
+/** Latest estimate of a store's link. */
 export interface LinkView {
   readonly bytesPerMs: number
-  /** Bytes already queued on it. */
+  /** Bytes already queued on the link. */
   readonly backlogBytes: number
 }
 
@@ -42,18 +42,18 @@
   readonly links: ReadonlyMap<string, LinkView>
 }
 
-/** Weights of a profile. */
+/** Cost weights of a profile. */
 export interface PlacementWeights {
   readonly firstTokenMillisecond: number
   readonly recomputedToken: number
   readonly linkKilobyte: number
 }
 
-/** One way to run the request, with its estimated cost. */
+/** An engine and a set of imports for a request, with the estimated cost. */
 export interface Placement {
   readonly engine: EngineCandidate
   readonly imports: readonly ImportCandidate[]
-  /** Leading blocks that need no computing. */
+  /** Number of leading blocks that do not have to be computed. */
   readonly reusedBlocks: number
   readonly firstTokenMs: number
   readonly importMs: number
@@ -66,9 +66,9 @@
 export interface PlacementPolicy {
   readonly name: string
   /**
-   * @param request - the prompt and what is stored of it
-   * @param engines - engines that may take it
-   * @returns ways to run it, best first; empty if there is no engine
+   * @param request - the prompt and its stored objects
+   * @param engines - engines that may run the prompt
+   * @returns one placement per engine, best first; empty if there is no engine
    */
   rank (request: PlacementRequest, engines: readonly EngineCandidate[]): Placement[]
 }
--- a/packages/runs/src/lib/AnswerAssembler.ts
+++ b/packages/runs/src/lib/AnswerAssembler.ts
@@ -19,7 +19,7 @@
 }
 
 /** The engine's statement that the answer is `length` tokens long. */
-export interface EndMark {
+export interface EndMarker {
   readonly length: number
   readonly finishReason: FinishReason
 }
@@ -32,13 +32,13 @@
   | { readonly kind: 'version-mismatch', readonly version: string }
 
 /** Tokens kept ahead of a gap; more are dropped and asked for again. */
-const EARLY_LIMIT = 4096
+const MAX_BUFFERED_TOKENS = 4096
 
 /** Assembles one answer under one weight version. */
 export class AnswerAssembler {
   readonly #tokens: string[] = []
-  readonly #early = new Map<number, string>()
-  #end: EndMark | undefined
+  readonly #buffered = new Map<number, string>()
+  #end: EndMarker | undefined
 
   /** @param version - weight version the run was placed under */
   constructor (readonly version: string) {}
@@ -48,7 +48,7 @@
   /** All tokens so far, without a gap. */
   get tokens (): readonly string[] { return this.#tokens }
   /** The end mark, once the answer is whole. */
-  get completed (): EndMark | undefined {
+  get completed (): EndMarker | undefined {
     return this.#end !== undefined && this.#tokens.length === this.#end.length ? this.#end : undefined
   }
 
@@ -62,7 +62,7 @@
     if (chunk.version !== this.version) return { kind: 'version-mismatch', version: chunk.version }
     const before = this.#tokens.length
     chunk.tokens.forEach((token, position) => { this.#acceptToken(chunk.offset + position, token) })
-    this.#joinEarly()
+    this.#appendBuffered()
     const tokens = this.#tokens.slice(before)
     if (tokens.length > 0) return { kind: 'progress', tokens }
     return chunk.offset + chunk.tokens.length <= before ? { kind: 'repeat' } : { kind: 'early' }
@@ -74,7 +74,7 @@
    * @param end - length and reason
    * @returns false if it contradicts tokens that were handed on already: the answer can't become whole
    */
-  finish (end: EndMark): boolean {
+  finish (end: EndMarker): boolean {
     if (end.length < this.#tokens.length) return false
     this.#end ??= end
     return end.length === this.#end.length
@@ -83,18 +83,18 @@
   #acceptToken (offset: number, token: string): void {
     if (offset < this.#tokens.length) return
     if (offset === this.#tokens.length) this.#tokens.push(token)
-    else if (this.#early.size < EARLY_LIMIT) this.#early.set(offset, token)
+    else if (this.#buffered.size < MAX_BUFFERED_TOKENS) this.#buffered.set(offset, token)
   }
 
-  #joinEarly (): void {
+  #appendBuffered (): void {
     for (;;) {
-      const token = this.#early.get(this.#tokens.length)
+      const token = this.#buffered.get(this.#tokens.length)
       if (token === undefined) break
-      this.#early.delete(this.#tokens.length)
+      this.#buffered.delete(this.#tokens.length)
       this.#tokens.push(token)
     }
-    for (const offset of this.#early.keys()) {
-      if (offset < this.#tokens.length) this.#early.delete(offset)
+    for (const offset of this.#buffered.keys()) {
+      if (offset < this.#tokens.length) this.#buffered.delete(offset)
     }
   }
 }
--- a/packages/schema/src/lib/parseConfiguration.ts
+++ b/packages/schema/src/lib/parseConfiguration.ts
@@ -9,7 +9,7 @@
 import { fail, succeed, type Result } from './Result.js'
 
 /** A mistake in a configuration file. */
-export interface ConfigurationMistake {
+export interface ConfigurationError {
   readonly line: number
   readonly field: string
   readonly message: string
@@ -31,9 +31,9 @@
  * @param options - whether references must resolve within the text
  * @returns the configuration, or every mistake with its line and field
  */
-export function parseConfiguration (text: string, options = { checkReferences: true }): Result<Configuration, ConfigurationMistake[]> {
+export function parseConfiguration (text: string, options = { checkReferences: true }): Result<Configuration, ConfigurationError[]> {
   const lineCounter = new LineCounter()
-  const mistakes: ConfigurationMistake[] = []
+  const errors: ConfigurationError[] = []
   const documents: ConfigurationDocument[] = []
   const lines: number[] = []
   for (const yamlDocument of parseAllDocuments(text, { lineCounter })) {
@@ -44,7 +44,7 @@
       return offset === undefined ? 0 : lineCounter.linePos(offset).line
     }
     for (const error of yamlDocument.errors) {
-      mistakes.push({ line: error.linePos?.[0].line ?? 0, field: '', message: error.message })
+      errors.push({ line: error.linePos?.[0].line ?? 0, field: '', message: error.message })
     }
     if (yamlDocument.errors.length > 0 || yamlDocument.contents === null) continue
     const value: unknown = yamlDocument.toJS()
@@ -52,7 +52,7 @@
     const schema = schemasByKind.get(kind)
     if (schema === undefined) {
       const kinds = [...schemasByKind.keys()].join(', ')
-      mistakes.push({ line: lineAt(['kind']), field: 'kind', message: `must be one of ${kinds}` })
+      errors.push({ line: lineAt(['kind']), field: 'kind', message: `must be one of ${kinds}` })
       continue
     }
     const parsed = schema.safeParse(value)
@@ -62,14 +62,14 @@
       continue
     }
     for (const issue of parsed.error.issues) {
-      mistakes.push({ line: lineAt(issue.path), field: issue.path.join('.'), message: issue.message })
+      errors.push({ line: lineAt(issue.path), field: issue.path.join('.'), message: issue.message })
     }
   }
-  if (mistakes.length > 0) return fail(mistakes)
+  if (errors.length > 0) return fail(errors)
   const configuration = { documents }
   const problems = options.checkReferences ? checkReferences(configuration) : []
   for (const problem of problems) {
-    mistakes.push({ line: lines[problem.documentIndex] ?? 0, field: problem.field, message: problem.message })
+    errors.push({ line: lines[problem.documentIndex] ?? 0, field: problem.field, message: problem.message })
   }
-  return mistakes.length > 0 ? fail(mistakes) : succeed(configuration)
+  return errors.length > 0 ? fail(errors) : succeed(configuration)
 }
--- a/packages/schema/src/lib/parseRetryAfter.ts
+++ b/packages/schema/src/lib/parseRetryAfter.ts
@@ -1,7 +1,7 @@
 /** Reads the pause that an endpoint asks for (RFC 9110, section 10.2.3; seconds may have fractions). */
 
 /** Longest pause that one answer can ask for, in milliseconds: what an endpoint asks for by mistake has an end. */
-const LONGEST_MS = 300_000
+const MAX_RETRY_AFTER_MS = 300_000
 
 const MILLISECONDS_PER_SECOND = 1000
 
@@ -16,5 +16,5 @@
   if (text === undefined) return undefined
   const value = text.trim()
   const milliseconds = SECONDS.test(value) ? Number(value) * MILLISECONDS_PER_SECOND : Date.parse(value) - wallNowMs
-  return Number.isFinite(milliseconds) && milliseconds > 0 ? Math.min(LONGEST_MS, milliseconds) : undefined
+  return Number.isFinite(milliseconds) && milliseconds > 0 ? Math.min(MAX_RETRY_AFTER_MS, milliseconds) : undefined
 }
--- a/packages/schema/src/lib/quarantineEntry.ts
+++ b/packages/schema/src/lib/quarantineEntry.ts
@@ -1,11 +1,11 @@
 /** What is agreed about requests that may crash the endpoints that run them. */
 import { z } from 'zod'
 
-const LONGEST_NAME = 200
+const MAX_NAME_LENGTH = 200
 
 export const fingerprintSchema = z.string().regex(/^[0-9a-f]{32}$/, 'a fingerprint has 32 hexadecimal digits')
 
-const serviceSchema = z.string().min(1).max(LONGEST_NAME)
+const serviceSchema = z.string().min(1).max(MAX_NAME_LENGTH)
 
 export const quarantineStateSchema = z.enum([
   /** It was at more than one endpoint that crashed; hosts say if it completes. */
--- a/packages/schema/src/lib/site/checkSite.ts
+++ b/packages/schema/src/lib/site/checkSite.ts
@@ -20,13 +20,13 @@
 
 function checkRoutes (site: Site): SiteProblem | undefined {
   const services = new Set(site.services.filter(service => service.type === 'replicated').map(service => service.name))
-  const places = new Set<string>()
+  const routeKeys = new Set<string>()
   for (const route of site.routes) {
     const problem = checkTargets(route, services)
     if (problem !== undefined) return problem
-    const place = JSON.stringify([route.host.toLowerCase(), route.pathPrefix])
-    if (places.has(place)) return { field: `routes.${route.name}.pathPrefix`, message: `another route has ${route.host} ${route.pathPrefix}` }
-    places.add(place)
+    const routeKey = JSON.stringify([route.host.toLowerCase(), route.pathPrefix])
+    if (routeKeys.has(routeKey)) return { field: `routes.${route.name}.pathPrefix`, message: `another route has ${route.host} ${route.pathPrefix}` }
+    routeKeys.add(routeKey)
   }
   return undefined
 }
@@ -40,14 +40,14 @@
 }
 
 function checkKeys (site: Site): SiteProblem | undefined {
-  const holders = new Map<string, string>()
+  const ownersByKey = new Map<string, string>()
   for (const customer of site.customers ?? []) {
     for (const key of customer.keys) {
-      const holder = holders.get(key)
-      if (holder !== undefined && holder !== customer.name) {
-        return { field: `customers.${customer.name}.keys`, message: `${holder} holds the same key` }
+      const owner = ownersByKey.get(key)
+      if (owner !== undefined && owner !== customer.name) {
+        return { field: `customers.${customer.name}.keys`, message: `${owner} holds the same key` }
       }
-      holders.set(key, customer.name)
+      ownersByKey.set(key, customer.name)
     }
   }
   return undefined
--- a/packages/schema/src/lib/site/evacuation.ts
+++ b/packages/schema/src/lib/site/evacuation.ts
@@ -1,9 +1,9 @@
 /** What is agreed about data centres whose endpoints get no new work. */
 import { z } from 'zod'
 
-const LONGEST_NAME = 200
+const MAX_NAME_LENGTH = 200
 
-export const dataCentreNameSchema = z.string().min(1).max(LONGEST_NAME).regex(/^[A-Za-z0-9._-]+$/, 'use letters, digits, dots, dashes and underscores')
+export const dataCentreNameSchema = z.string().min(1).max(MAX_NAME_LENGTH).regex(/^[A-Za-z0-9._-]+$/, 'use letters, digits, dots, dashes and underscores')
 
 /** The last order about one data centre. */
 export const evacuationSchema = z.strictObject({
--- a/packages/schema/src/lib/site/listedEndpoint.ts
+++ b/packages/schema/src/lib/site/listedEndpoint.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod'
 
 /** Weights that an engine holds, as far as the list knows. */
-export const heldModelSchema = z.strictObject({ model: z.string(), version: z.number().int().min(0) })
+export const loadedModelSchema = z.strictObject({ model: z.string(), version: z.number().int().min(0) })
 
 /** One endpoint of a list that lags behind. */
 export const listedEndpointSchema = z.strictObject({
@@ -17,10 +17,10 @@
   isLeaving: z.boolean(),
   /** Whether an order under way keeps it from starting new work. */
   isBusy: z.boolean(),
-  models: z.array(heldModelSchema),
+  models: z.array(loadedModelSchema),
   /** Whether it has started lately and takes few requests a second; absent if it does not say. */
   isCold: z.boolean().optional()
 })
 
-export type LoadedModel = z.infer<typeof heldModelSchema>
+export type LoadedModel = z.infer<typeof loadedModelSchema>
 export type ListedEndpoint = z.infer<typeof listedEndpointSchema>
