--- a/packages/backends/src/lib/EngineClient.ts
+++ b/packages/backends/src/lib/EngineClient.ts
@@ -1,4 +1,4 @@
-/** Adapter to one model engine. */
+/** Client for one model engine. */
 import type { Dispatcher } from 'undici'
 import { z } from 'zod'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
@@ -11,20 +11,19 @@
 import { HttpBackend, toBackendError } from './HttpBackend.js'
 import { ServerSentEventReader } from './ServerSentEventReader.js'
 
-/** Deadline of short calls, in milliseconds. */
 const SHORT_CALL_TIMEOUT_MS = 1000
 
-/** One message of a run, or why the stream broke. A stream that ends without an end mark yields an error. */
+/** One message of a run, or the error that ended the stream. A stream that ends without an end message yields an error. */
 export type RunStreamItem = Result<RunMessage, BackendError>
 
-/** What the system asks of a model engine. */
+/** The operations of a model engine. */
 export interface EngineBackend {
   report (): Promise<Result<EngineReport, BackendError>>
   cacheEvents (fromSequence: number): Promise<Result<CacheEvents, BackendError>>
   cacheListing (): Promise<Result<CacheListing, BackendError>>
-  /** Starts a run; an error before the first item says whether it may have started. */
+  /** Starts a run. The error of a failed call tells whether the run may have started. */
   startRun (request: RunRequest, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
-  /** Reads a run that is under way again, from an offset. */
+  /** Reads a run that is in progress again, from a token offset. */
   resumeRun (run: string, offset: number, stallTimeoutMs: number, signal: AbortSignal): Promise<Result<AsyncGenerator<RunStreamItem>, BackendError>>
   cancelRun (run: string): Promise<void>
   stageImport (request: ImportRequest, timeoutMs: number, signal: AbortSignal): Promise<Result<{ bytes: number }, BackendError>>
@@ -37,7 +36,7 @@
 export class EngineClient implements EngineBackend {
   readonly #http: HttpBackend
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (address: string) {
     this.#http = new HttpBackend(address)
   }
@@ -85,7 +84,7 @@
     return await this.#http.requestJson({ method: 'POST', path: '/orders', json: request, timeoutMs }, okSchema)
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#http.close()
   }
@@ -102,7 +101,7 @@
           yield fail({ kind: 'malformed', detail: parsed.error.issues[0]?.message ?? 'unexpected message' })
           return
         }
-        // Tokens may still follow an end mark that overtook them.
+        // The end message may arrive before the last tokens, so reading continues.
         sawEnd ||= parsed.data.kind === 'end'
         yield succeed(parsed.data)
       }
--- a/packages/backends/src/lib/HttpBackend.ts
+++ b/packages/backends/src/lib/HttpBackend.ts
@@ -1,14 +1,13 @@
-/** Plain HTTP calls to back ends, with errors in this layer's own terms. */
+/** HTTP calls to back ends. All failures are reported as {@link BackendError}. */
 import { errors, Pool, type Dispatcher } from 'undici'
 import type { z } from 'zod'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { BackendError } from './BackendError.js'
 
-/** Connections kept to one back end; runs hold one each. */
+/** Most connections to one back end. Each run occupies one. */
 const MAX_CONNECTIONS = 1024
 
-/** Longest wait for a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1000
 
 /** A request without a body or with a JSON body. */
@@ -20,21 +19,21 @@
   readonly signal?: AbortSignal
 }
 
-/** One back end's address with its pooled connections. */
+/** Connection pool for one back end. */
 export class HttpBackend {
   readonly #pool: Pool
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (readonly address: string) {
     this.#pool = new Pool(`http://${address}`, { connections: MAX_CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT_MS } })
   }
 
   /**
-   * Calls and checks a JSON answer.
+   * Makes a call and validates its JSON answer.
    *
-   * @param call - what to send
-   * @param schema - what a successful answer must look like
-   * @returns the answer or the error
+   * @param call - request to send
+   * @param schema - schema of a successful answer
+   * @returns the answer, or the error
    */
   async requestJson<Answer> (call: HttpCall, schema: z.ZodType<Answer>): Promise<Result<Answer, BackendError>> {
     const response = await this.openResponse(call)
@@ -49,9 +48,9 @@
   }
 
   /**
-   * Opens a response whose body the caller reads. Statuses of 300 and above become errors.
+   * Makes a call and leaves the response body to the caller. Statuses of 300 and above become errors.
    *
-   * @param call - what to send
+   * @param call - request to send
    * @returns the response, or the error
    */
   async openResponse (call: HttpCall): Promise<Result<Dispatcher.ResponseData, BackendError>> {
@@ -72,15 +71,15 @@
     }
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#pool.destroy()
   }
 }
 
 /**
- * @param error - thrown by the HTTP library
- * @returns the same in this layer's terms
+ * @param error - error thrown by the HTTP library
+ * @returns the corresponding back end error
  */
 export function toBackendError (error: unknown): BackendError {
   if (error instanceof errors.ConnectTimeoutError) return { kind: 'connect-failed' }
@@ -92,8 +91,8 @@
 }
 
 /**
- * @param headers - of an answer that says that the request was not started
- * @returns the pause that it asks for, if it asks for one
+ * @param headers - headers of an answer which states that the request was not started
+ * @returns the pause requested by the answer, if any
  */
 export function requestedPause (headers: Dispatcher.ResponseData['headers']): { readonly retryAfterMs?: number } {
   const value = headers['retry-after']
--- a/packages/backends/src/lib/MembershipClient.ts
+++ b/packages/backends/src/lib/MembershipClient.ts
@@ -1,4 +1,4 @@
-/** Adapter to the platform's lagging membership list. */
+/** Client for the platform's member list, which lags behind the actual state. */
 import { z } from 'zod'
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { BackendError } from './BackendError.js'
@@ -16,21 +16,21 @@
 
 export type MemberList = z.infer<typeof memberListSchema>
 
-/** Reads the platform's list. */
+/** Reads the platform's member list. */
 export class MembershipClient {
   readonly #http: HttpBackend
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (address: string) {
     this.#http = new HttpBackend(address)
   }
 
-  /** @returns the list as the platform has it now */
+  /** @returns the platform's current list */
   async list (): Promise<Result<MemberList, BackendError>> {
     return await this.#http.requestJson({ method: 'GET', path: '/members', timeoutMs: SHORT_CALL_TIMEOUT_MS }, memberListSchema)
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#http.close()
   }
--- a/packages/backends/src/lib/ServerSentEventReader.ts
+++ b/packages/backends/src/lib/ServerSentEventReader.ts
@@ -1,17 +1,17 @@
-/** Takes the data lines out of a server-sent event stream. */
+/** Extracts the data lines of a server-sent event stream. */
 
 const DATA_PREFIX = 'data:'
 
-/** Collects bytes until lines are whole. */
+/** Buffers bytes until lines are complete. */
 export class ServerSentEventReader {
   readonly #decoder = new TextDecoder()
   #pending = ''
 
   /**
-   * Takes the next bytes of the stream.
+   * Processes the next bytes of the stream.
    *
-   * @param bytes - in any division
-   * @returns the payloads that are whole now; one that the stream cuts off is never returned
+   * @param bytes - next bytes, split at any position
+   * @returns payloads of the lines that are now complete; an unfinished last line is never returned
    */
   push (bytes: Uint8Array): string[] {
     const lines = (this.#pending + this.#decoder.decode(bytes, { stream: true })).split('\n')
--- a/packages/backends/src/lib/ServiceClient.test.ts
+++ b/packages/backends/src/lib/ServiceClient.test.ts
@@ -13,7 +13,7 @@
     server?.close()
   })
 
-  /** What a call comes to at an endpoint that does not start it. */
+  /** Returns the error of a call to an endpoint that does not start it. */
   async function callRejectingEndpoint (status: number, headers: Readonly<Record<string, string>>): Promise<unknown> {
     const listening = createServer((_request, response) => {
       response.writeHead(status, { [RUN_STATE_HEADER]: 'not-run', ...headers })
@@ -26,16 +26,16 @@
     return answer.ok ? undefined : answer.error
   }
 
-  // Guards against an endpoint that is full for a moment being taken for one that leaves for good.
-  it('tells an endpoint that asks for a pause from one that leaves', async () => {
+  // An endpoint that is temporarily full must not be treated as leaving, which lasts until its restart.
+  it('reports an endpoint that asks for a pause as full', async () => {
     expect(await callRejectingEndpoint(503, { 'retry-after': '2' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 2000 })
   })
 
-  it('takes a rejection without a pause for that of an endpoint that leaves', async () => {
+  it('reports an endpoint that rejects without a pause as leaving', async () => {
     expect(await callRejectingEndpoint(503, {})).toEqual({ kind: 'not-started', reason: 'leaving' })
   })
 
-  it('reads a pause beside any status', async () => {
+  it('reads a requested pause with any status', async () => {
     expect(await callRejectingEndpoint(429, { 'retry-after': '0.5' })).toEqual({ kind: 'not-started', reason: 'full', retryAfterMs: 500 })
     expect(await callRejectingEndpoint(429, {})).toEqual({ kind: 'not-started', reason: 'other' })
   })
--- a/packages/backends/src/lib/ServiceClient.ts
+++ b/packages/backends/src/lib/ServiceClient.ts
@@ -1,11 +1,11 @@
-/** Adapter to a plain service. */
+/** Client for an endpoint of a plain service. */
 import { Client, Pool, type Dispatcher } from 'undici'
 import { z } from 'zod'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { BackendError } from './BackendError.js'
 import { CONNECT_TIMEOUT_MS, HttpBackend, requestedPause, toBackendError } from './HttpBackend.js'
 
-/** Header by which a service states that it did not start a request. */
+/** Header with which a service states that it did not start a request. */
 export const RUN_STATE_HEADER = 'eelgrassmux-run'
 
 const SHORT_CALL_TIMEOUT_MS = 1000
@@ -23,7 +23,7 @@
   readonly timeoutMs: number
 }
 
-/** A whole answer of a plain service. */
+/** A complete answer of a plain service. */
 export interface ServiceAnswer {
   readonly status: number
   readonly contentType: string
@@ -35,33 +35,33 @@
   readonly #pool: Pool
   readonly #health: HttpBackend
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (readonly address: string) {
     this.#pool = new Pool(`http://${address}`, { connect: { timeout: CONNECT_TIMEOUT_MS } })
     this.#health = new HttpBackend(address)
   }
 
-  /** @returns the endpoint's own word on its state */
+  /** @returns the endpoint's own report of its state */
   async health (): Promise<Result<ServiceHealth, BackendError>> {
     return await this.#health.requestJson({ method: 'GET', path: '/healthz', timeoutMs: SHORT_CALL_TIMEOUT_MS }, serviceHealthSchema)
   }
 
   /**
-   * Makes a call that may be repeated, over kept connections.
+   * Makes a call that may be repeated, over pooled connections.
    *
-   * @param call - what to send
-   * @returns the answer, or what went wrong
+   * @param call - request to send
+   * @returns the answer, or the error
    */
   async call (call: ServiceCall): Promise<Result<ServiceAnswer, BackendError>> {
     return await send(this.#pool, call)
   }
 
   /**
-   * Makes a call that must reach the endpoint at most once, on a connection of its own.
-   * A kept connection that the far side has just closed would make the outcome unknown.
+   * Makes a call that must reach the endpoint at most once, on a new connection.
+   * On a pooled connection that the endpoint has just closed, the outcome would be unknown.
    *
-   * @param call - what to send
-   * @returns the answer; only `connect-failed` and `not-started` mean that it did not run
+   * @param call - request to send
+   * @returns the answer, or the error; only `connect-failed` and `not-started` mean that the call did not run
    */
   async callOnce (call: ServiceCall): Promise<Result<ServiceAnswer, BackendError>> {
     const connection = new Client(`http://${this.address}`, { pipelining: 0, connect: { timeout: CONNECT_TIMEOUT_MS } })
@@ -70,14 +70,14 @@
     return answer
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#pool.destroy()
     await this.#health.close()
   }
 }
 
-/** An endpoint that names the time after which to come back is not leaving. */
+/** Maps a rejection to an error. An endpoint that sends Retry-After is full and not leaving. */
 function toNotStartedError ({ statusCode, headers }: Dispatcher.ResponseData): BackendError {
   const pause = requestedPause(headers)
   if (pause.retryAfterMs !== undefined) return { kind: 'not-started', reason: 'full', ...pause }
--- a/packages/backends/src/lib/StoreClient.ts
+++ b/packages/backends/src/lib/StoreClient.ts
@@ -1,4 +1,4 @@
-/** Adapter to one KV cache store. Block data flows between engines and stores; the system only lists and deletes. */
+/** Client for one KV cache store. Engines and stores transfer block data directly; this client only lists and deletes objects. */
 import { z } from 'zod'
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { BackendError } from './BackendError.js'
@@ -6,7 +6,6 @@
 
 const nonNegativeInteger = z.number().int().min(0)
 
-/** Deadline of short calls, in milliseconds. */
 const SHORT_CALL_TIMEOUT_MS = 2000
 
 export const storeLoadSchema = z.object({
@@ -16,7 +15,7 @@
   backlogBytes: nonNegativeInteger
 })
 
-/** Only objects that are complete and whose checksum was verified are listed. */
+/** Listing of a store. It contains only complete objects whose checksum was verified. */
 export const storeListingSchema = z.object({
   objects: z.array(z.object({
     name: z.string(),
@@ -33,7 +32,7 @@
 export type StoreLoad = z.infer<typeof storeLoadSchema>
 export type StoreListing = z.infer<typeof storeListingSchema>
 
-/** What the system asks of a store. */
+/** The operations of a store. */
 export interface StoreBackend {
   load (): Promise<Result<StoreLoad, BackendError>>
   list (): Promise<Result<StoreListing, BackendError>>
@@ -44,7 +43,7 @@
 export class StoreClient implements StoreBackend {
   readonly #http: HttpBackend
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (address: string) {
     this.#http = new HttpBackend(address)
   }
@@ -61,7 +60,7 @@
     return await this.#http.requestJson({ method: 'DELETE', path: `/objects/${name}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, z.unknown())
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#http.close()
   }
--- a/packages/backends/src/lib/engineProtocol.ts
+++ b/packages/backends/src/lib/engineProtocol.ts
@@ -1,4 +1,4 @@
-/** The model engines' protocol, as far as the system uses it. */
+/** Schemas of the messages that are exchanged with model engines. */
 import { z } from 'zod'
 
 const nonNegativeInteger = z.number().int().min(0)
@@ -14,7 +14,7 @@
   queuedTokens: z.number().min(0),
   prefillTokensPerMs: z.number().positive(),
   meanRunMs: z.number().min(0),
-  /** How long evicted blocks had lain unused; absent until something was evicted. */
+  /** How long blocks had been unused when they were evicted; absent until the first eviction. */
   residenceSeconds: z.number().min(0).optional(),
   bytesPerToken: z.number().min(0),
   ageMs: z.number().min(0)
@@ -24,7 +24,7 @@
 
 export const cacheEventsSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('events'), incarnation: nonNegativeInteger, events: z.array(cacheEventSchema) }),
-  /** Events from the wanted number on are gone. */
+  /** The engine no longer has the events from the requested sequence number. */
   z.object({ kind: z.literal('gap'), incarnation: nonNegativeInteger })
 ])
 
@@ -37,9 +37,9 @@
   priority: z.number().int(),
   cacheSalt: z.string(),
   expectedVersion: z.string(),
-  /** Tokens of the answer that the caller already has; the run goes on behind them. */
+  /** Tokens of the answer that the caller already has; the run continues after them. */
   produced: z.array(z.string()),
-  /** Staged import to use; an unknown one is refused. */
+  /** Staged import to use. The engine refuses the run if it does not know the import. */
   importId: z.string().optional()
 })
 
@@ -70,7 +70,7 @@
   customer: z.string(),
   keys: z.array(z.string()),
   tokens: nonNegativeInteger,
-  /** Position of the first block in its chain. */
+  /** Index of the first block in its chain. */
   firstBlock: nonNegativeInteger
 })
 
--- a/packages/cache/src/lib/DirectoryShard.test.ts
+++ b/packages/cache/src/lib/DirectoryShard.test.ts
@@ -3,7 +3,7 @@
 
 const SETTINGS: ShardSettings = { readLeaseMs: 100, writeReservationMs: 200, ownershipMs: 50, deletionMs: 30, customerShare: 0.5, blocksPerObject: 4 }
 
-/** First time at which a new owner may free something. */
+/** End of the grace period of an owner that starts at 0. */
 const GRACE_PERIOD_END = 281
 
 const chain = (name: string, length: number, shared: readonly string[] = []): string[] =>
@@ -15,7 +15,7 @@
   return new DirectoryShard(3, 7, SETTINGS, 0)
 }
 
-/** Writes all of a chain. */
+/** Writes and publishes all objects of a chain. */
 function writeChain (shard: DirectoryShard, keys: readonly string[], now: number, customer = 'ward'): string[] {
   const names: string[] = []
   for (;;) {
@@ -28,25 +28,25 @@
 
 describe('DirectoryShard', () => {
   describe('writing', () => {
-    it('gives each object a name used once, under shard and epoch', () => {
+    it('gives each object a unique name with shard and epoch', () => {
       const shard = createShard()
       expect(writeChain(shard, chain('a', 10), 0)).toEqual(['s3-e7-n1', 's3-e7-n2', 's3-e7-n3'])
     })
 
-    it('does not show an object before the store acknowledged it', () => {
+    it('does not publish an object before the store has acknowledged it', () => {
       const shard = createShard()
       shard.reserve({ customer: 'ward', store: 's', keys: chain('a', 3), tokensPerBlock: 64 }, 0)
       expect(shard.coverage(chain('a', 3))).toEqual([])
     })
 
-    it('does not reserve what is stored or being written', () => {
+    it('does not reserve blocks that are stored or being written', () => {
       const shard = createShard()
       const request = { customer: 'ward', store: 's', keys: chain('a', 3), tokensPerBlock: 64 }
       expect(shard.reserve(request, 0)?.keys).toEqual(['a0', 'a1', 'a2'])
       expect(shard.reserve(request, 1)).toBeUndefined()
     })
 
-    it('does not publish after the reservation has lapsed', () => {
+    it('does not publish after the reservation has expired', () => {
       const shard = createShard()
       const reserved = shard.reserve({ customer: 'ward', store: 's', keys: chain('a', 3), tokensPerBlock: 64 }, 0)
       expect(shard.publish(reserved?.name ?? '', ACKNOWLEDGED, 201)).toBe(false)
@@ -55,7 +55,7 @@
   })
 
   describe('reading', () => {
-    it('covers a chain that shares only the beginning of a stored object', () => {
+    it('covers a chain that shares only the leading blocks of a stored object', () => {
       const shard = createShard()
       writeChain(shard, chain('a', 4), 0)
       const other = chain('b', 9, ['a0', 'a1'])
@@ -64,7 +64,7 @@
       expect(shard.lease(other, 0, () => 'l', 0).map(lease => lease.object.name)).toEqual(['s3-e7-n1', 's3-e7-n2', 's3-e7-n3'])
     })
 
-    it('leases from a block on', () => {
+    it('leases objects from a given block onwards', () => {
       const shard = createShard()
       writeChain(shard, chain('a', 12), 0)
       expect(shard.lease(chain('a', 12), 4, () => 'l', 0).map(lease => lease.object.keys[0])).toEqual(['a4', 'a8'])
@@ -72,7 +72,7 @@
   })
 
   describe('freeing', () => {
-    it('waits for the last lease of an unpublished object', () => {
+    it('waits until the last lease on an unpublished object has ended', () => {
       const shard = createShard()
       const [name = ''] = writeChain(shard, chain('a', 3), GRACE_PERIOD_END)
       shard.lease(chain('a', 3), 0, () => 'l', 300)
@@ -82,7 +82,7 @@
       expect(shard.deletable(401)).toEqual([{ store: 's', name }])
     })
 
-    it('frees nothing until leases of an earlier owner have ended', () => {
+    it('frees nothing until the leases of a previous owner have ended', () => {
       const shard = createShard()
       const [name = ''] = writeChain(shard, chain('a', 3), 0)
       shard.unpublish(name)
@@ -91,7 +91,7 @@
       expect(shard.deletable(GRACE_PERIOD_END)).toEqual([{ store: 's', name }])
     })
 
-    it('adopts what an earlier owner published, once its last deletion must have arrived', () => {
+    it('adopts objects of a previous owner once its last deletion must have arrived', () => {
       const shard = createShard()
       const object = { name: 's3-e6-n1', store: 's', customer: 'ward', keys: ['a0', 'a1'], bytes: 9, sha256: '', tier: 'disk' as const, tokens: 128, firstBlock: 0 }
       expect(shard.adopt(object, 79)).toBe(false)
@@ -100,7 +100,7 @@
       expect(shard.adopt(object, 81)).toBe(false)
     })
 
-    it('forgets what a store lost, but not what was published after its listing', () => {
+    it('removes objects that a store has lost, but not those published after the listing', () => {
       const shard = createShard()
       writeChain(shard, chain('a', 3), 0)
       const expected = new Set(shard.objectNamesIn('s'))
@@ -112,7 +112,7 @@
   })
 
   describe('eviction', () => {
-    it('takes the least used first, and the end of a chain before its beginning', () => {
+    it('evicts the least used objects first, and the end of a chain before its beginning', () => {
       const shard = createShard()
       writeChain(shard, chain('a', 8), 0)
       writeChain(shard, chain('b', 8), 0)
@@ -121,7 +121,7 @@
       expect(shard.evict('s', 400, 5000)).toEqual(['s3-e7-n1'])
     })
 
-    it('takes from a customer over its share before all others', () => {
+    it('evicts objects of a customer over its share before all others', () => {
       const shard = createShard()
       writeChain(shard, chain('large', 16), 4000, 'large')
       writeChain(shard, chain('small', 4), 0, 'small')
--- a/packages/cache/src/lib/DirectoryShard.ts
+++ b/packages/cache/src/lib/DirectoryShard.ts
@@ -1,11 +1,12 @@
 /**
  * Life cycle of the stored blocks of one directory shard.
  *
- * Each stored object has a name used once. It is reserved, written, published
- * only after the store acknowledged its whole length and checksum, read under a
- * lease, then unpublished, waited out, and deleted by its exact name. A new
- * owner of the shard can't know the old owner's leases: it frees nothing until
- * the longest of them must have ended.
+ * Each stored object has a unique name that is never reused. An object is reserved,
+ * written, and published only after the store has acknowledged its full length and
+ * checksum. Published objects are read under leases. An unpublished object is
+ * deleted by its exact name once its leases have ended. A new owner of the shard
+ * does not know the leases of the previous owner, so it frees nothing during a
+ * grace period in which the longest of those leases must end.
  */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 import type { CoveringObject, DeletableObject, ReadLease, StoreTier, StoredObject, WriteReservation } from './storedObjects.js'
@@ -14,13 +15,13 @@
 export interface ShardSettings {
   readonly readLeaseMs: number
   readonly writeReservationMs: number
-  /** How long an old owner may go on after a new one was accepted. */
+  /** How long the previous owner may continue after a new owner was accepted. */
   readonly ownershipMs: number
-  /** How long a deletion that an old owner sent may still be under way. */
+  /** How long a deletion sent by the previous owner may take to arrive. */
   readonly deletionMs: number
-  /** Largest share of a store's capacity that one customer may hold while others want it, 0 to 1. */
+  /** Fraction of a store's bytes above which a customer's objects are evicted before those of others, 0 to 1. */
   readonly customerShare: number
-  /** Most blocks in one object: small ones can be shared and cut more finely, large ones cost less upkeep. */
+  /** Most blocks in one object. Small objects allow finer sharing and partial imports; large objects cost less overhead. */
   readonly blocksPerObject: number
 }
 
@@ -32,7 +33,7 @@
   object: StoredObject
   lastUsedAt: number
   uses: number
-  /** Latest end of any lease on it. */
+  /** Latest end of any lease on the object. */
   leasedUntil: number
 }
 
@@ -41,7 +42,7 @@
   endsAt: number
 }
 
-/** Objects of one shard under one epoch of ownership. */
+/** The objects of one shard during one ownership epoch. */
 export class DirectoryShard {
   readonly #published = new Map<string, PublishedObject>()
   readonly #objectByKey = new Map<string, string>()
@@ -54,7 +55,7 @@
 
   /**
    * @param shard - shard number
-   * @param epoch - ownership epoch; part of each name, so that no two owners name alike
+   * @param epoch - ownership epoch; part of each object name, so that names of different owners never collide
    * @param settings - timing and limits
    * @param ownedSince - monotonic milliseconds when ownership began
    */
@@ -69,7 +70,7 @@
   }
 
   /**
-   * Whether leases of an earlier owner may still run; until then nothing is freed.
+   * Whether leases of a previous owner may still be active. Nothing is freed during that time.
    *
    * @param now - monotonic milliseconds
    */
@@ -79,13 +80,13 @@
   get unpublishedCount (): number { return this.#unpublished.size }
 
   /**
-   * Takes over a complete object found in a store's listing. An old owner may have
-   * sent a deletion just before its ownership ended, so nothing is taken over
-   * before that must have arrived.
+   * Adopts a complete object found in a store's listing. The previous owner may have
+   * sent a deletion just before its ownership ended, so nothing is adopted until
+   * that deletion must have arrived.
    *
-   * @param object - as listed
-   * @param now - monotonic milliseconds when the listing was asked for
-   * @returns whether it was new
+   * @param object - object from the listing
+   * @param now - monotonic milliseconds when the listing was requested
+   * @returns whether the object was adopted
    */
   adopt (object: StoredObject, now: number): boolean {
     if (now < this.#adoptionAllowedAt || !this.#isUnknown(object.name)) return false
@@ -94,11 +95,11 @@
   }
 
   /**
-   * Leases the stored objects that cover a chain from a block on.
+   * Leases the stored objects that cover a chain, starting at a block.
    *
    * @param keys - key chain of a prompt
-   * @param fromBlock - first block wanted
-   * @param leaseIds - source of lease names
+   * @param fromBlock - index of the first block to cover
+   * @param leaseIds - generator of lease ids
    * @param now - monotonic milliseconds
    * @returns leases over consecutive objects, in chain order
    */
@@ -115,7 +116,7 @@
   }
 
   /**
-   * Counts leading blocks that are stored, without leasing them.
+   * Counts the leading blocks that are stored, without leasing them.
    *
    * @param keys - key chain of a prompt
    * @returns number of leading blocks that can be read
@@ -127,11 +128,11 @@
   }
 
   /**
-   * Lists the objects that cover a chain, without leasing them. An object may go
-   * on with blocks of another chain that shares its beginning.
+   * Lists the objects that cover a chain, without leasing them. The end of an object
+   * may belong to another chain that shares only its leading blocks with this one.
    *
    * @param keys - key chain of a prompt
-   * @param fromBlock - first block wanted
+   * @param fromBlock - index of the first block to cover
    * @returns objects in chain order
    */
   coverage (keys: readonly string[], fromBlock = 0): CoveringObject[] {
@@ -151,9 +152,9 @@
   }
 
   /**
-   * Reserves a name for writing blocks that are neither stored nor being written.
+   * Reserves a name for the next blocks of a chain that are neither stored nor being written.
    *
-   * @param request - whole chain, and where the object would go
+   * @param request - customer, store and complete key chain
    * @param now - monotonic milliseconds
    * @returns the reservation, or undefined if there is nothing to write
    */
@@ -178,12 +179,12 @@
   }
 
   /**
-   * Publishes a reserved object after the store acknowledged all of it.
+   * Publishes a reserved object after the store has acknowledged all of it.
    *
    * @param name - reserved name
-   * @param acknowledged - length, checksum and tier as the store stated them
+   * @param acknowledged - length, checksum and tier as reported by the store
    * @param now - monotonic milliseconds
-   * @returns false if the reservation has lapsed; the object is then freed
+   * @returns false if the reservation has expired; the object is then an orphan
    */
   publish (name: string, acknowledged: { readonly bytes: number, readonly sha256: string, readonly tier: StoreTier }, now: number): boolean {
     this.#dropExpiredWrites(now)
@@ -195,7 +196,7 @@
   }
 
   /**
-   * Gives up a reservation.
+   * Cancels a reservation.
    *
    * @param name - reserved name
    */
@@ -205,7 +206,7 @@
   }
 
   /**
-   * Takes an object out of sight; it is deleted once its leases have ended.
+   * Stops granting leases on an object. It becomes deletable once its leases have ended.
    *
    * @param name - published name
    */
@@ -221,18 +222,18 @@
 
   /**
    * @param store - store name
-   * @returns names of the published objects in it
+   * @returns names of the published objects in the store
    */
   objectNamesIn (store: string): string[] {
     return [...this.#published.values()].filter(({ object }) => object.store === store).map(({ object }) => object.name)
   }
 
   /**
-   * Forgets what a store lost.
+   * Removes objects that a store has lost.
    *
    * @param store - store name
-   * @param expected - names published before the listing was asked for
-   * @param present - names that it lists complete
+   * @param expected - names published before the listing was requested
+   * @param present - names of the complete objects in the listing
    */
   reconcileStore (store: string, expected: ReadonlySet<string>, present: ReadonlySet<string>): void {
     for (const [name, { object }] of this.#published) {
@@ -243,11 +244,11 @@
   }
 
   /**
-   * Chooses what to drop from a store that is too full: least value a byte first,
-   * customers over their share before all others.
+   * Unpublishes objects of a store that is too full: those of customers over their
+   * share first, and within each group those with the least value per byte.
    *
    * @param store - store name
-   * @param bytesToFree - how much must go
+   * @param bytesToFree - bytes that have to be freed
    * @param now - monotonic milliseconds
    * @returns names that were unpublished
    */
@@ -259,7 +260,7 @@
     const limit = total * this.settings.customerShare
     const byValue = present
       .map(published => ({ published, value: valuePerByte(published, now) }))
-      // Blocks are useless without those before them, so the end of a chain goes first.
+      // A block cannot be used without those before it, so the end of a chain is evicted first.
       .sort((left, right) => left.value - right.value || right.published.object.firstBlock - left.published.object.firstBlock)
     const victims: string[] = []
     let freed = 0
@@ -291,7 +292,7 @@
   }
 
   /**
-   * Whether a stored object that nobody published is left over and may go.
+   * Whether an object in a store is unknown to this shard and may be deleted.
    *
    * @param name - name from a store's listing
    * @param now - monotonic milliseconds
@@ -303,7 +304,7 @@
 
   /**
    * @param store - store name
-   * @returns bytes of this shard's objects in it
+   * @returns bytes of this shard's published objects in the store
    */
   bytesIn (store: string): number {
     let bytes = 0
@@ -313,7 +314,7 @@
     return bytes
   }
 
-  /** @param name - object the store has deleted */
+  /** @param name - object that the store has deleted */
   confirmDeleted (name: string): void {
     this.#unpublished.delete(name)
   }
@@ -322,7 +323,7 @@
     return !this.#published.has(name) && !this.#unpublished.has(name) && !this.#writes.has(name)
   }
 
-  /** Earlier objects of a chain are worth as much as later ones, also when an engine still holds them. */
+  /** Marks leading objects as used although an engine holds their blocks: the later objects of the chain depend on them. */
   #touchPrefix (keys: readonly string[], now: number): void {
     for (const key of keys) {
       const published = this.#findPublished(key)
@@ -352,7 +353,7 @@
   }
 }
 
-/** Prefill tokens saved for each byte, weighted by use and fading with idle time. */
+/** Prefill tokens saved per byte, multiplied by the number of uses and divided by the idle time. */
 function valuePerByte ({ object, lastUsedAt, uses }: PublishedObject, now: number): number {
   const idleSeconds = Math.max(1, (now - lastUsedAt) / 1000)
   return (object.tokens * uses) / (object.bytes * idleSeconds)
--- a/packages/cache/src/lib/ResidencyIndex.ts
+++ b/packages/cache/src/lib/ResidencyIndex.ts
@@ -1,9 +1,9 @@
 /**
- * What engines say they hold in their prefix caches.
+ * Index of the blocks that engines report in their prefix caches.
  *
- * Cache events come late and with gaps, so this is a hint: an error costs time,
- * never correctness. A gap makes the index forget the engine and ask for a
- * full listing.
+ * Cache events arrive late and may be missing, so the index is only a hint: a wrong
+ * entry costs time but never affects correctness. After a gap, the index removes
+ * the engine and requires a full listing.
  */
 
 /** One change of an engine's cache. */
@@ -13,7 +13,7 @@
   readonly keys: readonly string[]
 }
 
-/** What a batch of events did to the index. */
+/** Result of applying a batch of events. */
 export type EventOutcome = 'applied' | 'gap'
 
 interface EngineResidency {
@@ -21,11 +21,11 @@
   keys: Set<string>
 }
 
-/** Block keys held by each engine, as far as known. */
+/** The block keys that each engine is known to hold. */
 export class ResidencyIndex {
   readonly #engines = new Map<string, EngineResidency>()
 
-  /** Number of keys known over all engines. */
+  /** Number of known keys, summed over all engines. */
   get size (): number {
     let total = 0
     for (const { keys } of this.#engines.values()) total += keys.size
@@ -34,29 +34,29 @@
 
   /**
    * @param engine - endpoint name
-   * @returns sequence number of the next event wanted, or undefined if a full listing is needed
+   * @returns sequence number of the next event to apply, or undefined if a full listing is needed
    */
   nextSequence (engine: string): number | undefined {
     return this.#engines.get(engine)?.nextSequence
   }
 
   /**
-   * Replaces what is known of an engine.
+   * Replaces an engine's keys with a full listing.
    *
    * @param engine - endpoint name
-   * @param keys - all keys it holds
-   * @param nextSequence - number of the first event not in the listing
+   * @param keys - all keys that the engine holds
+   * @param nextSequence - sequence number of the first event that the listing does not include
    */
   reset (engine: string, keys: Iterable<string>, nextSequence: number): void {
     this.#engines.set(engine, { nextSequence, keys: new Set(keys) })
   }
 
-  /** @param engine - endpoint that is gone or restarted */
+  /** @param engine - endpoint that was removed or restarted */
   forget (engine: string): void {
     this.#engines.delete(engine)
   }
 
-  /** @param engines - endpoints still configured; all others are forgotten */
+  /** @param engines - endpoints that are still configured; all others are removed */
   retain (engines: ReadonlySet<string>): void {
     for (const engine of this.#engines.keys()) {
       if (!engines.has(engine)) this.#engines.delete(engine)
@@ -64,11 +64,11 @@
   }
 
   /**
-   * Applies events in order; repeats are skipped, a gap forgets the engine.
+   * Applies events in order. Events that were already applied are skipped; a gap removes the engine.
    *
    * @param engine - endpoint name
    * @param events - events in the order received
-   * @returns whether a full listing is needed now
+   * @returns `gap` if a full listing is needed
    */
   apply (engine: string, events: readonly CacheEvent[]): EventOutcome {
     const residency = this.#engines.get(engine)
@@ -92,7 +92,7 @@
    * Counts how many leading blocks of a chain each engine holds.
    *
    * @param keys - key chain of a prompt
-   * @returns leading block counts above zero, by engine
+   * @returns number of leading blocks by engine; engines that hold none are left out
    */
   leadingBlocks (keys: readonly string[]): Map<string, number> {
     const counts = new Map<string, number>()
--- a/packages/cache/src/lib/blockKeys.test.ts
+++ b/packages/cache/src/lib/blockKeys.test.ts
@@ -7,7 +7,7 @@
 const prompt = 'a trip history that is long enough '.repeat(30)
 
 describe('blockKeys', () => {
-  it('gives equal leading blocks equal keys, and no key to a part of a block', () => {
+  it('gives equal leading blocks equal keys, and partial blocks no key', () => {
     const salt = cacheSalt(scope)
     const keys = blockKeys(salt, prompt)
     expect(keys).toHaveLength(Math.floor(prompt.length / 256))
@@ -22,7 +22,7 @@
 })
 
 describe('rendezvousOrder', () => {
-  it('moves only what a lost node held', () => {
+  it('moves only the keys of a removed node', () => {
     const nodes = ['a', 'b', 'c', 'd']
     const keys = Array.from({ length: 200 }, (_, index) => `key-${index}`)
     const moved = keys.filter(key => rendezvousOrder(key, nodes)[0] !== 'd' && rendezvousOrder(key, nodes)[0] !== rendezvousOrder(key, ['a', 'b', 'c'])[0])
@@ -37,13 +37,13 @@
     return created
   }
 
-  it('applies events in order and skips repeats', () => {
+  it('applies events in order and skips duplicates', () => {
     const residency = index()
     expect(residency.apply('engine', [{ sequence: 4, kind: 'removed', keys: ['k0'] }, { sequence: 5, kind: 'stored', keys: ['k2'] }])).toBe('applied')
     expect(residency.leadingBlocks(['k0', 'k1', 'k2', 'k3'])).toEqual(new Map([['engine', 3]]))
   })
 
-  it('forgets an engine after a gap', () => {
+  it('removes an engine after a gap', () => {
     const residency = index()
     expect(residency.apply('engine', [{ sequence: 7, kind: 'stored', keys: ['k2'] }])).toBe('gap')
     expect(residency.leadingBlocks(['k0'])).toEqual(new Map())
--- a/packages/cache/src/lib/blockKeys.ts
+++ b/packages/cache/src/lib/blockKeys.ts
@@ -1,23 +1,23 @@
 /**
  * Keys of KV cache blocks.
  *
- * A key chain starts from an HMAC under the customer's secret over model and
- * weight version. Two customers, or two versions, therefore never share a key,
- * and nobody can compute another customer's key. Engines get the first link as
- * cache salt and compute the same chain.
+ * A key chain starts with an HMAC of model and weight version under the customer's
+ * secret. Different customers or versions therefore never share a key, and no one
+ * can compute the keys of another customer. Engines receive the HMAC as cache salt
+ * and compute the same chain.
  */
 import { createHash, createHmac } from 'node:crypto'
 
-/** Characters that stand for one token where the engine's tokenizer is not at hand. */
+/** Assumed characters per token where the engine's tokenizer is not available. */
 export const CHARACTERS_PER_TOKEN = 4
 
 /** Tokens in one cache block. */
 export const TOKENS_PER_BLOCK = 64
 
-/** Bytes of digest kept in a key. */
+/** Length to which a digest is truncated. */
 const KEY_BYTES = 16
 
-/** What a key chain belongs to. */
+/** The scope within which prompts share a key chain. */
 export interface CacheScope {
   readonly cacheSecret: string
   readonly model: string
@@ -37,11 +37,11 @@
 }
 
 /**
- * Computes the keys of all whole blocks of a prompt.
+ * Computes the keys of all complete blocks of a prompt.
  *
  * @param salt - from {@link cacheSalt}
- * @param prompt - whole prompt text
- * @returns one key a block; a key stands for the block and all text before it
+ * @param prompt - complete prompt text
+ * @returns one key per block, which identifies the block and all text before it
  */
 export function blockKeys (salt: string, prompt: string): string[] {
   const blockCharacters = TOKENS_PER_BLOCK * CHARACTERS_PER_TOKEN
@@ -59,8 +59,8 @@
 }
 
 /**
- * @param prompt - whole prompt text
- * @returns length in tokens, rounded up
+ * @param prompt - complete prompt text
+ * @returns estimated length in tokens, rounded up
  */
 export function tokenCount (prompt: string): number {
   return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN)
--- a/packages/cache/src/lib/rendezvous.ts
+++ b/packages/cache/src/lib/rendezvous.ts
@@ -1,12 +1,12 @@
-/** Rendezvous hashing: a stable choice among nodes that moves little when nodes come and go. */
+/** Rendezvous hashing: assigns keys to nodes so that few keys move when nodes are added or removed. */
 import { createHash } from 'node:crypto'
 
 /**
  * Orders nodes for a key, best first.
  *
- * @param key - what is placed
- * @param nodes - candidate names
- * @returns the nodes by falling weight for this key
+ * @param key - key to assign
+ * @param nodes - names of the candidate nodes
+ * @returns the nodes in descending order of their weight for the key
  */
 export function rendezvousOrder (key: string, nodes: readonly string[]): string[] {
   const weighted = nodes.map(node => ({ node, weight: weightOf(key, node) }))
--- a/packages/cache/src/lib/storedObjects.ts
+++ b/packages/cache/src/lib/storedObjects.ts
@@ -1,9 +1,9 @@
-/** Objects in stores, and what is granted on them. */
+/** Objects in stores, and the reservations and leases on them. */
 
-/** Where in a store an object lies. */
+/** Storage tier that holds an object. */
 export type StoreTier = 'memory' | 'disk'
 
-/** A complete object in a store, as its listing gives it. */
+/** A complete object in a store. */
 export interface StoredObject {
   readonly name: string
   readonly store: string
@@ -13,16 +13,16 @@
   readonly bytes: number
   readonly sha256: string
   readonly tier: StoreTier
-  /** Tokens of prefill that reading the object saves. */
+  /** Prefill tokens saved by reading the object. */
   readonly tokens: number
-  /** Position of its first block in the chain. */
+  /** Index of the object's first block in the chain. */
   readonly firstBlock: number
 }
 
-/** A stored object, and how much of a certain chain is there with it. */
+/** A stored object, with the part of a chain that is covered up to its end. */
 export interface CoveringObject {
   readonly object: StoredObject
-  /** Leading blocks of the chain that are there once this object and all before it are. */
+  /** Number of leading blocks of the chain covered by this object and all objects before it. */
   readonly coversTo: number
 }
 
@@ -36,11 +36,11 @@
   readonly firstBlock: number
 }
 
-/** A reader's right to one object until a time on the owner's clock. */
+/** Permission to read one object until a time on the shard owner's clock. */
 export interface ReadLease {
   readonly leaseId: string
   readonly object: StoredObject
-  /** Milliseconds from the grant; the reader counts from before it asked. */
+  /** Duration from the grant in milliseconds. The reader counts it from before its request, so its lease ends no later than the owner's. */
   readonly durationMs: number
 }
 
--- a/packages/runs/src/lib/AnswerAssembler.ts
+++ b/packages/runs/src/lib/AnswerAssembler.ts
@@ -1,20 +1,20 @@
 /**
- * Puts one answer together from token chunks that may come late, twice or out of
- * order, from one engine or, after a failure, from another.
+ * Assembles one answer from token chunks that may arrive late, duplicated or out of
+ * order, and after a failure from a second engine.
  *
- * Each token has an offset. What is handed on is always a gapless run from
- * offset 0; the answer is complete only when an end mark names its length and
- * all tokens up to it are there.
+ * Each token has an offset. Tokens are released without gaps from offset 0. The
+ * answer is complete once an end marker has stated its length and all tokens up to
+ * that length have arrived.
  */
 
-/** Why an answer ended; taken over from the engine. */
+/** Why an answer ended, as reported by the engine. */
 export type FinishReason = 'stop' | 'length'
 
-/** A run of consecutive tokens. */
+/** A sequence of consecutive tokens. */
 export interface TokenChunk {
   readonly offset: number
   readonly tokens: readonly string[]
-  /** Weight version that produced them. */
+  /** Weight version that produced the tokens. */
   readonly version: string
 }
 
@@ -24,14 +24,14 @@
   readonly finishReason: FinishReason
 }
 
-/** What a chunk did. */
+/** Result of accepting a chunk. */
 export type ChunkOutcome =
   | { readonly kind: 'progress', readonly tokens: readonly string[] }
   | { readonly kind: 'repeat' }
   | { readonly kind: 'early' }
   | { readonly kind: 'version-mismatch', readonly version: string }
 
-/** Tokens kept ahead of a gap; more are dropped and asked for again. */
+/** Most tokens buffered after a gap. Further tokens are dropped and requested again. */
 const MAX_BUFFERED_TOKENS = 4096
 
 /** Assembles one answer under one weight version. */
@@ -43,20 +43,20 @@
   /** @param version - weight version the run was placed under */
   constructor (readonly version: string) {}
 
-  /** Offset of the next token wanted. */
+  /** Offset of the first missing token. */
   get nextOffset (): number { return this.#tokens.length }
-  /** All tokens so far, without a gap. */
+  /** All tokens before the first missing one. */
   get tokens (): readonly string[] { return this.#tokens }
-  /** The end mark, once the answer is whole. */
+  /** The end marker, once the answer is complete. */
   get completed (): EndMarker | undefined {
     return this.#end !== undefined && this.#tokens.length === this.#end.length ? this.#end : undefined
   }
 
   /**
-   * Takes a chunk.
+   * Accepts a chunk.
    *
    * @param chunk - tokens with their offset
-   * @returns tokens that can be handed on now, or why there are none
+   * @returns tokens that can be released now, or why there are none
    */
   accept (chunk: TokenChunk): ChunkOutcome {
     if (chunk.version !== this.version) return { kind: 'version-mismatch', version: chunk.version }
@@ -69,10 +69,10 @@
   }
 
   /**
-   * Takes the end mark; tokens may still be missing.
+   * Accepts the end marker. Tokens may still be missing.
    *
-   * @param end - length and reason
-   * @returns false if it contradicts tokens that were handed on already: the answer can't become whole
+   * @param end - length and finish reason
+   * @returns false if the marker contradicts released tokens or an earlier marker, so that the answer cannot be completed
    */
   finish (end: EndMarker): boolean {
     if (end.length < this.#tokens.length) return false
--- a/packages/runs/src/lib/EventCursor.test.ts
+++ b/packages/runs/src/lib/EventCursor.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('EventCursor', () => {
-  it('passes on whole events only, wherever the bytes are cut', () => {
+  it('forwards only complete events, wherever the bytes are split', () => {
     const text = event(1) + event(2) + event(3)
     for (let cut = 0; cut <= text.length; cut += 1) {
       const cursor = new EventCursor()
@@ -16,7 +16,7 @@
     }
   })
 
-  it('goes on behind the last whole event after a run broke off inside one', () => {
+  it('continues after the last complete event when a run was interrupted inside an event', () => {
     const cursor = new EventCursor()
     pushText(cursor, event(1) + event(2).slice(0, 7))
     expect(cursor.hasPartialEvent).toBe(true)
@@ -25,17 +25,17 @@
     expect(pushText(cursor, event(2) + event(3))).toBe(event(2) + event(3))
   })
 
-  it('drops events that were passed on before', () => {
+  it('drops events that were already forwarded', () => {
     const cursor = new EventCursor()
     pushText(cursor, event(1) + event(2))
     expect(pushText(cursor, event(1) + event(2) + event(3))).toBe(event(3))
   })
 
-  it('begins behind the event that the caller names', () => {
+  it('starts after the event that the caller names', () => {
     expect(pushText(new EventCursor(2), event(2) + event(3))).toBe(event(3))
   })
 
-  it('knows lines that end with a carriage return, and a field before the id', () => {
+  it('accepts lines that end with a carriage return, and a field before the id', () => {
     const cursor = new EventCursor()
     expect(pushText(cursor, 'weights: 2\r\nid: 4\r\ndata: x\r\n\r\n')).toContain('data: x')
     expect(cursor.lastId).toBe(4)
--- a/packages/runs/src/lib/EventCursor.ts
+++ b/packages/runs/src/lib/EventCursor.ts
@@ -1,36 +1,36 @@
 /**
  * Position in a stream of numbered server-sent events.
  *
- * A run that goes on at another endpoint begins behind the last event that was
- * passed on, so only whole events are passed on, each exactly once.
+ * A run that is resumed at another endpoint continues after the last forwarded
+ * event, so only complete events are forwarded, each exactly once.
  */
 
 const LINE_FEED = 0x0a
 const EMPTY = Buffer.alloc(0)
 
-/** Cuts bytes into whole events and drops those that were passed on before. */
+/** Splits bytes into complete events and drops events that were already forwarded. */
 export class EventCursor {
   #pending: Buffer = EMPTY
   #lastId: number | undefined
 
-  /** @param lastId - event behind which the caller asked to go on */
+  /** @param lastId - id of the event after which the caller asked to continue */
   constructor (lastId?: number) {
     this.#lastId = lastId
   }
 
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   get lastId (): number | undefined { return this.#lastId }
-  /** Whether the bytes so far end inside an event. */
+  /** Whether the bytes received so far end inside an event. */
   get hasPartialEvent (): boolean { return this.#pending.length > 0 }
 
-  /** Forgets an incomplete event, when its run has broken off. */
+  /** Discards an incomplete event after its run was interrupted. */
   discardPartialEvent (): void {
     this.#pending = EMPTY
   }
 
   /**
    * @param chunk - next bytes of the run
-   * @returns whole events to pass on; empty while an event is incomplete
+   * @returns complete new events; empty if there are none
    */
   push (chunk: Buffer): Buffer {
     let bytes = this.#pending.length === 0 ? chunk : Buffer.concat([this.#pending, chunk])
@@ -51,7 +51,7 @@
   }
 }
 
-/** Offset behind the blank line that ends the first event, or -1. */
+/** Returns the offset after the blank line that ends the first event, or -1. */
 function findEventEnd (bytes: Buffer): number {
   for (let at = bytes.indexOf(LINE_FEED); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2
--- a/packages/runs/src/lib/RunRegistry.ts
+++ b/packages/runs/src/lib/RunRegistry.ts
@@ -1,13 +1,13 @@
-/** Runs of one entry host that callers may come back to. */
+/** Runs of one entry host that callers can reconnect to. */
 import { randomBytes } from 'node:crypto'
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 
-/** Anything that is kept under a run id for one customer. */
+/** An entry of the registry that belongs to one customer. */
 export interface OwnedRun {
   readonly customer: string
 }
 
-/** A run id, taken apart. */
+/** The parts of a run id. */
 export interface RunId {
   /** Entry host that holds the run, as address and port. */
   readonly entry: string
@@ -17,9 +17,9 @@
 const RUN_ID = /^run-([0-9a-f]+)-([0-9a-f]{32})$/
 
 /**
- * Makes a run id that names its entry host and can't be guessed.
+ * Creates a run id that contains the entry host's address and cannot be guessed.
  *
- * @param entry - address of the entry host for its peers
+ * @param entry - address at which peers reach the entry host
  * @returns the id
  */
 export function createRunId (entry: string): string {
@@ -27,8 +27,8 @@
 }
 
 /**
- * @param id - what a caller sent
- * @returns its parts, or undefined if it is not a run id
+ * @param id - text that a caller sent as a run id
+ * @returns the parts of the id, or undefined if it is not a run id
  */
 export function parseRunId (id: string): RunId | undefined {
   const match = RUN_ID.exec(id)
@@ -36,7 +36,7 @@
   return { entry: Buffer.from(match[1], 'hex').toString('utf8'), secret: match[2] }
 }
 
-/** Finds runs by id, for the customer they belong to and nobody else. */
+/** Finds runs by id, and only for the customer they belong to. */
 export class RunRegistry<Run extends OwnedRun> {
   readonly #runs = new Map<string, Run>()
 
@@ -53,15 +53,15 @@
 
   /**
    * @param id - run id
-   * @param customer - customer of the credential that asks
-   * @returns the run, or undefined if there is none of this customer; the two cases look alike
+   * @param customer - customer whose credential the request carries
+   * @returns the run, or undefined if it does not exist or belongs to another customer; callers cannot tell the two apart
    */
   find (id: string, customer: string): Run | undefined {
     const run = this.#runs.get(id)
     return run?.customer === customer ? run : undefined
   }
 
-  /** @param id - run to forget */
+  /** @param id - run to remove */
   remove (id: string): void {
     this.#runs.delete(id)
   }
--- a/packages/schema/src/lib/Clock.ts
+++ b/packages/schema/src/lib/Clock.ts
@@ -1,13 +1,11 @@
-/** Time as tasks see it. Randomised runs put their own in its place. */
+/** Source of time for tasks. Randomised simulations replace it with their own. */
 export interface Clock {
-  /** Monotonic milliseconds; never the wall clock. */
+  /** Monotonic time in milliseconds. */
   now (): number
-  /** Wall clock in milliseconds, for stamps that other hosts read. */
+  /** Wall clock in milliseconds, for timestamps that other hosts read. */
   wallClock (): number
   /**
-   * Waits.
-   *
-   * @param milliseconds - how long
+   * @param milliseconds - time to wait
    * @param signal - ends the wait early
    */
   sleep (milliseconds: number, signal?: AbortSignal): Promise<void>
--- a/packages/schema/src/lib/ConfigurationIndex.ts
+++ b/packages/schema/src/lib/ConfigurationIndex.ts
@@ -1,9 +1,9 @@
-/** Look-ups over one configuration revision. */
+/** Lookups in one configuration revision. */
 import type {
   Configuration, Customer, EngineEndpoint, Model, PlainEndpoint, Profile, Service, Store
 } from './configuration.js'
 
-/** Immutable index of a configuration, built once for each revision. */
+/** Immutable index of a configuration, built once per revision. */
 export class ConfigurationIndex {
   readonly profiles = new Map<string, Profile>()
   readonly services = new Map<string, Service>()
@@ -15,8 +15,8 @@
   readonly #customersByCredential = new Map<string, Customer>()
 
   /**
-   * @param revision - revision the configuration was accepted under
-   * @param configuration - documents with valid references
+   * @param revision - revision of the configuration
+   * @param configuration - documents whose references have been checked
    */
   constructor (readonly revision: number, readonly configuration: Configuration) {
     for (const document of configuration.documents) {
--- a/packages/schema/src/lib/Refusal.test.ts
+++ b/packages/schema/src/lib/Refusal.test.ts
@@ -5,7 +5,7 @@
 const DETAILS = { reason: 'endpoint-failed', status: 502, detail: '' } as const
 
 describe('DispatchRecord', () => {
-  it('lets a refusal say "not run" only while nothing may have run', () => {
+  it('allows a refusal to state "not run" only while no attempt may have run', () => {
     const record = new DispatchRecord()
     expect(refuse(DETAILS, record).run).toBe('not-run')
     record.markDispatched()
@@ -22,7 +22,7 @@
     expect(refuse(DETAILS, record).run).toBe('unknown')
   })
 
-  it('hands out no proof after a dispatch', () => {
+  it('issues no proof after a dispatch', () => {
     const record = new DispatchRecord()
     record.markDispatched()
     expect(() => NotDispatched.issue(record)).toThrow(InvariantViolation)
--- a/packages/schema/src/lib/Refusal.ts
+++ b/packages/schema/src/lib/Refusal.ts
@@ -1,16 +1,16 @@
 /**
  * Refusals to callers, and the proof that a request was not run.
  *
- * A refusal that says "not run" needs a {@link NotDispatched} token. Only a
- * {@link DispatchRecord} hands one out, and only while nothing has left for an
- * endpoint, so "not run" cannot be stated once a byte may have been sent.
+ * A refusal that states "not run" requires a {@link NotDispatched} token. Only a
+ * {@link DispatchRecord} issues one, and only while no attempt may have reached an
+ * endpoint, so a refusal cannot state "not run" once a byte may have been sent.
  */
 import { assertInvariant } from './invariant.js'
 
 /** Whether a refused request may have been executed by an endpoint. */
 export type RunState = 'not-run' | 'unknown'
 
-/** Why a request was refused: the last part of the problem type, and the metric label. */
+/** Why a request was refused. Used as the last part of the problem type and as a metric label. */
 export const REFUSAL_REASONS = [
   'malformed-json', 'invalid-body', 'headers-too-large', 'body-too-large', 'unknown-credential', 'unknown-service', 'unknown-path',
   'idempotency-key-required', 'idempotency-key-reused', 'idempotency-in-progress', 'idempotency-outcome-unknown',
@@ -21,18 +21,18 @@
 /** @public */
 export type RefusalReason = typeof REFUSAL_REASONS[number]
 
-/** Proof that no byte of a request has left for any endpoint. */
+/** Proof that no endpoint can have run a request. */
 export class NotDispatched {
   private readonly proven = true
 
   /** @internal Only {@link DispatchRecord} constructs this. */
   static issue (record: DispatchRecord): NotDispatched {
-    assertInvariant(!record.mayHaveRun, 'not-run-is-true', () => 'proof asked for after a dispatch')
+    assertInvariant(!record.mayHaveRun, 'not-run-is-true', () => 'proof requested after a dispatch')
     return new NotDispatched()
   }
 
   private constructor () {
-    assertInvariant(this.proven, 'not-run-is-true', () => 'unproven')
+    assertInvariant(this.proven, 'not-run-is-true', () => 'constructed without proof')
   }
 }
 
@@ -40,24 +40,24 @@
 export class DispatchRecord {
   #attemptsThatMayHaveRun = 0
 
-  /** True once an attempt was sent whose outcome is not known to be "did not start". */
+  /** Whether any attempt was dispatched that is not known to have failed before it started. */
   get mayHaveRun (): boolean {
     return this.#attemptsThatMayHaveRun > 0
   }
 
-  /** Call before the first byte is handed to the network. */
+  /** Must be called before the first byte of an attempt is sent. */
   markDispatched (): void {
     this.#attemptsThatMayHaveRun += 1
   }
 
-  /** Call when the endpoint itself, or a failed connect, says that the last attempt did not start. */
+  /** Must be called when the endpoint, or a failure to connect, shows that the last attempt did not start. */
   markNotStarted (): void {
     assertInvariant(this.#attemptsThatMayHaveRun > 0, 'dispatch-balance', () => 'no attempt to retract')
     this.#attemptsThatMayHaveRun -= 1
   }
 
   /**
-   * Hands out the proof needed for a "not run" refusal.
+   * Issues the proof required for a "not run" refusal.
    *
    * @returns the proof, or undefined if the request may have run
    */
@@ -66,19 +66,19 @@
   }
 }
 
-/** A final negative answer to a caller. */
+/** A final refusal to a caller. */
 export interface Refusal {
   readonly reason: RefusalReason
   readonly status: number
   readonly run: RunState
   readonly detail: string
-  /** Name of the offending field, if one is to blame. */
+  /** Name of the invalid field, if the refusal is due to one. */
   readonly field?: string
-  /** Seconds after which a retry makes sense. */
+  /** Seconds after which the caller should retry. */
   readonly retryAfterSeconds?: number
 }
 
-/** What a refusal says besides its run state. */
+/** All parts of a refusal except the run state. */
 export interface RefusalDetails {
   readonly reason: RefusalReason
   readonly status: number
@@ -88,7 +88,7 @@
 }
 
 /**
- * Builds a refusal that states "not run".
+ * Creates a refusal that states "not run".
  *
  * @param details - reason, status and text
  * @param proof - proof that nothing was dispatched
@@ -100,11 +100,11 @@
 }
 
 /**
- * Builds the strongest refusal the record allows.
+ * Creates a refusal that states "not run" if the record proves it, and "unknown" otherwise.
  *
  * @param details - reason, status and text
- * @param record - what was dispatched so far
- * @returns a refusal that says "not run" only if that is proven
+ * @param record - record of the attempts so far
+ * @returns the refusal
  */
 export function refuse (details: RefusalDetails, record: DispatchRecord): Refusal {
   const proof = record.proveNotRun()
--- a/packages/schema/src/lib/checkReferences.ts
+++ b/packages/schema/src/lib/checkReferences.ts
@@ -1,7 +1,7 @@
-/** Checks that spans documents: unique names, and references that resolve. */
+/** Checks across documents: names must be unique, and references must resolve. */
 import type { Configuration, ConfigurationDocument } from './configuration.js'
 
-/** A reference or name that does not hold up against the other documents. */
+/** A reference, name or credential that is invalid in combination with the other documents. */
 export interface ReferenceProblem {
   readonly documentIndex: number
   readonly field: string
@@ -9,10 +9,10 @@
 }
 
 /**
- * Finds duplicate names and dangling references.
+ * Finds duplicate names, duplicate credentials and dangling references.
  *
- * @param configuration - documents that are each valid by themselves
- * @returns one entry for each problem, empty if there is none
+ * @param configuration - documents that each match their schema
+ * @returns all problems, empty if there are none
  */
 export function checkReferences (configuration: Configuration): ReferenceProblem[] {
   const problems: ReferenceProblem[] = []
--- a/packages/schema/src/lib/completions.ts
+++ b/packages/schema/src/lib/completions.ts
@@ -1,4 +1,4 @@
-/** Callers' completion requests, in the widely used chat and text completion form. */
+/** Schemas of completion requests, in the widely used chat and text completion format. */
 import { z } from 'zod'
 
 const sampling = {
@@ -30,10 +30,11 @@
 export type ChatCompletion = z.infer<typeof chatCompletionSchema>
 
 /**
- * Renders chat messages to the prompt that the engine caches by prefix.
+ * Renders chat messages as a prompt. Requests with equal leading messages get prompts
+ * with an equal prefix, so that engines can reuse their prefix caches.
  *
  * @param request - chat request
- * @returns the prompt; equal leading messages give an equal leading text
+ * @returns the prompt
  */
 export function renderChatPrompt (request: ChatCompletion): string {
   const turns = request.messages.map(message => `<|${message.role}|>\n${message.content}\n`)
--- a/packages/schema/src/lib/invariant.ts
+++ b/packages/schema/src/lib/invariant.ts
@@ -1,8 +1,8 @@
-/** Thrown when the program finds its own state to be impossible. The process must stop. */
+/** Thrown when an internal invariant is violated. The process must stop. */
 export class InvariantViolation extends Error {
   /**
    * @param invariant - short stable name, used as a metric label
-   * @param detail - what was seen
+   * @param detail - the state that violates the invariant
    */
   constructor (readonly invariant: string, detail: string) {
     super(`invariant ${invariant} broken: ${detail}`)
@@ -11,11 +11,11 @@
 }
 
 /**
- * Asserts an invariant, in production too.
+ * Asserts an invariant, including in production.
  *
  * @param condition - must be true
  * @param invariant - short stable name of the invariant
- * @param detail - computed only on failure
+ * @param detail - returns the detail of the error; called only on failure
  * @throws InvariantViolation if the condition is false
  */
 export function assertInvariant (condition: boolean, invariant: string, detail: () => string): asserts condition {
@@ -23,9 +23,9 @@
 }
 
 /**
- * Marks a switch as exhaustive; does not compile while a case is missing.
+ * Marks a switch as exhaustive: the code does not compile while a case is missing.
  *
- * @param value - the value no case matched
+ * @param value - value that matched no case
  */
 export function unreachable (value: never): never {
   throw new InvariantViolation('exhaustive-switch', JSON.stringify(value))
--- a/packages/schema/src/lib/parseConfiguration.test.ts
+++ b/packages/schema/src/lib/parseConfiguration.test.ts
@@ -20,10 +20,10 @@
     ['a name defined twice', `${MODEL}---\n${MODEL}`, { line: 6, field: 'name', message: 'model/base is defined twice' }],
     ['a dangling reference', `${MODEL}---\nkind: service\ntype: model\nname: s\nmodel: base\nprofile: none\n`, { line: 6, field: 'profile', message: 'profile/none is not defined' }],
     ['text that is not YAML', 'kind: [model\n', { field: '' }]
-  ])('says where %s is', (_name, text, mistake) => {
+  ])('reports the position of %s', (_name, text, expected) => {
     const parsed = parseConfiguration(text)
     expect(parsed.ok).toBe(false)
-    if (!parsed.ok) expect(parsed.error[0]).toMatchObject(mistake)
+    if (!parsed.ok) expect(parsed.error[0]).toMatchObject(expected)
   })
 
   it('refuses two customers with one credential', () => {
--- a/packages/schema/src/lib/parseConfiguration.ts
+++ b/packages/schema/src/lib/parseConfiguration.ts
@@ -1,4 +1,4 @@
-/** Reads configuration files and says where each mistake is. */
+/** Parses configuration files and reports the position of each error. */
 import { LineCounter, parseAllDocuments, isNode } from 'yaml'
 import type { z } from 'zod'
 import type { Configuration, ConfigurationDocument } from './configuration.js'
@@ -8,7 +8,7 @@
 import { checkReferences } from './checkReferences.js'
 import { fail, succeed, type Result } from './Result.js'
 
-/** A mistake in a configuration file. */
+/** An error in a configuration file. */
 export interface ConfigurationError {
   readonly line: number
   readonly field: string
@@ -29,7 +29,7 @@
  *
  * @param text - one or more YAML documents
  * @param options - whether references must resolve within the text
- * @returns the configuration, or every mistake with its line and field
+ * @returns the configuration, or all errors with line and field
  */
 export function parseConfiguration (text: string, options = { checkReferences: true }): Result<Configuration, ConfigurationError[]> {
   const lineCounter = new LineCounter()
--- a/packages/schema/src/lib/parseRetryAfter.ts
+++ b/packages/schema/src/lib/parseRetryAfter.ts
@@ -1,6 +1,6 @@
-/** Reads the pause that an endpoint asks for (RFC 9110, section 10.2.3; seconds may have fractions). */
+/** Parses the Retry-After header (RFC 9110, section 10.2.3), with fractional seconds allowed. */
 
-/** Longest pause that one answer can ask for, in milliseconds: what an endpoint asks for by mistake has an end. */
+/** Longest pause that one answer can request, so that a wrong value does not exclude an endpoint for long. */
 const MAX_RETRY_AFTER_MS = 300_000
 
 const MILLISECONDS_PER_SECOND = 1000
@@ -8,9 +8,9 @@
 const SECONDS = /^\d+(\.\d+)?$/
 
 /**
- * @param text - value of the header, if there is one
- * @param wallNowMs - Unix milliseconds, for values that name a time of day
- * @returns milliseconds, or undefined if the value says nothing
+ * @param text - value of the header, if present
+ * @param wallNowMs - current Unix time in milliseconds, for values that are dates
+ * @returns pause in milliseconds, or undefined if the value is invalid or requests no pause
  */
 export function parseRetryAfter (text: string | undefined, wallNowMs: number): number | undefined {
   if (text === undefined) return undefined
--- a/packages/schema/src/lib/quarantineEntry.ts
+++ b/packages/schema/src/lib/quarantineEntry.ts
@@ -1,4 +1,4 @@
-/** What is agreed about requests that may crash the endpoints that run them. */
+/** Replicated state of requests that may crash the endpoints that run them. */
 import { z } from 'zod'
 
 const MAX_NAME_LENGTH = 200
@@ -8,34 +8,34 @@
 const serviceSchema = z.string().min(1).max(MAX_NAME_LENGTH)
 
 export const quarantineStateSchema = z.enum([
-  /** It was at more than one endpoint that crashed; hosts say if it completes. */
+  /** The request was running at more than one endpoint that crashed. Hosts report if it completes. */
   'suspected',
-  /** It crashed the endpoints that ran it, and is not run. */
+  /** The request crashed the endpoints that ran it, and is refused. */
   'quarantined',
-  /** It is run again; one more crash is enough to quarantine it. */
+  /** The request is run again. One more crash puts it back into quarantine. */
   'released'
 ])
 
-/** Agreed on by the control hosts. */
+/** State of one fingerprint, replicated among the control hosts. */
 export const quarantineEntrySchema = z.strictObject({
   fingerprint: fingerprintSchema,
   service: serviceSchema,
   state: quarantineStateSchema,
-  /** When this state ends, on the agreed clock, in milliseconds. */
+  /** When the state ends, in milliseconds on the replicated clock. */
   endsAt: z.number(),
-  /** How many times it was quarantined. */
+  /** How often the fingerprint was quarantined. */
   quarantines: z.number().int().min(0)
 })
 
-/** As hosts are told: clocks of hosts differ, so they hear what is left. */
+/** Form in which entries are sent to other hosts. It has the remaining time instead of the end because the clocks of hosts differ. */
 export const quarantineEntryMessageSchema = quarantineEntrySchema.omit({ endsAt: true }).extend({ leftMs: z.number() })
 
-/** A step that the leader proposes. */
+/** A state change that the leader proposes. */
 export const quarantineDecisionSchema = z.strictObject({
   fingerprint: fingerprintSchema,
   service: serviceSchema,
   decision: z.enum(['suspect', 'quarantine', 'clear']),
-  /** How long it holds, in milliseconds; 0 for `clear`. */
+  /** Duration of the new state, in milliseconds; 0 for `clear`. */
   forMs: z.number().min(0)
 })
 
--- a/packages/schema/src/lib/site/checkSite.test.ts
+++ b/packages/schema/src/lib/site/checkSite.test.ts
@@ -19,20 +19,20 @@
 }
 
 describe('checkSite', () => {
-  it('accepts a site whose parts fit together', () => {
+  it('accepts a consistent site', () => {
     expect(checkSite(site())).toBeUndefined()
   })
 
   it.each([
-    ['a route to no service', site({ routes: [route('a', { targets: [{ service: 'none', weight: 1 }] })] }), 'routes.a.targets'],
+    ['a route to a service that does not exist', site({ routes: [route('a', { targets: [{ service: 'none', weight: 1 }] })] }), 'routes.a.targets'],
     ['weights that add up to 0', site({ routes: [route('a', { targets: [{ service: 'app', weight: 0 }] })] }), 'routes.a.targets'],
-    ['two routes at one place', site({ routes: [route('a'), route('b', { host: 'H', pathPrefix: '/a/' })] }), 'routes.b.pathPrefix'],
-    ['a key of two customers', site({ customers: [{ name: 'x', keys: ['k'], isIsolated: false }, { name: 'y', keys: ['k'], isIsolated: false }] }), 'customers.y.keys']
-  ])('names the place of %s', (_what, wrong, field) => {
+    ['two routes with the same host and path prefix', site({ routes: [route('a'), route('b', { host: 'H', pathPrefix: '/a/' })] }), 'routes.b.pathPrefix'],
+    ['a key that two customers have', site({ customers: [{ name: 'x', keys: ['k'], isIsolated: false }, { name: 'y', keys: ['k'], isIsolated: false }] }), 'customers.y.keys']
+  ])('returns the field of %s', (_what, wrong, field) => {
     expect(checkSite(wrong)?.field).toBe(field)
   })
 
-  it('does not take a store for a service that routes may lead to', () => {
+  it('rejects a route to a store', () => {
     const stores: Site['services'] = [{ type: 'store', name: 'app', address: '10.0.0.1:1', dataCentre: 'n', cacheTokens: 1, linkMbps: 1, firstByteMs: 0, isManaged: true }]
     expect(checkSite(site({ services: stores }))?.field).toBe('routes.a.targets')
   })
--- a/packages/schema/src/lib/site/checkSite.ts
+++ b/packages/schema/src/lib/site/checkSite.ts
@@ -1,17 +1,18 @@
-/** Checks of a site that reach across its parts. */
+/** Checks across the parts of a site. */
 import type { Route, Site } from './siteSchema.js'
 
-/** What is wrong with a site, and where. */
+/** An error in a site. */
 export interface SiteProblem {
-  /** Path of the offending field, such as `routes.r-1.targets`. */
+  /** Path of the invalid field, such as `routes.r-1.targets`. */
   readonly field: string
   readonly message: string
 }
 
 /**
- * Looks for references to nothing and for places or keys that are taken twice.
+ * Checks that route targets exist and have weight, that no two routes share host and
+ * path prefix, and that no two customers share a key.
  *
- * @param site - a site that its schema accepts
+ * @param site - site that matches its schema
  * @returns the first problem, or undefined
  */
 export function checkSite (site: Site): SiteProblem | undefined {
--- a/packages/schema/src/lib/site/isLaterStart.ts
+++ b/packages/schema/src/lib/site/isLaterStart.ts
@@ -1,13 +1,13 @@
-/** Order of the starts of one endpoint. */
+/** Comparison of the start times of one endpoint. */
 
 /**
- * Whether a stated start begins a new incarnation. Starts are read from the clock
- * of the endpoint's own host, so they are compared with each other only, never
- * with a clock of ours. A statement without a start says nothing of a restart.
+ * Whether a stated start time belongs to a newer incarnation. Start times come from
+ * the clock of the endpoint's host, so they are only compared with each other and
+ * never with a local clock. A message without a start time does not indicate a restart.
  *
- * @param stated - start that a message states, in Unix milliseconds
- * @param known - latest start known so far of the same endpoint, in Unix milliseconds
- * @returns true if whatever was learnt under the known start holds no more
+ * @param stated - start time in a message, in Unix milliseconds
+ * @param known - latest known start time of the same endpoint, in Unix milliseconds
+ * @returns true if everything known about the earlier incarnation is outdated
  */
 export function isLaterStart (stated: number | undefined, known: number | undefined): boolean {
   return stated !== undefined && (known === undefined || stated > known)
--- a/packages/schema/src/lib/site/listedEndpoint.ts
+++ b/packages/schema/src/lib/site/listedEndpoint.ts
@@ -1,24 +1,24 @@
-/** Endpoints as the platform's membership list states them. */
+/** Schema of endpoints in the platform's member list. */
 import { z } from 'zod'
 
-/** Weights that an engine holds, as far as the list knows. */
+/** A model version that is loaded in an engine, according to the list. */
 export const loadedModelSchema = z.strictObject({ model: z.string(), version: z.number().int().min(0) })
 
-/** One endpoint of a list that lags behind. */
+/** One endpoint of the list, which lags behind the actual state. */
 export const listedEndpointSchema = z.strictObject({
-  /** Kept over restarts; together with {@link startedAtMs} it names one incarnation. */
+  /** Unchanged across restarts. Together with {@link startedAtMs} it identifies one incarnation. */
   id: z.string(),
-  /** Start of the incarnation on the endpoint's own clock, in Unix milliseconds; absent if it is not known. */
+  /** Start of the incarnation on the endpoint's own clock, in Unix milliseconds; absent if unknown. */
   startedAtMs: z.number().int().optional(),
   service: z.string(),
   address: z.string(),
   dataCentre: z.string(),
   slots: z.number().int().min(0),
   isLeaving: z.boolean(),
-  /** Whether an order under way keeps it from starting new work. */
+  /** Whether an order in progress keeps the endpoint from starting new work. */
   isBusy: z.boolean(),
   models: z.array(loadedModelSchema),
-  /** Whether it has started lately and takes few requests a second; absent if it does not say. */
+  /** Whether the endpoint has started recently and accepts few requests per second; absent if the endpoint does not state it. */
   isCold: z.boolean().optional()
 })
 
--- a/packages/schema/src/lib/site/siteSchema.ts
+++ b/packages/schema/src/lib/site/siteSchema.ts
@@ -1,49 +1,49 @@
 /**
- * A site: everything that operators put in force as a whole under one version
- * number. Routes lead requests to services; customers hold the keys.
+ * A site: everything that operators deploy together under one version number.
+ * Routes direct requests to services, and customers have the keys that requests carry.
  *
- * Durations are in milliseconds. Unlike the documents of a configuration, which
- * change one by one, a site is replaced whole, and the highest version wins.
+ * Durations are in milliseconds. The documents of a configuration can change
+ * individually, whereas a site is replaced as a whole, and the highest version wins.
  */
 import { z } from 'zod'
 
 const name = z.string().min(1).max(200)
 const positive = z.number().positive()
 
-/** What may be repeated: safe requests may run more than once, unsafe ones once at most, streams once unless resumable. */
+/** How often a request may run: safe requests more than once, unsafe requests at most once, streams once unless resumable. */
 export const routeKindSchema = z.enum(['safe', 'unsafe', 'stream'])
 
-/** One share of a route's traffic. */
+/** A service that gets a share of a route's traffic. */
 export const routeTargetSchema = z.strictObject({ service: name, weight: z.number().min(0) })
 
-/** Leads requests of one host and path prefix to services. */
+/** Directs requests for one host and path prefix to services. */
 export const routeSchema = z.strictObject({
   name,
   host: z.string(),
-  /** Begins and ends with a slash; the longest that begins the path wins. */
+  /** Begins and ends with a slash. The longest matching prefix wins. */
   pathPrefix: z.string(),
   kind: routeKindSchema,
-  /** Whether a broken stream may go on at another endpoint behind its last event. */
+  /** Whether an interrupted stream may continue at another endpoint after its last event. */
   isResumable: z.boolean(),
   /** Most endpoints on which one request may run. */
   attempts: z.number().int().min(1),
   timeoutMs: positive,
-  /** An answer within this time is on time; for streams, its first event. */
+  /** Time within which an answer, or the first event of a stream, is on time. */
   targetLatencyMs: positive,
-  /** Rank of its requests; 0 is the most urgent. */
+  /** Priority of the route's requests; 0 is the most urgent. */
   priority: z.number().int().min(0),
   /** Whether requests need no key. */
   isPublic: z.boolean(),
-  /** Whether requests state their prompt's parts, so that returning to the same engine saves work. */
+  /** Whether requests state the parts of their prompt, so that an engine can reuse parts that it holds. */
   keepsPrompts: z.boolean(),
-  /** Longest pause between events of a stream that is still on time; 0 where none is stated. */
+  /** Longest pause between events of a stream that counts as on time; 0 if there is no limit. */
   longestPauseMs: z.number().min(0),
   targets: z.array(routeTargetSchema).min(1),
-  /** Regions in which its requests have to stay; absent or empty if they may go anywhere. */
+  /** Regions that the route's requests must not leave; absent or empty if there is no restriction. */
   allowedRegions: z.array(name).optional()
 })
 
-/** What the engines of a model service can do. */
+/** Capabilities of the engines of a model service. */
 export const engineTraitsSchema = z.strictObject({
   slots: z.number().int().min(1),
   cacheTokens: z.number().min(0),
@@ -52,17 +52,17 @@
   models: z.array(name)
 })
 
-/** A service that routes lead to, or a store of kept prompts. */
+/** A service that routes lead to, or a store of cached prompts. */
 export const siteServiceSchema = z.discriminatedUnion('type', [
   z.strictObject({
     type: z.literal('replicated'),
     name,
-    /** Connections that one endpoint takes from all callers together; 0 if it states none. */
+    /** Connections that one endpoint accepts from all callers together; 0 if no limit is stated. */
     connectionsPerEndpoint: z.number().int().min(0),
     healthPath: z.string(),
-    /** Requests a second that one of its endpoints takes from all hosts together while it is cold; absent if it states none. */
+    /** Requests per second that a cold endpoint accepts from all hosts together; absent if no limit is stated. */
     coldRequestsPerSecond: positive.optional(),
-    /** Set for services of model engines. */
+    /** Present only for services of model engines. */
     engine: engineTraitsSchema.optional()
   }),
   z.strictObject({
@@ -72,26 +72,26 @@
     dataCentre: z.string(),
     cacheTokens: z.number().min(0),
     linkMbps: z.number().min(0),
-    /** Wait before the first byte of each transfer. */
+    /** Latency to the first byte of each transfer. */
     firstByteMs: z.number().min(0),
-    /** Whether the store drops nothing by itself. */
+    /** Whether the store evicts nothing by itself. */
     isManaged: z.boolean()
   })
 ])
 
-/** Whoever pays for requests; its keys say who asks. */
+/** A customer, identified by the key that a request carries. */
 export const siteCustomerSchema = z.strictObject({
   name,
   keys: z.array(z.string().min(1)),
-  /** Goes before the rank of the route. */
+  /** Takes precedence over the priority of the route. */
   priority: z.number().int().min(0).optional(),
-  /** Shares no kept prompt with anybody else. */
+  /** Whether the customer's cached prompts are shared with no other customer. */
   isIsolated: z.boolean(),
-  /** Regions in which its requests have to stay; absent or empty if they may go anywhere. */
+  /** Regions that the customer's requests must not leave; absent or empty if there is no restriction. */
   allowedRegions: z.array(name).optional()
 })
 
-/** Bounds on what a caller may send, and how long it may take. */
+/** Limits on the size of requests and the time that callers may take to send them. */
 export const callerLimitsSchema = z.strictObject({
   headerBytes: z.number().int().min(1),
   bodyBytes: z.number().int().min(0),
@@ -99,12 +99,12 @@
   idleTimeoutMs: positive
 })
 
-/** A whole site. */
+/** A complete site. */
 export const siteSchema = z.strictObject({
   version: z.number().int().min(0),
   routes: z.array(routeSchema),
   services: z.array(siteServiceSchema),
-  /** Absent where requests need no key at all. */
+  /** Absent if no request needs a key. */
   customers: z.array(siteCustomerSchema).optional(),
   limits: callerLimitsSchema
 })
--- a/packages/schema/src/lib/site/storedParts.ts
+++ b/packages/schema/src/lib/site/storedParts.ts
@@ -1,26 +1,26 @@
-/** Prompt parts that stores hold, as control hosts tell entry hosts. */
+/** Messages with which control hosts tell entry hosts which prompt parts stores hold. */
 import { z } from 'zod'
 
-/** A part under the cache salt that it was saved with. */
+/** A part, with the cache salt under which it was saved. */
 export const storedPartSchema = z.tuple([z.string(), z.string()]).describe('cache salt and part id')
 
-/** What changed at one store. */
+/** Changes at one store. */
 export const storeChangeSchema = z.strictObject({
   store: z.string(),
-  /** `whole`: `added` is all that it holds; `delta`: nothing else changed; `lost`: it does not answer and must not be used. */
+  /** `whole`: `added` lists everything that the store holds; `delta`: `added` and `removed` list all changes; `lost`: the store does not respond and must not be used. */
   kind: z.enum(['whole', 'delta', 'lost']),
   added: z.array(storedPartSchema),
   removed: z.array(storedPartSchema)
 })
 
-/** One message of a watch. In between, status answers say that nothing has changed. */
+/** One message of a watch. Between messages, status answers state that nothing has changed. */
 export const storedPartsMessageSchema = z.strictObject({
-  /** Names the life of the process that counts the changes. */
+  /** Identifies the incarnation of the process that numbers the changes. */
   incarnation: z.string(),
-  /** Changes of all stores that the process has seen, up to the last one in this message. */
+  /** Number of changes at all stores that the process has observed, up to the last one in this message. */
   version: z.int().min(0),
   changes: z.array(storeChangeSchema),
-  /** Clock of stores and engines when the message was sent, in milliseconds; absent until one has stated it. */
+  /** Clock of stores and engines when the message was sent, in milliseconds; absent until a store or engine has stated it. */
   clockMs: z.number().optional()
 })
 
