--- a/packages/backends/src/lib/EngineClient.ts
+++ b/packages/backends/src/lib/EngineClient.ts
@@ -106,7 +106,7 @@
         yield succeed(parsed.data)
       }
     }
-    if (!sawEnd) yield fail({ kind: 'lost', detail: 'the stream ended without an end mark' })
+    if (!sawEnd) yield fail({ kind: 'lost', detail: 'the stream ended without an end message' })
   } catch (error) {
     yield fail(toBackendError(error))
   }
--- a/packages/cache/src/lib/DirectoryShard.test.ts
+++ b/packages/cache/src/lib/DirectoryShard.test.ts
@@ -3,8 +3,8 @@
 
 const SETTINGS: ShardSettings = { readLeaseMs: 100, writeReservationMs: 200, ownershipMs: 50, deletionMs: 30, customerShare: 0.5, blocksPerObject: 4 }
 
-/** End of the grace period of an owner that starts at 0. */
-const GRACE_PERIOD_END = 281
+/** A time just after the grace period of an owner that starts at 0. */
+const AFTER_GRACE_PERIOD = 281
 
 const chain = (name: string, length: number, shared: readonly string[] = []): string[] =>
   [...shared, ...Array.from({ length: length - shared.length }, (_, index) => `${name}${shared.length + index}`)]
@@ -50,7 +50,7 @@
       const shard = createShard()
       const reserved = shard.reserve({ customer: 'ward', store: 's', keys: chain('a', 3), tokensPerBlock: 64 }, 0)
       expect(shard.publish(reserved?.name ?? '', ACKNOWLEDGED, 201)).toBe(false)
-      expect(shard.isOrphan(reserved?.name ?? '', GRACE_PERIOD_END)).toBe(true)
+      expect(shard.isOrphan(reserved?.name ?? '', AFTER_GRACE_PERIOD)).toBe(true)
     })
   })
 
@@ -74,7 +74,7 @@
   describe('freeing', () => {
     it('waits until the last lease on an unpublished object has ended', () => {
       const shard = createShard()
-      const [name = ''] = writeChain(shard, chain('a', 3), GRACE_PERIOD_END)
+      const [name = ''] = writeChain(shard, chain('a', 3), AFTER_GRACE_PERIOD)
       shard.lease(chain('a', 3), 0, () => 'l', 300)
       shard.unpublish(name)
       expect(shard.lease(chain('a', 3), 0, () => 'l', 301)).toEqual([])
@@ -86,9 +86,9 @@
       const shard = createShard()
       const [name = ''] = writeChain(shard, chain('a', 3), 0)
       shard.unpublish(name)
-      expect(shard.deletable(GRACE_PERIOD_END - 2)).toEqual([])
-      expect(shard.isOrphan('s3-e6-n9', GRACE_PERIOD_END - 2)).toBe(false)
-      expect(shard.deletable(GRACE_PERIOD_END)).toEqual([{ store: 's', name }])
+      expect(shard.deletable(AFTER_GRACE_PERIOD - 2)).toEqual([])
+      expect(shard.isOrphan('s3-e6-n9', AFTER_GRACE_PERIOD - 2)).toBe(false)
+      expect(shard.deletable(AFTER_GRACE_PERIOD)).toEqual([{ store: 's', name }])
     })
 
     it('adopts objects of a previous owner once its last deletion must have arrived', () => {
--- a/packages/policy/src/lib/health/EndpointTable.ts
+++ b/packages/policy/src/lib/health/EndpointTable.ts
@@ -3,7 +3,7 @@
  *
  * Endpoint state comes from three sources: the platform's member list, which
  * lags behind, the endpoint's own reports, and its answers to requests. Once any
- * of them says "leaving", the endpoint counts as leaving for the rest of that
+ * of them states "leaving", the endpoint counts as leaving for the rest of that
  * incarnation. Only a recent report from the endpoint itself shows that it is
  * alive: the list may have stopped updating.
  */
@@ -138,7 +138,7 @@
     return this.#endpoints.get(name)?.incarnation ?? 0
   }
 
-  /** @returns whether any source has said that the endpoint is leaving */
+  /** @returns whether any source has reported that the endpoint is leaving */
   isLeaving (name: string): boolean {
     return this.#endpoints.get(name)?.leaving ?? false
   }
--- a/packages/policy/src/lib/limits/AdmissionQueue.ts
+++ b/packages/policy/src/lib/limits/AdmissionQueue.ts
@@ -41,7 +41,7 @@
 const DRAIN_SMOOTHING = 0.1
 
 /** Number of tracked customers at which idle ones are removed. */
-const MAX_TRACKED_CUSTOMERS = 1000
+const CUSTOMER_CLEANUP_THRESHOLD = 1000
 
 /** Drain rate assumed until it has been measured, in tokens per millisecond. */
 const INITIAL_DRAIN_TOKENS_PER_MS = 1
@@ -176,9 +176,9 @@
     return outcomes
   }
 
-  /** Removes customers whose start tag is behind virtual time, where it no longer affects their order. */
+  /** Removes customers whose start tag is not ahead of virtual time, because it no longer affects the order. */
   #forgetIdleCustomers (): void {
-    if (this.#customerTags.size < MAX_TRACKED_CUSTOMERS) return
+    if (this.#customerTags.size < CUSTOMER_CLEANUP_THRESHOLD) return
     for (const [customer, tag] of this.#customerTags) {
       if (tag <= this.#virtualTime) this.#customerTags.delete(customer)
     }
--- a/packages/policy/src/lib/limits/admitDuringShutdown.test.ts
+++ b/packages/policy/src/lib/limits/admitDuringShutdown.test.ts
@@ -4,7 +4,7 @@
 const createContext = (overrides: Partial<ShutdownContext>): ShutdownContext =>
   ({ timeToKillMs: 8000, remainingMs: 12_000, expectedMs: undefined, hasBalancerLagElapsed: false, ...overrides })
 
-describe('admitWhileStopping', () => {
+describe('admitDuringShutdown', () => {
   describe('a request whose deadline is before the kill', () => {
     it('is admitted, whether or not the balancer has noticed the shutdown', () => {
       expect(admitDuringShutdown(createContext({ remainingMs: 3000, hasBalancerLagElapsed: true }))).toBe(true)
--- a/packages/policy/src/lib/placement/CostPlacement.test.ts
+++ b/packages/policy/src/lib/placement/CostPlacement.test.ts
@@ -86,7 +86,7 @@
   })
 })
 
-describe('decideKeep', () => {
+describe('decideExport', () => {
   const decide = (overrides: Partial<ExportContext>): string => decideExport({
     keep: 'by-value',
     returnChance: 0.5,
--- a/packages/schema/src/lib/parseRetryAfter.test.ts
+++ b/packages/schema/src/lib/parseRetryAfter.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { parseRetryAfter } from './parseRetryAfter.js'
 
-describe('readRetryAfter', () => {
+describe('parseRetryAfter', () => {
   const now = Date.parse('Thu, 01 Jan 2026 00:00:00 GMT')
 
   it.each([['3', 3000], [' 0.25 ', 250], ['Thu, 01 Jan 2026 00:00:02 GMT', 2000]])('parses "%s"', (text, milliseconds) => {
