--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -12,12 +12,12 @@
 import { rejectEntry, type RejectedEntries, type RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { endpointsOfSite } from './endpointsOfSite.js'
-import { EndpointRegister, type EndpointReading, type EndpointRestart } from './EndpointRegister.js'
+import { EndpointRegistry, type EndpointListing, type EndpointRestart } from './EndpointRegistry.js'
 
 /** Where the list comes from. */
 export interface EndpointSource {
   /** @returns what could be read of the list, or why there was no answer */
-  list (): Promise<Result<EndpointReading, { readonly kind: string }>>
+  list (): Promise<Result<EndpointListing, { readonly kind: string }>>
 }
 
 /** What this host knows of an endpoint beyond the list. */
@@ -31,7 +31,7 @@
 /** Keeps the newest list. */
 export class EndpointListTask {
   readonly #changes = new EventEmitter()
-  readonly #register = new EndpointRegister()
+  readonly #register = new EndpointRegistry()
   #overlays = new Map<string, EndpointOverlay>()
   #endpoints: readonly ListedEndpoint[] = []
   #fingerprint = ''
@@ -128,7 +128,7 @@
     }
   }
 
-  #take (reading: EndpointReading, now: number): void {
+  #take (reading: EndpointListing, now: number): void {
     if (reading.incompleteBecause === undefined) this.#readAt = now
     this.#logRestarts(this.#register.take(reading))
     this.#publish()
--- a/apps/entry/src/lib/PlannedStop.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -58,7 +58,7 @@
 const LAG_SHARE = 0.5
 
 /** One planned stop; does nothing until it begins. */
-export class PlannedStop {
+export class GracefulShutdown {
   #signalledAt: number | undefined
   #cutTimer: NodeJS.Timeout | undefined
   #endCut: () => void = () => {}
--- a/apps/entry/src/lib/routed/AnswerRelay.ts
+++ b/apps/entry/src/lib/routed/AnswerRelay.ts
@@ -1,5 +1,5 @@
 /** Passes an endpoint's answer on to the caller: events as they come, everything else when it is whole. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import { EventCursor } from '@eelgrassmux/runs/EventCursor'
 import type { CallerExchange } from './CallerExchange.js'
 import type { AnswerHead } from './RoutedAttempt.js'
--- a/apps/entry/src/lib/runs/Exporter.ts
+++ b/apps/entry/src/lib/runs/Exporter.ts
@@ -73,7 +73,7 @@
    *
    * @param run - the run
    */
-  async consider (run: FinishedRun): Promise<void> {
+  async exportIfWorthwhile (run: FinishedRun): Promise<void> {
     const ticket = this.work.beginFollowUp()
     const deadline = this.clock.now() + PATIENCE_MS
     while (!await this.#tryOnce(run) && this.clock.now() < deadline) await this.clock.sleep(PAUSE_MS)
