--- a/packages/backends/src/lib/HttpBackend.ts
+++ b/packages/backends/src/lib/HttpBackend.ts
@@ -1,14 +1,13 @@
-/** Plain HTTP calls to back ends, with errors in this layer's own terms. */
+/** HTTP calls to back ends. All failures are reported as {@link BackendError}. */
 import { errors, Pool, type Dispatcher } from 'undici'
 import type { z } from 'zod'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
-import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
+import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { BackendError } from './BackendError.js'
 
-/** Connections kept to one back end; runs hold one each. */
-const CONNECTIONS = 1024
+/** Most connections to one back end. Each run occupies one. */
+const MAX_CONNECTIONS = 1024
 
-/** Longest wait for a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1000
 
 /** A request without a body or with a JSON body. */
@@ -20,24 +19,24 @@
   readonly signal?: AbortSignal
 }
 
-/** One back end's address with its pooled connections. */
+/** Connection pool for one back end. */
 export class HttpBackend {
   readonly #pool: Pool
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (readonly address: string) {
-    this.#pool = new Pool(`http://${address}`, { connections: CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT_MS } })
+    this.#pool = new Pool(`http://${address}`, { connections: MAX_CONNECTIONS, connect: { timeout: CONNECT_TIMEOUT_MS } })
   }
 
   /**
-   * Calls and checks a JSON answer.
+   * Makes a call and validates its JSON answer.
    *
-   * @param call - what to send
-   * @param schema - what a successful answer must look like
-   * @returns the answer or the error
+   * @param call - request to send
+   * @param schema - schema of a successful answer
+   * @returns the answer, or the error
    */
-  async json<Answer> (call: HttpCall, schema: z.ZodType<Answer>): Promise<Result<Answer, BackendError>> {
-    const response = await this.open(call)
+  async requestJson<Answer> (call: HttpCall, schema: z.ZodType<Answer>): Promise<Result<Answer, BackendError>> {
+    const response = await this.openResponse(call)
     if (!response.ok) return response
     try {
       const parsed = schema.safeParse(await response.value.body.json())
@@ -49,12 +48,12 @@
   }
 
   /**
-   * Opens a response whose body the caller reads. Statuses of 300 and above become errors.
+   * Makes a call and leaves the response body to the caller. Statuses of 300 and above become errors.
    *
-   * @param call - what to send
+   * @param call - request to send
    * @returns the response, or the error
    */
-  async open (call: HttpCall): Promise<Result<Dispatcher.ResponseData, BackendError>> {
+  async openResponse (call: HttpCall): Promise<Result<Dispatcher.ResponseData, BackendError>> {
     try {
       const response = await this.#pool.request({
         method: call.method,
@@ -72,15 +71,15 @@
     }
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#pool.destroy()
   }
 }
 
 /**
- * @param error - thrown by the HTTP library
- * @returns the same in this layer's terms
+ * @param error - error thrown by the HTTP library
+ * @returns the corresponding back end error
  */
 export function toBackendError (error: unknown): BackendError {
   if (error instanceof errors.ConnectTimeoutError) return { kind: 'connect-failed' }
@@ -92,17 +91,17 @@
 }
 
 /**
- * @param headers - of an answer that says that the request was not started
- * @returns the pause that it asks for, if it asks for one
+ * @param headers - headers of an answer which states that the request was not started
+ * @returns the pause requested by the answer, if any
  */
 export function requestedPause (headers: Dispatcher.ResponseData['headers']): { readonly retryAfterMs?: number } {
   const value = headers['retry-after']
-  const retryAfterMs = readRetryAfter(Array.isArray(value) ? value[0] : value, Date.now())
+  const retryAfterMs = parseRetryAfter(Array.isArray(value) ? value[0] : value, Date.now())
   return retryAfterMs === undefined ? {} : { retryAfterMs }
 }
 
 function statusError ({ statusCode: status, headers }: Dispatcher.ResponseData, body: string): BackendError {
-  const reason = reasonOf(body)
+  const reason = parseReason(body)
   switch (reason) {
     case 'leaving':
     case 'full':
@@ -114,7 +113,7 @@
   }
 }
 
-function reasonOf (body: string): string {
+function parseReason (body: string): string {
   try {
     const parsed: unknown = JSON.parse(body)
     return typeof parsed === 'object' && parsed !== null && 'error' in parsed ? String(parsed.error) : ''
--- a/packages/backends/src/lib/StoreClient.ts
+++ b/packages/backends/src/lib/StoreClient.ts
@@ -1,30 +1,29 @@
-/** Adapter to one KV cache store. Block data flows between engines and stores; the system only lists and deletes. */
+/** Client for one KV cache store. Engines and stores transfer block data directly; this client only lists and deletes objects. */
 import { z } from 'zod'
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { BackendError } from './BackendError.js'
 import { HttpBackend } from './HttpBackend.js'
 
-const count = z.number().int().min(0)
+const nonNegativeInteger = z.number().int().min(0)
 
-/** Deadline of short calls, in milliseconds. */
-const SHORT_CALL_MS = 2000
+const SHORT_CALL_TIMEOUT_MS = 2000
 
 export const storeLoadSchema = z.object({
-  incarnation: count,
-  usedBytes: count,
-  capacityBytes: count,
-  backlogBytes: count
+  incarnation: nonNegativeInteger,
+  usedBytes: nonNegativeInteger,
+  capacityBytes: nonNegativeInteger,
+  backlogBytes: nonNegativeInteger
 })
 
-/** Only objects that are complete and whose checksum was verified are listed. */
+/** Listing of a store. It contains only complete objects whose checksum was verified. */
 export const storeListingSchema = z.object({
   objects: z.array(z.object({
     name: z.string(),
     customer: z.string(),
     keys: z.array(z.string()),
-    tokens: count,
-    firstBlock: count,
-    bytes: count,
+    tokens: nonNegativeInteger,
+    firstBlock: nonNegativeInteger,
+    bytes: nonNegativeInteger,
     sha256: z.string(),
     tier: z.enum(['memory', 'disk'])
   }))
@@ -33,7 +32,7 @@
 export type StoreLoad = z.infer<typeof storeLoadSchema>
 export type StoreListing = z.infer<typeof storeListingSchema>
 
-/** What the system asks of a store. */
+/** The operations of a store. */
 export interface StoreBackend {
   load (): Promise<Result<StoreLoad, BackendError>>
   list (): Promise<Result<StoreListing, BackendError>>
@@ -44,24 +43,24 @@
 export class StoreClient implements StoreBackend {
   readonly #http: HttpBackend
 
-  /** @param address - IP number and port */
+  /** @param address - IP address and port */
   constructor (address: string) {
     this.#http = new HttpBackend(address)
   }
 
   async load (): Promise<Result<StoreLoad, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_MS }, storeLoadSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/load', timeoutMs: SHORT_CALL_TIMEOUT_MS }, storeLoadSchema)
   }
 
   async list (): Promise<Result<StoreListing, BackendError>> {
-    return await this.#http.json({ method: 'GET', path: '/objects', timeoutMs: SHORT_CALL_MS }, storeListingSchema)
+    return await this.#http.requestJson({ method: 'GET', path: '/objects', timeoutMs: SHORT_CALL_TIMEOUT_MS }, storeListingSchema)
   }
 
   async remove (name: string): Promise<Result<unknown, BackendError>> {
-    return await this.#http.json({ method: 'DELETE', path: `/objects/${name}`, timeoutMs: SHORT_CALL_MS }, z.unknown())
+    return await this.#http.requestJson({ method: 'DELETE', path: `/objects/${name}`, timeoutMs: SHORT_CALL_TIMEOUT_MS }, z.unknown())
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   async close (): Promise<void> {
     await this.#http.close()
   }
--- a/packages/backends/src/lib/engineProtocol.ts
+++ b/packages/backends/src/lib/engineProtocol.ts
@@ -1,34 +1,34 @@
-/** The model engines' protocol, as far as the system uses it. */
+/** Schemas of the messages that are exchanged with model engines. */
 import { z } from 'zod'
 
-const count = z.number().int().min(0)
+const nonNegativeInteger = z.number().int().min(0)
 
 export const engineLoadSchema = z.object({
-  incarnation: count,
+  incarnation: nonNegativeInteger,
   state: z.enum(['serving', 'leaving']),
   model: z.string(),
   version: z.string(),
   loadingVersion: z.string().optional(),
-  running: count,
+  running: nonNegativeInteger,
   maxRunning: z.number().int().min(1),
   queuedTokens: z.number().min(0),
   prefillTokensPerMs: z.number().positive(),
   meanRunMs: z.number().min(0),
-  /** How long evicted blocks had lain unused; absent until something was evicted. */
+  /** How long blocks had been unused when they were evicted; absent until the first eviction. */
   residenceSeconds: z.number().min(0).optional(),
   bytesPerToken: z.number().min(0),
   ageMs: z.number().min(0)
 })
 
-export const cacheEventSchema = z.object({ sequence: count, kind: z.enum(['stored', 'removed']), keys: z.array(z.string()) })
+export const cacheEventSchema = z.object({ sequence: nonNegativeInteger, kind: z.enum(['stored', 'removed']), keys: z.array(z.string()) })
 
 export const cacheEventsSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('events'), incarnation: count, events: z.array(cacheEventSchema) }),
-  /** Events from the wanted number on are gone. */
-  z.object({ kind: z.literal('gap'), incarnation: count })
+  z.object({ kind: z.literal('events'), incarnation: nonNegativeInteger, events: z.array(cacheEventSchema) }),
+  /** The engine no longer has the events from the requested sequence number. */
+  z.object({ kind: z.literal('gap'), incarnation: nonNegativeInteger })
 ])
 
-export const cacheListingSchema = z.object({ incarnation: count, nextSequence: count, keys: z.array(z.string()) })
+export const cacheListingSchema = z.object({ incarnation: nonNegativeInteger, nextSequence: nonNegativeInteger, keys: z.array(z.string()) })
 
 export const runRequestSchema = z.object({
   run: z.string(),
@@ -37,20 +37,20 @@
   priority: z.number().int(),
   cacheSalt: z.string(),
   expectedVersion: z.string(),
-  /** Tokens of the answer that the caller already has; the run goes on behind them. */
+  /** Tokens of the answer that the caller already has; the run continues after them. */
   produced: z.array(z.string()),
-  /** Staged import to use; an unknown one is refused. */
+  /** Staged import to use. The engine refuses the run if it does not know the import. */
   importId: z.string().optional()
 })
 
 export const runMessageSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('tokens'), offset: count, tokens: z.array(z.string()), version: z.string() }),
+  z.object({ kind: z.literal('tokens'), offset: nonNegativeInteger, tokens: z.array(z.string()), version: z.string() }),
   z.object({
     kind: z.literal('end'),
-    length: count,
+    length: nonNegativeInteger,
     finishReason: z.enum(['stop', 'length']),
-    promptTokens: count,
-    cachedTokens: count,
+    promptTokens: nonNegativeInteger,
+    cachedTokens: nonNegativeInteger,
     version: z.string()
   })
 ])
@@ -58,26 +58,26 @@
 export const importRequestSchema = z.object({
   importId: z.string(),
   objects: z.array(z.object({
-    storeAddress: z.string(), name: z.string(), keys: z.array(z.string()), bytes: count, sha256: z.string()
+    storeAddress: z.string(), name: z.string(), keys: z.array(z.string()), bytes: nonNegativeInteger, sha256: z.string()
   }))
 })
 
-export const importResponseSchema = z.object({ bytes: count })
+export const importResponseSchema = z.object({ bytes: nonNegativeInteger })
 
 export const exportRequestSchema = z.object({
   storeAddress: z.string(),
   name: z.string(),
   customer: z.string(),
   keys: z.array(z.string()),
-  tokens: count,
-  /** Position of the first block in its chain. */
-  firstBlock: count
+  tokens: nonNegativeInteger,
+  /** Index of the first block in its chain. */
+  firstBlock: nonNegativeInteger
 })
 
-export const exportResponseSchema = z.object({ bytes: count, sha256: z.string(), tier: z.enum(['memory', 'disk']) })
+export const exportResponseSchema = z.object({ bytes: nonNegativeInteger, sha256: z.string(), tier: z.enum(['memory', 'disk']) })
 
 export const orderRequestSchema = z.object({
-  fence: z.object({ term: count, index: count }),
+  fence: z.object({ term: nonNegativeInteger, index: nonNegativeInteger }),
   order: z.object({ kind: z.literal('load-version'), model: z.string(), version: z.string() })
 })
 
