--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -92,13 +92,13 @@
     board: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
-    others: fleet.others,
+    others: fleet.otherHostsLoad,
     onAnswer: () => {
-      fleet.noteObservations()
+      fleet.applyObservations()
       server.releaseWaiting()
     }
   }, telemetry)
-  fleet.onWork(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
+  fleet.onWorkChange(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
   loads.start()
   const mayAct = (): boolean => settings.staleView === 'serve' ? link.site !== undefined : link.isReady()
   const crashReporter = new CrashReporter(address, { rpc, leader: () => link.leader, telemetry })
@@ -114,17 +114,17 @@
     regions: new Map(Object.entries(settings.dataCentres)),
     budget: { ratio: settings.retryRatio, slack: settings.retrySlack },
     liveHosts: () => link.liveEntries,
-    leftMsOn: (model, version) => olderWeights.leftMs(model, version, performance.now()),
+    remainingMsForVersion: (model, version) => olderWeights.leftMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
-    mayAct,
+    isSiteUsable: mayAct,
     // Parts that nobody vouches for may have been freed meanwhile.
-    storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
+    areStoresUsable: now => mechanisms.usesStores && stored.isVouched(now),
     storeClockMs: now => stored.storeClockMs(now),
-    beforePlacing: place => { loads.beforePlacing(place) },
+    withRecentLoad: place => { loads.beforePlacing(place) },
     isLagging: () => link.lagMs > LAGGING_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
   const port = await server.listen(settings.host, settings.port, platform.early)
-  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
+  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.hasEndpoints && mayAct()
   const edges = await platform.openEdges(isReady)
 
   let siteVersion = -1
--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -29,14 +29,14 @@
       const connections = fleet.connectionsTo(former)
       const now = performance.now()
       fleet.memory.recordSend('v1', PARTS, former.incarnation, now)
-      fleet.others.sent(1, { work: [], links: [] })
-      fleet.others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
+      fleet.otherHostsLoad.sent(1, { work: [], links: [] })
+      fleet.otherHostsLoad.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
       fleet.update([listed(2000)])
       const [present] = fleet.endpointsOf('pool')
       if (present === undefined) throw new Error('no endpoint')
       expect(fleet.connectionsTo(present)).not.toBe(connections)
       expect(fleet.memory.holders('v1', PARTS, now).tokensAt(present.incarnation)).toBe(0)
-      expect(fleet.others.at(present.incarnation)).toEqual(NO_WORK)
+      expect(fleet.otherHostsLoad.at(present.incarnation)).toEqual(NO_WORK)
     })
 
     it('tells of its own work at the present incarnation only', () => {
