--- a/apps/entry/src/lib/PlannedStop.test.ts
+++ b/apps/entry/src/lib/PlannedStop.test.ts
@@ -108,7 +108,7 @@
       // Later than the quiet for which a stop without work waits.
       await sleep(600)
       expect(await ask('/safe/3')).toEqual({ status: 200, isWhole: true })
-      endpoint.finishStreams()
+      endpoint.endResponses()
       expect(await earlier).toEqual({ status: 200, isWhole: true })
       await drained
       expect(await ask('/safe/4')).toEqual({ status: 503, isWhole: true })
@@ -194,7 +194,7 @@
       host.stop.begin(performance.now(), host.server)
       const asked = host.sendRequest('/resumable/1')
       await endpoint.nextRequest()
-      endpoint.finishStreams()
+      endpoint.endResponses()
       expect(await asked).toMatchObject({ status: 200, isWhole: true, connection: 'close' })
     })
   })
--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -2,22 +2,22 @@
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { QuarantineGuard } from '../quarantine/QuarantineGuard.js'
-import type { AnswerTimes } from './AnswerTimes.js'
-import { MAY_HAVE_RUN, type AttemptRecord } from './AttemptRecord.js'
+import type { ResponseTimes } from './ResponseTimes.js'
+import { FAILURES_THAT_MAY_HAVE_RUN, type AttemptRecord } from './AttemptRecord.js'
 import { learnFromFailure } from './learnFromFailure.js'
-import type { AnswerHead, RoutedAttempt } from './RoutedAttempt.js'
+import type { ResponseHead, RoutedAttempt } from './RoutedAttempt.js'
 import type { RoutedPorts } from './RoutedRequest.js'
 import type { TriedEndpoints } from './TriedEndpoints.js'
 
 /** Failures after which another endpoint, or the same one a little later, may take the request. */
-const PASSING: ReadonlySet<AttemptFailure> = new Set(['rejected', 'misdirected', 'not-connected'])
+const TRANSIENT_FAILURES: ReadonlySet<AttemptFailure> = new Set(['rejected', 'misdirected', 'not-connected'])
 
 /** What is kept of the request. */
 export interface FailureRecords {
   readonly attempts: AttemptRecord
   readonly tried: TriedEndpoints
   readonly guard: QuarantineGuard
-  readonly times: AnswerTimes
+  readonly times: ResponseTimes
   /** Monotonic milliseconds at which its time is over. */
   readonly deadline: number
   log (details: DecisionFields<'attempt-failed'>): void
@@ -39,13 +39,13 @@
    * @param detail - for the log
    * @param head - of the answer, if there was one
    */
-  observe (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: AnswerHead | undefined): void {
+  observe (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: ResponseHead | undefined): void {
     const { attempts, tried } = this.records
     const { endpoint } = attempt.choice
     learnFromFailure(this.fleet, endpoint, failure, head)
-    if (PASSING.has(failure)) tried.observeRejection(performance.now())
+    if (TRANSIENT_FAILURES.has(failure)) tried.observeRejection(performance.now())
     else tried.observeFailure(endpoint.id)
-    if (attempt.wasSent && (failure === 'rejected' || failure === 'misdirected')) attempts.noteNotRun()
+    if (attempt.wasSent && (failure === 'rejected' || failure === 'misdirected')) attempts.retractRun()
     this.#log(attempt, failure, detail)
   }
 
@@ -62,7 +62,7 @@
 
   #log (attempt: RoutedAttempt, failure: AttemptFailure, detail: string): void {
     const { attempts: { sends, runs }, guard, times, deadline, log } = this.records
-    const mayHaveRun = MAY_HAVE_RUN.has(failure)
+    const mayHaveRun = FAILURES_THAT_MAY_HAVE_RUN.has(failure)
     if (mayHaveRun) this.noteLost(attempt)
     const run = mayHaveRun ? { fingerprint: guard.fingerprint, ranMs: Math.round(attempt.ageMs), hadEvents: times.hasFirstEvent } : {}
     log({ endpoint: attempt.choice.endpoint.id, failure, detail, sends, runs, remainingMs: Math.round(deadline - performance.now()), ...run })
--- a/apps/entry/src/lib/routed/AttemptRecord.ts
+++ b/apps/entry/src/lib/routed/AttemptRecord.ts
@@ -4,7 +4,7 @@
 import { DispatchRecord } from '@eelgrassmux/schema/Refusal'
 
 /** Failures after which the request may have run. */
-export const MAY_HAVE_RUN: ReadonlySet<AttemptFailure> = new Set(['lost', 'broken-stream'])
+export const FAILURES_THAT_MAY_HAVE_RUN: ReadonlySet<AttemptFailure> = new Set(['lost', 'broken-stream'])
 
 /** Attempts of one request. */
 export class AttemptRecord {
@@ -19,18 +19,18 @@
   get mayHaveRun (): boolean { return this.dispatch.mayHaveRun }
 
   /** Call once an endpoint is chosen and there is a connection to it. */
-  noteSend (): void {
+  recordSend (): void {
     this.#sends += 1
   }
 
   /** Call before the first byte leaves. */
-  noteRun (): void {
+  recordRun (): void {
     this.#runs += 1
     this.dispatch.markDispatched()
   }
 
   /** Call when the endpoint itself says that it did not run the last attempt. */
-  noteNotRun (): void {
+  retractRun (): void {
     this.#runs -= 1
     this.dispatch.markNotStarted()
   }
--- a/apps/entry/src/lib/routed/AttemptSender.ts
+++ b/apps/entry/src/lib/routed/AttemptSender.ts
@@ -41,7 +41,7 @@
   send (attempt: RoutedAttempt, state: Omit<SendState, 'prompt'>): void {
     const now = performance.now()
     const { fleet, codec } = this.ports
-    fleet.limits.noteSend(attempt.choice.endpoint, now)
+    fleet.limits.countSend(attempt.choice.endpoint, now)
     const fields = endpointFields(this.request, attempt.choice, fleet, { ...state, prompt: this.prompt }, now)
     attempt.send(this.exchange.toEndpoint(headers => codec.writeRequestHeaders(headers, fields), this.request.body))
     this.prompt?.recordSend(attempt.choice)
--- a/apps/entry/src/lib/routed/CallerExchange.ts
+++ b/apps/entry/src/lib/routed/CallerExchange.ts
@@ -11,7 +11,7 @@
   /** The request that came last. */
   latest: CallerExchange
   /** Whether an answer said that it is the last one. */
-  isEnding: boolean
+  isClosing: boolean
 }
 
 const connectionStates = new WeakMap<Socket, ConnectionState>()
@@ -20,26 +20,26 @@
 export class CallerExchange {
   #hasHead = false
   #hasEnded = false
-  #hasLeft = false
-  readonly #isTooLate: boolean
+  #hasCallerLeft = false
+  readonly #isAfterLastResponse: boolean
   readonly #connection: ConnectionState
   readonly #isFirstOnConnection: boolean
 
   /**
    * @param request - the caller's request
    * @param response - the answer to it
-   * @param wantsToEnd - whether callers should use other connections from now on
+   * @param shouldCloseConnections - whether callers should use other connections from now on
    */
   constructor (
     readonly request: IncomingMessage,
     private readonly response: ServerResponse,
-    private readonly wantsToEnd: () => boolean
+    private readonly shouldCloseConnections: () => boolean
   ) {
     response.sendDate = false
     const known = connectionStates.get(request.socket)
     this.#isFirstOnConnection = known === undefined
-    this.#connection = known ?? { latest: this, isEnding: false }
-    this.#isTooLate = this.#connection.isEnding
+    this.#connection = known ?? { latest: this, isClosing: false }
+    this.#isAfterLastResponse = this.#connection.isClosing
     this.#connection.latest = this
     connectionStates.set(request.socket, this.#connection)
   }
@@ -58,12 +58,12 @@
   get isFirstOnConnection (): boolean { return this.#isFirstOnConnection }
 
   /** Whether an earlier answer on this connection was the last: no answer to this request can be sent any more. */
-  get isTooLate (): boolean { return this.#isTooLate }
+  get isAfterLastResponse (): boolean { return this.#isAfterLastResponse }
 
   /** Whether part of an answer was passed on. */
   get hasHead (): boolean { return this.#hasHead }
   /** Whether the answer is complete, or nobody waits for it any more. */
-  get hasEnded (): boolean { return this.#hasEnded || this.#hasLeft }
+  get hasEnded (): boolean { return this.#hasEnded || this.#hasCallerLeft }
 
   /** Whether the caller has closed its side before it got an answer, as far as the sockets have been read. */
   get isAbandoned (): boolean {
@@ -76,10 +76,10 @@
   }
 
   /** @param listener - called once if the caller leaves before the answer is complete */
-  onLeave (listener: () => void): void {
+  onCallerLeft (listener: () => void): void {
     this.response.on('close', () => {
       if (this.#hasEnded) return
-      this.#hasLeft = true
+      this.#hasCallerLeft = true
       listener()
     })
   }
@@ -93,7 +93,7 @@
   writeHead (status: number, headers: readonly string[]): void {
     this.#hasHead = true
     const kept = endToEndHeaders(headers)
-    if (this.#endsConnection()) kept.push('Connection', 'close')
+    if (this.#closesConnection()) kept.push('Connection', 'close')
     this.response.writeHead(status, kept)
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** @param listener - called once when more can be written */
-  onceWritable (listener: () => void): void {
+  onceDrained (listener: () => void): void {
     this.response.once('drain', listener)
   }
 
@@ -123,14 +123,14 @@
    * @param headers - as the endpoint answered
    * @param body - whole body
    */
-  answer (status: number, headers: readonly string[], body: Buffer): void {
+  sendWhole (status: number, headers: readonly string[], body: Buffer): void {
     this.writeHead(status, headers)
     this.#hasEnded = true
     this.response.end(body)
   }
 
   /** Breaks an answer off, so that it can't be taken for complete. */
-  breakOff (): void {
+  abort (): void {
     this.#hasEnded = true
     this.response.destroy()
   }
@@ -145,7 +145,7 @@
     const headers = ['Content-Type', 'application/problem+json', 'Content-Length', String(body.length)]
     if (refusal.retryAfterSeconds !== undefined) headers.push('Retry-After', refusal.retryAfterSeconds.toFixed(2))
     // Bytes of the request that were not read would be taken for the next one.
-    if (this.#endsConnection() || !this.request.complete) headers.push('Connection', 'close')
+    if (this.#closesConnection() || !this.request.complete) headers.push('Connection', 'close')
     this.#hasHead = true
     this.#hasEnded = true
     this.response.writeHead(refusal.status, headers)
@@ -153,9 +153,9 @@
   }
 
   /** A caller may have sent further requests behind this one; they were read and are answered first. */
-  #endsConnection (): boolean {
-    if (!this.wantsToEnd() || this.#connection.latest !== this) return false
-    this.#connection.isEnding = true
+  #closesConnection (): boolean {
+    if (!this.shouldCloseConnections() || this.#connection.latest !== this) return false
+    this.#connection.isClosing = true
     return true
   }
 }
--- a/apps/entry/src/lib/routed/EndpointConnection.ts
+++ b/apps/entry/src/lib/routed/EndpointConnection.ts
@@ -17,11 +17,11 @@
 }
 
 /** Told of the answer as it comes in. */
-export interface AnswerReader {
+export interface ResponseHandler {
   /** The first byte of the request may leave from now on. */
   sending (): void
   /**
-   * @param resume - goes on after {@link AnswerReader.data} asked to pause
+   * @param resume - goes on after {@link ResponseHandler.data} asked to pause
    */
   head (status: number, headers: string[], resume: () => void): void
   /** @returns false to pause */
@@ -37,7 +37,7 @@
 const CONNECT_TIMEOUT_MS = 200
 
 /** Idle time after which a connection without a stated limit is not used again, in milliseconds. */
-const IDLE_LIMIT_MS = 4000
+const DEFAULT_IDLE_TIMEOUT_MS = 4000
 
 /** Taken off the idle limit that an endpoint states, in milliseconds: a request must arrive before the endpoint closes. */
 const IDLE_MARGIN_MS = 700
@@ -65,7 +65,7 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_LIMIT_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       connect: (options, callback) => { this.#connect(options, callback) }
     })
@@ -80,10 +80,10 @@
    * Sends a request and reads its answer.
    *
    * @param request - what to send
-   * @param reader - told of the answer
+   * @param handler - told of the answer
    * @returns ends the request early
    */
-  send (request: EndpointRequest, reader: AnswerReader): CancelRequest {
+  send (request: EndpointRequest, handler: ResponseHandler): CancelRequest {
     let hasEnded = false
     this.#client.dispatch({
       method: request.method as 'GET',
@@ -91,20 +91,20 @@
       headers: request.headers,
       body: request.body ?? null
     }, {
-      onConnect: () => { reader.sending() },
+      onConnect: () => { handler.sending() },
       onHeaders: (status: number, headers: Buffer[], resume: () => void) => {
-        if (status >= 200) reader.head(status, headers.map(header => header.toString('latin1')), resume)
+        if (status >= 200) handler.head(status, headers.map(header => header.toString('latin1')), resume)
         return true
       },
-      onData: (chunk: Buffer) => reader.data(chunk),
+      onData: (chunk: Buffer) => handler.data(chunk),
       onComplete: () => {
         hasEnded = true
-        if (this.#wasReset) reader.failed(new AnswerReset())
-        else reader.complete()
+        if (this.#wasReset) handler.failed(new AnswerReset())
+        else handler.complete()
       },
       onError: (error: Error) => {
         hasEnded = true
-        reader.failed(error)
+        handler.failed(error)
       }
     })
     return () => {
--- a/apps/entry/src/lib/routed/EndpointLimits.test.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.test.ts
@@ -6,7 +6,7 @@
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { EndpointLimits } from './EndpointLimits.js'
-import type { AnswerHead } from './RoutedAttempt.js'
+import type { ResponseHead } from './RoutedAttempt.js'
 
 const listed = (id: string, dataCentre: string, service = 'engines'): ListedEndpoint =>
   ({ id, service, address: '10.0.0.1:1', dataCentre, slots: 8, isLeaving: false, isBusy: false, models: [] })
@@ -49,7 +49,7 @@
   })
 
   describe('with an endpoint that names a rate', () => {
-    const head = (requestsPerSecond: number | undefined, overrides: Partial<AnswerHead> = {}, instance?: string): AnswerHead => ({
+    const head = (requestsPerSecond: number | undefined, overrides: Partial<ResponseHead> = {}, instance?: string): ResponseHead => ({
       status: 200, headers: [], fields: { requestId: undefined, isNotExecuted: false, instance, load: undefined, version: undefined, requestsPerSecond, isLeaving: false, retryAfterMs: undefined }, ...overrides
     })
 
--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -6,10 +6,10 @@
 import type { RateLimitStatement } from '@eelgrassmux/routing/endpoints/StatedRateLimit'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { AnswerHead } from './RoutedAttempt.js'
+import type { ResponseHead } from './RoutedAttempt.js'
 
 /** Time in which sends to an endpoint count as lately where its limit is logged, in milliseconds. */
-const LATELY_MS = 4000
+const RECENT_SENDS_WINDOW_MS = 4000
 
 /** Status of an answer that may come from another instance at the endpoint's address. */
 const MISDIRECTED = 421
@@ -28,8 +28,8 @@
 export class EndpointLimits {
   readonly #coldRates = new Map<string, number>()
   #evacuated: ReadonlySet<string> = new Set()
-  readonly #sentDespiteLimit: LabelledCounter
-  readonly #sentDespitePause: LabelledCounter
+  readonly #sendsDespiteLimit: LabelledCounter
+  readonly #sendsDespitePause: LabelledCounter
 
   /**
    * @param coldAllowance - this host's part of what cold endpoints take
@@ -45,9 +45,9 @@
   ) {
     telemetry.gauge('endpoints_cold', 'Endpoints that take few requests a second for now, as far as is known', () => this.#countCold(performance.now()))
     telemetry.gauge('endpoints_rate_limited', 'Endpoints that name a rate of requests which they take from all hosts together', () => this.#countRateLimited())
-    this.#sentDespiteLimit = telemetry.labelledCounter('rate_limited_sends_total', 'Requests sent to endpoints that name a rate, by service', 'service')
+    this.#sendsDespiteLimit = telemetry.labelledCounter('rate_limited_sends_total', 'Requests sent to endpoints that name a rate, by service', 'service')
     telemetry.gauge('endpoints_asked_to_pause', 'Endpoints that rejected a request and want nothing from this host for now', () => this.#countPausing(performance.now()))
-    this.#sentDespitePause = telemetry.labelledCounter('sends_despite_requested_pause_total', 'Requests sent to endpoints that want nothing for now, by service', 'service')
+    this.#sendsDespitePause = telemetry.labelledCounter('sends_despite_requested_pause_total', 'Requests sent to endpoints that want nothing for now, by service', 'service')
     telemetry.gauge('data_centres_evacuated', 'Data centres whose endpoints get no new work', () => this.#evacuated.size)
   }
 
@@ -108,13 +108,13 @@
    * @param head - of the answer
    * @param now - monotonic milliseconds
    */
-  observeAnswer (endpoint: EndpointState, { status, fields: { instance, isLeaving, requestsPerSecond, retryAfterMs } }: AnswerHead, now: number): void {
+  observeAnswer (endpoint: EndpointState, { status, fields: { instance, isLeaving, requestsPerSecond, retryAfterMs } }: ResponseHead, now: number): void {
     // Another instance at its address speaks for itself.
     if (instance === undefined ? status === MISDIRECTED : instance !== endpoint.id) return
-    if (isLeaving) this.#takeLeaving(endpoint)
+    if (isLeaving) this.#markLeaving(endpoint)
     if (endpoint.rateLimit.observeAnswer(requestsPerSecond, now)) this.#logRateLimit(endpoint, now)
     if (status !== UNAVAILABLE) endpoint.requestedPause.accept(now)
-    else if (retryAfterMs !== undefined) this.#takePause(endpoint, retryAfterMs, now)
+    else if (retryAfterMs !== undefined) this.#recordPause(endpoint, retryAfterMs, now)
   }
 
   /**
@@ -132,27 +132,27 @@
    * @param endpoint - that a request is being sent to
    * @param now - monotonic milliseconds
    */
-  noteSend (endpoint: EndpointState, now: number): void {
-    if (endpoint.requestedPause.isUnderWay(now)) this.#sentDespitePause.count(endpoint.listed.service)
-    if (endpoint.rateLimit.requestsPerSecond !== undefined) this.#sentDespiteLimit.count(endpoint.listed.service)
+  countSend (endpoint: EndpointState, now: number): void {
+    if (endpoint.requestedPause.isUnderWay(now)) this.#sendsDespitePause.count(endpoint.listed.service)
+    if (endpoint.rateLimit.requestsPerSecond !== undefined) this.#sendsDespiteLimit.count(endpoint.listed.service)
   }
 
-  #takeLeaving (endpoint: EndpointState): void {
+  #markLeaving (endpoint: EndpointState): void {
     if (endpoint.isLeaving) return
     endpoint.markLeaving()
     this.telemetry.stateChanged('endpoint-leaving', { endpoint: endpoint.id, address: endpoint.listed.address, underWay: endpoint.inFlight })
   }
 
-  #takePause (endpoint: EndpointState, pauseMs: number, now: number): void {
+  #recordPause (endpoint: EndpointState, pauseMs: number, now: number): void {
     if (!endpoint.requestedPause.request(pauseMs, now)) return
     this.telemetry.stateChanged('endpoint-asked-to-pause', {
-      endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - LATELY_MS)
+      endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - RECENT_SENDS_WINDOW_MS)
     })
   }
 
   #logRateLimit (endpoint: EndpointState, now: number): void {
     const { requestsPerSecond } = endpoint.rateLimit
-    const fields = { endpoint: endpoint.id, address: endpoint.listed.address, sentLately: endpoint.sends.countSince(now - LATELY_MS) }
+    const fields = { endpoint: endpoint.id, address: endpoint.listed.address, sentLately: endpoint.sends.countSince(now - RECENT_SENDS_WINDOW_MS) }
     if (requestsPerSecond === undefined) this.telemetry.stateChanged('endpoint-rate-limit-lifted', fields)
     else this.telemetry.stateChanged('endpoint-rate-limited', { ...fields, requestsPerSecond })
   }
--- a/apps/entry/src/lib/routed/PromptContext.ts
+++ b/apps/entry/src/lib/routed/PromptContext.ts
@@ -95,7 +95,7 @@
   /** @param choice - the engine to which the request was sent */
   recordSend ({ version, endpoint }: EndpointChoice): void {
     if (version === undefined) return
-    this.ports.fleet.memory.recordSend(this.scope(version), this.#shared, endpoint.incarnation, performance.now())
+    this.ports.fleet.promptMemory.recordSend(this.scope(version), this.#shared, endpoint.incarnation, performance.now())
   }
 
   /**
--- a/apps/entry/src/lib/routed/RequestPlacement.ts
+++ b/apps/entry/src/lib/routed/RequestPlacement.ts
@@ -1,7 +1,7 @@
 /** Which endpoint one request goes to next, and whether it is sent there. */
 import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import { admitRouted, type RoutedAdmission } from './admitRouted.js'
-import type { AnswerTimes } from './AnswerTimes.js'
+import type { ResponseTimes } from './ResponseTimes.js'
 import { isHeldBack } from './PlacementWaits.js'
 import type { PromptContext } from './PromptContext.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
@@ -23,15 +23,15 @@
     private readonly request: RoutedRequest,
     private readonly ports: Pick<RoutedPorts, 'fleet' | 'stop' | 'durations'>,
     private readonly prompt: PromptContext | undefined,
-    private readonly times: AnswerTimes,
+    private readonly times: ResponseTimes,
     private readonly deadline: number
   ) {}
 
   /** Monotonic milliseconds at which its time is over, or its caller leaves if nothing more comes. */
-  get patienceEnds (): number { return Math.min(this.deadline, this.times.patienceEnds) }
+  get callerTimeoutAt (): number { return Math.min(this.deadline, this.times.callerTimeoutAt) }
 
   /** Whether it can be answered before this host stops, if it does. */
-  get canEndBeforeStop (): boolean {
+  get canFinishBeforeStop (): boolean {
     const { route, fields } = this.request
     return this.ports.stop.admits({
       remainingMs: this.deadline - performance.now(),
--- a/apps/entry/src/lib/routed/AnswerTimes.ts
+++ b/apps/entry/src/lib/routed/ResponseTimes.ts
@@ -3,7 +3,7 @@
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
 /** Times of one request. */
-export class AnswerTimes {
+export class ResponseTimes {
   #firstEventMs: number | undefined
   #lastEventAt: number
 
@@ -22,14 +22,14 @@
   get hasFirstEvent (): boolean { return this.#firstEventMs !== undefined }
 
   /** Monotonic milliseconds after which its caller leaves if no event comes. */
-  get patienceEnds (): number { return this.#lastEventAt + callerPatienceMs(this.request.route) }
+  get callerTimeoutAt (): number { return this.#lastEventAt + callerPatienceMs(this.request.route) }
 
   /**
    * Called at each event.
    *
    * @returns whether it is the first
    */
-  noteEvent (): boolean {
+  recordEvent (): boolean {
     this.#lastEventAt = performance.now()
     if (this.#firstEventMs !== undefined) return false
     this.#firstEventMs = this.#sinceArrivalMs
--- a/apps/entry/src/lib/routed/RepeatReservation.ts
+++ b/apps/entry/src/lib/routed/RetryReservation.ts
@@ -4,27 +4,27 @@
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
 /** What came of a reservation. */
-export type RepeatOutcome =
+export type RetryReservationOutcome =
   | 'reserved'
   | 'not-allowed'
   /** Allowed, but the budget is used up for now. */
   | 'no-budget'
 
 /** Reservations of one request. */
-export class RepeatReservation {
+export class RetryReservation {
   #hasLogged = false
 
   /**
    * @param request - that may be sent again
    * @param ports - the budget
    * @param attempts - that were made
-   * @param logUsedUp - logs that the budget is used up
+   * @param logBudgetExhausted - logs that the budget is used up
    */
   constructor (
     private readonly request: RoutedRequest,
     private readonly ports: Pick<RoutedPorts, 'allowance'>,
     private readonly attempts: AttemptRecord,
-    private readonly logUsedUp: (failure: AttemptFailure) => void
+    private readonly logBudgetExhausted: (failure: AttemptFailure) => void
   ) {}
 
   /**
@@ -34,11 +34,11 @@
    * @param remainingMs - that its caller has left
    * @param hasBegun - whether its caller has part of the answer
    */
-  reserve (failure: AttemptFailure, remainingMs: number, hasBegun: boolean): RepeatOutcome {
+  reserve (failure: AttemptFailure, remainingMs: number, hasBegun: boolean): RetryReservationOutcome {
     const step = this.attempts.nextStep(this.request.route, failure, remainingMs, hasBegun)
     if (step.kind === 'give-up') return 'not-allowed'
     if (!step.spendsBudget || this.ports.allowance.trySpend()) return 'reserved'
-    if (!this.#hasLogged) this.logUsedUp(failure)
+    if (!this.#hasLogged) this.logBudgetExhausted(failure)
     this.#hasLogged = true
     return 'no-budget'
   }
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -7,7 +7,7 @@
 import type { RoutedFleet } from './RoutedFleet.js'
 
 /** An answer's head, read. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number
   readonly headers: readonly string[]
   readonly fields: ResponseFields
@@ -17,11 +17,11 @@
 export interface AttemptListener {
   /** The first byte may leave from now on. */
   sending (): void
-  head (attempt: RoutedAttempt, head: AnswerHead, resume: () => void): void
+  head (attempt: RoutedAttempt, head: ResponseHead, resume: () => void): void
   /** @returns false to pause until `resume` */
   data (attempt: RoutedAttempt, chunk: Buffer): boolean
   complete (attempt: RoutedAttempt): void
-  failed (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: AnswerHead | undefined): void
+  failed (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: ResponseHead | undefined): void
 }
 
 const MISDIRECTED = 421
@@ -29,10 +29,10 @@
 /** Sends once; its connection is kept only after a whole answer that belongs to the request. */
 export class RoutedAttempt {
   #cancel: CancelRequest = () => {}
-  #head: AnswerHead | undefined
+  #head: ResponseHead | undefined
   #wasSent = false
-  #hasCrashed = false
-  #isReading = true
+  #hasEnded = false
+  #isReadingPrompt = true
   readonly startedAt = performance.now()
 
   /**
@@ -79,7 +79,7 @@
 
   /** Ends the attempt; the endpoint notices by the closed connection, and the listener hears nothing more. */
   cancel (): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.#end()
     this.connection.close()
     this.#cancel()
@@ -87,23 +87,23 @@
 
   /** The endpoint's work ends here, as far as this host counts it. */
   #end (): void {
-    this.#hasCrashed = true
-    this.#endReading()
+    this.#hasEnded = true
+    this.#endPromptReading()
     this.choice.endpoint.end(this.choice.tokensHeld)
     this.fleet.noteWork('eased')
   }
 
   /** With the first event, the prompt has been fetched and read. */
-  #endReading (): void {
-    if (!this.#isReading) return
-    this.#isReading = false
+  #endPromptReading (): void {
+    if (!this.#isReadingPrompt) return
+    this.#isReadingPrompt = false
     this.choice.endpoint.firstEvent(this.choice.reading.tokensToRead)
     this.fleet.storeLinks.end(this.choice.reading.transfers)
     this.fleet.noteWork('eased')
   }
 
   #onHead (status: number, headers: string[], resume: () => void): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.choice.endpoint.observeBytes(performance.now())
     const fields = this.codec.readResponseHeaders(status, headers)
     if (fields.requestId !== undefined && fields.requestId !== this.requestId) {
@@ -116,14 +116,14 @@
   }
 
   #onData (chunk: Buffer): boolean {
-    if (this.#hasCrashed || this.#head === undefined) return true
-    this.#endReading()
+    if (this.#hasEnded || this.#head === undefined) return true
+    this.#endPromptReading()
     this.choice.endpoint.observeBytes(performance.now())
     return this.#head.fields.isNotExecuted || this.listener.data(this, chunk)
   }
 
   #onComplete (): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     const head = this.#head
     if (head === undefined) {
       this.#fail('lost', 'the answer ended without a head')
@@ -139,7 +139,7 @@
   }
 
   #fail (failure: AttemptFailure, detail: string): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.#end()
     this.connection.close()
     this.listener.failed(this, failure, detail, this.#head)
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -22,22 +22,22 @@
 import { EndpointConnections } from './EndpointConnections.js'
 
 /** Connections that a host may have at an endpoint that states no bound. */
-const CONNECTIONS_WITHOUT_BOUND = 64
+const DEFAULT_MAX_CONNECTIONS = 64
 
 /** Fewest connections of a host to an endpoint, however many hosts share its bound. */
-const LEAST_CONNECTIONS = 2
+const MIN_CONNECTIONS = 2
 
 /** In seconds: a tenth to several times of what first events take. */
-const ESTIMATE_ERROR_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
+const ESTIMATE_ERROR_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
 
 /** Outcomes of late that are worth telling other hosts. */
-const LEAST_REPORTED_OUTCOMES = 0.5
+const MIN_REPORTED_OUTCOMES = 0.5
 
 /** Share of an endpoint's connections that hosts plan with; the rest covers hosts that are just leaving or starting. */
-const PLANNED_SHARE = 0.9
+const PLANNED_CONNECTION_SHARE = 0.9
 
 /** Interval between looks at what turns this host away from endpoints, in milliseconds; they are for the log alone. */
-const EJECTION_LOOK_MS = 250
+const EJECTION_CHECK_INTERVAL_MS = 250
 
 /** How this host's work at endpoints changed. */
 export type WorkChange =
@@ -49,19 +49,19 @@
 /** Follows the list, chooses endpoints and keeps connections to them. */
 export class RoutedFleet {
   readonly #pool: EndpointPool
-  readonly memory = new PromptMemory()
+  readonly promptMemory = new PromptMemory()
   readonly limits: EndpointLimits
   readonly otherHostsLoad: OthersWork
   readonly storedParts = new StoredPartsIndex()
   readonly storeLinks: StoreLinks
   readonly #connections = new Map<string, EndpointConnections>()
-  readonly #routes = new Map<string, Slowness>()
-  readonly #engines = new Map<string, EngineModel>()
-  readonly #opened: LabelledCounter
+  readonly #routeSlowness = new Map<string, Slowness>()
+  readonly #engineModels = new Map<string, EngineModel>()
+  readonly #openedConnections: LabelledCounter
   readonly #ejections = new EjectionWatch()
-  readonly #estimateError: (milliseconds: number) => void
+  readonly #observeEstimateError: (milliseconds: number) => void
   #workListener: (change: WorkChange) => void = () => {}
-  #ejectionsLookedAt = Number.NEGATIVE_INFINITY
+  #ejectionsCheckedAt = Number.NEGATIVE_INFINITY
 
   /**
    * @param dataCentre - where this host stands
@@ -81,8 +81,8 @@
     this.limits = new EndpointLimits(new ColdAllowance(host, liveHosts), new RateShare(host, liveHosts), () => this.#pool.all, telemetry)
     this.otherHostsLoad = mechanisms.others
     this.storeLinks = mechanisms.storeLinks(liveHosts)
-    this.#opened = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
-    this.#estimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS)
+    this.#openedConnections = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
+    this.#observeEstimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS_SECONDS)
     telemetry.gauge('endpoints_known', 'Endpoints that the platform lists', () => this.#pool.all.length)
     telemetry.gauge('stored_parts', 'Prompt parts that stores are known to hold', () => this.storedParts.size)
     telemetry.gauge('endpoints_ejected', 'Endpoints without new work because of what all hosts have seen', () => this.#ejections.size)
@@ -97,10 +97,10 @@
    * @returns how much slower its first events are than estimated
    */
   routeSlowness (route: string): Slowness {
-    const present = this.#routes.get(route)
+    const present = this.#routeSlowness.get(route)
     if (present !== undefined) return present
     const fresh = this.mechanisms.slowness()
-    this.#routes.set(route, fresh)
+    this.#routeSlowness.set(route, fresh)
     return fresh
   }
 
@@ -109,10 +109,10 @@
    * @returns what its engines take
    */
   engineModel (service: string): EngineModel {
-    const present = this.#engines.get(service)
+    const present = this.#engineModels.get(service)
     if (present !== undefined) return present
     const fresh = this.mechanisms.engineModel()
-    this.#engines.set(service, fresh)
+    this.#engineModels.set(service, fresh)
     return fresh
   }
 
@@ -122,8 +122,8 @@
    * @param estimatedMs - when the endpoint was chosen
    * @param actualMs - until the first event
    */
-  noteEstimate (estimatedMs: number, actualMs: number): void {
-    this.#estimateError(Math.abs(actualMs - estimatedMs))
+  recordEstimateError (estimatedMs: number, actualMs: number): void {
+    this.#observeEstimateError(Math.abs(actualMs - estimatedMs))
   }
 
   /** Whether the work of other hosts is known, so that estimates may decide about refusals. */
@@ -150,15 +150,15 @@
   applyObservations (): void {
     const now = performance.now()
     for (const change of this.storeLinks.observeOthers(this.otherHostsLoad.links, now)) this.#logLink(change)
-    this.#noteLimits(now)
-    if (now - this.#ejectionsLookedAt < EJECTION_LOOK_MS) return
-    this.#ejectionsLookedAt = now
+    this.#applyStatedLimits(now)
+    if (now - this.#ejectionsCheckedAt < EJECTION_CHECK_INTERVAL_MS) return
+    this.#ejectionsCheckedAt = now
     for (const service of this.#pool.services) {
       for (const change of this.#ejections.look(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
     }
   }
 
-  #noteLimits (now: number): void {
+  #applyStatedLimits (now: number): void {
     if (this.otherHostsLoad.limits.length === 0) return
     const stated = new Map(this.otherHostsLoad.limits.map(limit => [limit.endpoint, limit]))
     for (const endpoint of this.#pool.all) {
@@ -214,7 +214,7 @@
       evacuated: this.limits.evacuated,
       holdBack: endpoint => this.limits.hold(endpoint, now)?.reason,
       homeEndpoint: this.mechanisms.homeEndpoint
-    }, this.memory, now, Math.random())
+    }, this.promptMemory, now, Math.random())
   }
 
   /**
@@ -250,7 +250,7 @@
     const now = performance.now()
     const work = this.#pool.all.filter(endpoint => endpoint.hasWork(now))
       .map(endpoint => ({ endpoint: endpoint.incarnation, ...endpoint.work(now) }))
-      .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= LEAST_REPORTED_OUTCOMES)
+      .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= MIN_REPORTED_OUTCOMES)
     return { work, links: this.storeLinks.ownWork(now), ...this.#ownLimits(now) }
   }
 
@@ -270,7 +270,7 @@
     const present = this.#connections.get(endpoint.incarnation)
     if (present !== undefined) return present
     const { address, service } = endpoint.listed
-    const connections = new EndpointConnections(address, () => { this.#opened.count(service) })
+    const connections = new EndpointConnections(address, () => { this.#openedConnections.count(service) })
     this.#connections.set(endpoint.incarnation, connections)
     return connections
   }
@@ -280,8 +280,8 @@
    * @returns this host's part of it
    */
   connectionLimit (connectionsPerEndpoint: number): number {
-    if (connectionsPerEndpoint === 0) return CONNECTIONS_WITHOUT_BOUND
-    return Math.max(LEAST_CONNECTIONS, Math.floor(connectionsPerEndpoint * PLANNED_SHARE / this.liveHosts()))
+    if (connectionsPerEndpoint === 0) return DEFAULT_MAX_CONNECTIONS
+    return Math.max(MIN_CONNECTIONS, Math.floor(connectionsPerEndpoint * PLANNED_CONNECTION_SHARE / this.liveHosts()))
   }
 
   /**
--- a/apps/entry/src/lib/routed/RoutedRequest.ts
+++ b/apps/entry/src/lib/routed/RoutedRequest.ts
@@ -8,7 +8,7 @@
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js'
 import type { PromptPorts } from './PromptPorts.js'
 import type { CallerFields, RequestCodec } from './RequestCodec.js'
-import type { SharedLooks } from './SharedLooks.js'
+import type { SharedInterval } from './SharedInterval.js'
 
 /** A request that was read whole and belongs to a route. */
 export interface RoutedRequest {
@@ -38,7 +38,7 @@
   readonly durations: RouteDurations
   readonly quarantine: RequestQuarantine
   /** Looks at requests whose endpoints may fall silent. */
-  readonly silenceLooks: SharedLooks
+  readonly silenceChecks: SharedInterval
   /** Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked. */
-  beforePlacing (place: () => void): void
+  withRecentLoad (place: () => void): void
 }
--- a/apps/entry/src/lib/routed/RoutedServer.test.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.test.ts
@@ -7,7 +7,7 @@
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { PlannedStop } from '../PlannedStop.js'
 import { respondOk, FakeEndpoint, rejectNotExecuted, resetConnection, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
-import { idleQuarantine } from './harness/idleQuarantine.js'
+import { emptyQuarantine } from './harness/emptyQuarantine.js'
 import { PLAIN_HEADERS, PlainCodec } from './harness/PlainCodec.js'
 import { TEST_SITE } from './harness/testSite.js'
 import { RoutedFleet } from './RoutedFleet.js'
@@ -32,7 +32,7 @@
     const work = new WorkGate()
     fleet = new RoutedFleet('n', () => 1, telemetry)
     server = new RoutedServer({
-      fleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
+      fleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
     })
     port = await server.listen('127.0.0.1', 0)
     server.configure(TEST_SITE)
@@ -273,7 +273,7 @@
       expect((await ask('/short/a', { method: 'POST' })).status).toBe(504)
       expect(performance.now() - startedAt).toBeLessThan(1000)
       await sleep(50)
-      expect(endpoint?.closedEarly).toBe(1)
+      expect(endpoint?.abortedResponses).toBe(1)
     })
 
     it('of an endpoint is freed when its caller leaves', async () => {
@@ -284,7 +284,7 @@
       while (endpoint?.receivedRequests.length === 0) await sleep(5)
       request.destroy()
       await sleep(100)
-      expect(endpoint?.closedEarly).toBe(1)
+      expect(endpoint?.abortedResponses).toBe(1)
     })
   })
 
@@ -297,7 +297,7 @@
       const work = new WorkGate()
       freshFleet = new RoutedFleet('n', () => 1, telemetry)
       fresh = new RoutedServer({
-        fleet: freshFleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
+        fleet: freshFleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
       }, performance.now())
     })
 
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -22,8 +22,8 @@
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { RoutedPorts } from './RoutedRequest.js'
 import { RoutedRequestTask } from './RoutedRequestTask.js'
-import { SharedLooks } from './SharedLooks.js'
-import { SILENCE_LOOK_MS } from './SilenceFailover.js'
+import { SharedInterval } from './SharedInterval.js'
+import { SILENCE_CHECK_INTERVAL_MS } from './SilenceFailover.js'
 import { StartupQueue } from './StartupQueue.js'
 
 /** What the server needs from around it. */
@@ -54,21 +54,21 @@
 }
 
 /** Headers that Node reads at most, in bytes; the site's own limit is checked after that and lies below. */
-const HARD_HEADER_LIMIT_BYTES = 64 * 1024
+const MAX_HEADER_BYTES = 64 * 1024
 
 /** Connections that wait to be accepted. */
-const CALLER_BACKLOG = 4096
+const ACCEPT_BACKLOG = 4096
 
 /** Interval at which Node looks for callers that take too long, in milliseconds. */
-const SLOW_CALLER_LOOK_MS = 1000
+const CONNECTION_CHECK_INTERVAL_MS = 1000
 
 /** Longest wait for answers that are being written when the server closes, in milliseconds: refusals of the last moment, which nothing else waits for. */
-const CLOSE_WAIT_MS = 100
+const CLOSE_TIMEOUT_MS = 100
 
 /** Pause after which a caller should ask another host again, in seconds. */
-const ASK_AGAIN_SECONDS = 0.3
+const RETRY_AFTER_SECONDS = 0.3
 
-const FIRST_EVENT_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 5, 10]
+const FIRST_EVENT_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 5, 10]
 
 /** Serves routed requests until drained. */
 export class RoutedServer {
@@ -78,14 +78,14 @@
   readonly #refusals: LabelledCounter
   readonly #retries: LabelledCounter
   readonly #requests: LabelledCounter
-  readonly #firstEvent: (milliseconds: number) => void
+  readonly #observeFirstEvent: (milliseconds: number) => void
   readonly #startup: StartupQueue
   readonly #durations = new RouteDurations()
-  readonly #silenceLooks = new SharedLooks(SILENCE_LOOK_MS)
+  readonly #silenceChecks = new SharedInterval(SILENCE_CHECK_INTERVAL_MS)
   #index: SiteIndex | undefined
   #lastRequestAt = 0
   /** Requests that were read and not answered yet; the task only once there is one. */
-  readonly #underWay = new Map<CallerExchange, RoutedRequestTask | undefined>()
+  readonly #pendingRequests = new Map<CallerExchange, RoutedRequestTask | undefined>()
 
   /**
    * @param ports - surroundings
@@ -98,8 +98,8 @@
     this.#refusals = telemetry.labelledCounter('routed_refusals_total', 'Refusals of routed requests by reason')
     this.#retries = telemetry.labelledCounter('routed_retries_total', 'Further attempts of routed requests by reason')
     this.#requests = telemetry.labelledCounter('routed_requests_total', 'Routed requests by route kind', 'kind')
-    this.#firstEvent = telemetry.durationHistogram('routed_first_event_seconds', 'Time to the first event of a routed stream', FIRST_EVENT_BUCKETS)
-    this.#server = createServer({ maxHeaderSize: HARD_HEADER_LIMIT_BYTES, connectionsCheckingInterval: SLOW_CALLER_LOOK_MS, keepAlive: true })
+    this.#observeFirstEvent = telemetry.durationHistogram('routed_first_event_seconds', 'Time to the first event of a routed stream', FIRST_EVENT_BUCKETS_SECONDS)
+    this.#server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS, keepAlive: true })
     this.#server.requestTimeout = 0
     this.#server.on('request', (request, response) => { this.#accept(request, response) })
     this.#server.on('checkContinue', (request, response: ServerResponse) => {
@@ -123,7 +123,7 @@
       early?.close()
       await new Promise<void>((resolve, reject) => {
         this.#server.once('error', reject)
-        this.#server.listen({ host, port, backlog: CALLER_BACKLOG }, resolve)
+        this.#server.listen({ host, port, backlog: ACCEPT_BACKLOG }, resolve)
       })
     }
     return (this.#server.address() as AddressInfo).port
@@ -139,7 +139,7 @@
   /** Lets requests go that waited for what this host has learnt. */
   releaseWaiting (): void {
     if (this.ports.stop.isStopping) this.#startup.releaseAll()
-    else if (this.#mayServe()) this.#startup.release()
+    else if (this.#isReadyToServe()) this.#startup.release()
   }
 
   /** Whether a site is known. */
@@ -155,12 +155,12 @@
 
   /** Logs what is under way, so that work that is cut later can be told by its ids. */
   logUnderWay (): void {
-    for (const task of this.#underWay.values()) task?.logStop('awaited-by-stop', { sinceSignalMs: Math.round(this.ports.stop.sinceSignalMs) })
+    for (const task of this.#pendingRequests.values()) task?.logStop('awaited-by-stop', { sinceSignalMs: Math.round(this.ports.stop.sinceSignalMs) })
   }
 
   /** Ends what is under way because the process is about to be killed. */
   cutUnderWay (): void {
-    for (const [exchange, task] of [...this.#underWay]) {
+    for (const [exchange, task] of [...this.#pendingRequests]) {
       if (task !== undefined) task.endForStop(this.ports.stop.sinceSignalMs)
       else if (!exchange.hasEnded) this.#refuseDraining(exchange)
     }
@@ -169,7 +169,7 @@
   /** Closes; what is still being written has a moment to leave the process. */
   async close (): Promise<void> {
     await new Promise<void>(resolve => {
-      const overdue = setTimeout(() => { this.#server.closeAllConnections() }, CLOSE_WAIT_MS)
+      const overdue = setTimeout(() => { this.#server.closeAllConnections() }, CLOSE_TIMEOUT_MS)
       this.#server.close(() => {
         clearTimeout(overdue)
         resolve()
@@ -178,7 +178,7 @@
   }
 
   /** Whether this host knows what it needs to serve. The others' work is part of it: all hosts release what waits at the same moment. */
-  #mayServe (): boolean {
+  #isReadyToServe (): boolean {
     const { fleet } = this.ports
     return this.#index !== undefined && this.ports.isSiteUsable() && fleet.hasEndpoints && fleet.isLoadKnown
   }
@@ -188,20 +188,20 @@
     this.#lastRequestAt = arrivedAt
     const exchange = new CallerExchange(message, response, () => this.ports.stop.isStopping)
     // It was sent before its caller knew, and the connection closes without it.
-    if (exchange.isTooLate) return
+    if (exchange.isAfterLastResponse) return
     const ticket = this.ports.work.tryBegin()
     if (ticket === undefined) {
       this.#refuseDraining(exchange)
       return
     }
-    this.#underWay.set(exchange, undefined)
+    this.#pendingRequests.set(exchange, undefined)
     exchange.onClosed(() => {
-      this.#underWay.delete(exchange)
+      this.#pendingRequests.delete(exchange)
       ticket.end()
     })
     const fields = this.ports.codec.readRequestHeaders(message.rawHeaders)
     const route = (): void => { this.#route(message, exchange, fields, arrivedAt) }
-    if (this.#mayServe() || this.ports.stop.isStopping || !this.#startup.hold(exchange, fields.deadlineMs, arrivedAt, route)) {
+    if (this.#isReadyToServe() || this.ports.stop.isStopping || !this.#startup.hold(exchange, fields.deadlineMs, arrivedAt, route)) {
       route()
       return
     }
@@ -213,7 +213,7 @@
   #route (message: IncomingMessage, exchange: CallerExchange, fields: CallerFields, arrivedAt: number): void {
     const index = this.#index
     if (index === undefined || !this.ports.isSiteUsable()) {
-      this.#refuse(exchange, fields, 'configuration-stale', 503, 'this host does not know the site yet', ASK_AGAIN_SECONDS)
+      this.#refuse(exchange, fields, 'configuration-stale', 503, 'this host does not know the site yet', RETRY_AFTER_SECONDS)
       return
     }
     if (headerBytes(message) > index.site.limits.headerBytes) {
@@ -231,7 +231,7 @@
       return
     }
     this.#readBody(message, exchange, fields, index, body => {
-      this.#unlessGone(exchange, fields, () => { this.#start(exchange, fields, index, route, customer, body, arrivedAt) })
+      this.#unlessAbandoned(exchange, fields, () => { this.#start(exchange, fields, index, route, customer, body, arrivedAt) })
     })
   }
 
@@ -239,16 +239,16 @@
    * A host that was held up reads a request long after it was sent, and its caller's
    * leaving in the turn after that. It looks before it sends the request on.
    */
-  #unlessGone (exchange: CallerExchange, fields: CallerFields, start: () => void): void {
+  #unlessAbandoned (exchange: CallerExchange, fields: CallerFields, start: () => void): void {
     if (!this.ports.isLagging()) {
       start()
       return
     }
-    const look = (): void => {
+    const check = (): void => {
       if (exchange.isAbandoned) this.ports.telemetry.decided('caller-left', fields.requestId ?? '', { run: 'not-run', isLagging: true })
       else start()
     }
-    setImmediate(() => { setImmediate(look) })
+    setImmediate(() => { setImmediate(check) })
   }
 
   #readBody (message: IncomingMessage, exchange: CallerExchange, fields: CallerFields, index: SiteIndex, onBody: (body: Buffer | undefined) => void): void {
@@ -279,7 +279,7 @@
   ): void {
     const service = index.services.get(index.drawService(route, Math.random()))
     if (service === undefined) {
-      this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, ASK_AGAIN_SECONDS)
+      this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, RETRY_AFTER_SECONDS)
       return
     }
     const ports = this.#portsOf(service.name)
@@ -289,13 +289,13 @@
     const regionBound = regionBoundOf(route, customer, this.ports.regions)
     const request = { id, route, service, customer, regionBound, fields, body, arrivedAt, siteVersion: index.site.version }
     const task = new RoutedRequestTask(request, exchange, ports)
-    this.#underWay.set(exchange, task)
+    this.#pendingRequests.set(exchange, task)
     task.start()
   }
 
   #refuseDraining (exchange: CallerExchange): void {
     const fields = this.ports.codec.readRequestHeaders(exchange.request.rawHeaders)
-    this.#refuse(exchange, fields, 'draining', 503, 'this host is stopping; ask another', ASK_AGAIN_SECONDS)
+    this.#refuse(exchange, fields, 'draining', 503, 'this host is stopping; ask another', RETRY_AFTER_SECONDS)
   }
 
   #refuse (
@@ -322,13 +322,13 @@
       durations: this.#durations,
       retries: this.#retries,
       refusals: this.#refusals,
-      firstEvent: this.#firstEvent,
-      silenceLooks: this.#silenceLooks,
+      firstEvent: this.#observeFirstEvent,
+      silenceChecks: this.#silenceChecks,
       desiredVersion: model => this.ports.desiredVersion(model),
       leftMsOn: (model, version) => this.ports.remainingMsForVersion(model, version),
       storesUsable: now => this.ports.areStoresUsable(now),
       storeClockMs: now => this.ports.storeClockMs(now),
-      beforePlacing: place => { this.ports.withRecentLoad(place) }
+      withRecentLoad: place => { this.ports.withRecentLoad(place) }
     }
     this.#requestPorts.set(service, ports)
     return ports
--- a/apps/entry/src/lib/routed/SharedLooks.test.ts
+++ b/apps/entry/src/lib/routed/SharedInterval.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { SharedLooks } from './SharedLooks.js'
+import { SharedInterval } from './SharedInterval.js'
 
 const INTERVAL_MS = 200
 
@@ -8,7 +8,7 @@
   afterEach(() => { vi.useRealTimers() })
 
   it('calls everybody by one timer', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+    const looks = new SharedInterval(INTERVAL_MS)
     const called = [0, 0, 0]
     called.forEach((_, index) => {
       looks.join(() => { called[index] = (called[index] ?? 0) + 1 })
@@ -20,7 +20,7 @@
   })
 
   it('has no timer while nobody has joined, and can be joined again', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+    const looks = new SharedInterval(INTERVAL_MS)
     let called = 0
     const look = (): void => { called += 1 }
     looks.join(look)
@@ -32,7 +32,7 @@
   })
 
   it('goes on if somebody leaves during a look, and does not call who has left', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+    const looks = new SharedInterval(INTERVAL_MS)
     const called: string[] = []
     const first = (): void => {
       called.push('first')
--- a/apps/entry/src/lib/routed/SharedLooks.ts
+++ b/apps/entry/src/lib/routed/SharedInterval.ts
@@ -5,23 +5,23 @@
  */
 
 /** Calls everybody who has joined, by one timer that runs only while there is somebody. */
-export class SharedLooks {
-  readonly #looks = new Set<() => void>()
+export class SharedInterval {
+  readonly #callbacks = new Set<() => void>()
   #timer: NodeJS.Timeout | undefined
 
   /** @param intervalMs - between two looks, in milliseconds */
   constructor (private readonly intervalMs: number) {}
 
-  /** @param look - called from now on; for the first time within one interval */
-  join (look: () => void): void {
-    this.#looks.add(look)
-    this.#timer ??= setInterval(() => { for (const joined of [...this.#looks]) joined() }, this.intervalMs)
+  /** @param callback - called from now on; for the first time within one interval */
+  join (callback: () => void): void {
+    this.#callbacks.add(callback)
+    this.#timer ??= setInterval(() => { for (const joinedCallback of [...this.#callbacks]) joinedCallback() }, this.intervalMs)
   }
 
   /** @param look - not called any more */
   leave (look: () => void): void {
-    this.#looks.delete(look)
-    if (this.#looks.size > 0) return
+    this.#callbacks.delete(look)
+    if (this.#callbacks.size > 0) return
     clearInterval(this.#timer)
     this.#timer = undefined
   }
--- a/apps/entry/src/lib/routed/SilenceFailover.ts
+++ b/apps/entry/src/lib/routed/SilenceFailover.ts
@@ -6,16 +6,16 @@
  * is accepted, because endpoints reject what they can't take and silent ones may only have paused.
  */
 import type { RoutedAttempt } from './RoutedAttempt.js'
-import type { SharedLooks } from './SharedLooks.js'
+import type { SharedInterval } from './SharedInterval.js'
 
 /** Interval between looks, in milliseconds: a quarter of the silence that counts. */
-export const SILENCE_LOOK_MS = 200
+export const SILENCE_CHECK_INTERVAL_MS = 200
 
 /**
  * Longest time for which both attempts are open, in milliseconds. A rejection comes within a few; two
  * endpoints must not be at work on one request for longer than 400.
  */
-const OVERLAP_MS = 150
+const MAX_OVERLAP_MS = 150
 
 /** What the failover needs from the request's task. */
 export interface SilenceFailoverPorts {
@@ -24,7 +24,7 @@
   /** Whether the present endpoint has fallen silent. */
   isSilent (): boolean
   /** Calls back once it is known what other hosts have under way. */
-  beforePlacing (place: () => void): void
+  withRecentLoad (place: () => void): void
   /** @returns a second attempt that is not sent yet; undefined if no endpoint can take it */
   open (): RoutedAttempt | undefined
   send (attempt: RoutedAttempt): void
@@ -35,27 +35,27 @@
 /** Watch over the attempts of one request, with at most one standby at a time. */
 export class SilenceFailover {
   #standby: RoutedAttempt | undefined
-  #overlap: NodeJS.Timeout | undefined
+  #overlapTimer: NodeJS.Timeout | undefined
   #isWatching = false
-  readonly #look = (): void => {
-    if (this.#isWanted()) this.ports.beforePlacing(() => { if (this.#isWanted()) this.#open() })
+  readonly #check = (): void => {
+    if (this.#isWanted()) this.ports.withRecentLoad(() => { if (this.#isWanted()) this.#open() })
   }
 
   /**
-   * @param looks - of all requests
+   * @param checks - of all requests
    * @param ports - the request's task
    */
-  constructor (private readonly looks: SharedLooks, private readonly ports: SilenceFailoverPorts) {}
+  constructor (private readonly checks: SharedInterval, private readonly ports: SilenceFailoverPorts) {}
 
   /** Starts to look. */
   watch (): void {
     this.#isWatching = true
-    this.looks.join(this.#look)
+    this.checks.join(this.#check)
   }
 
   /** Stops looking. */
   stop (): void {
-    if (this.#isWatching) this.looks.leave(this.#look)
+    if (this.#isWatching) this.checks.leave(this.#check)
     this.#isWatching = false
   }
 
@@ -74,7 +74,7 @@
   takeStandby (): RoutedAttempt | undefined {
     const standby = this.#standby
     this.#standby = undefined
-    clearTimeout(this.#overlap)
+    clearTimeout(this.#overlapTimer)
     return standby
   }
 
@@ -102,7 +102,7 @@
     if (standby === undefined) return
     this.#standby = standby
     // Endpoints reject at once what they can't take: one that has said nothing has it waiting.
-    this.#overlap = setTimeout(() => { this.settle(true) }, OVERLAP_MS)
+    this.#overlapTimer = setTimeout(() => { this.settle(true) }, MAX_OVERLAP_MS)
     this.ports.send(standby)
   }
 }
--- a/apps/entry/src/lib/routed/StartupQueue.test.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.test.ts
@@ -4,7 +4,7 @@
 
 function exchange (): { readonly caller: CallerExchange, leave (): void } {
   let listener = (): void => {}
-  const caller = { onLeave: (onLeave: () => void) => { listener = onLeave } } as unknown as CallerExchange
+  const caller = { onCallerLeft: (onCallerLeft: () => void) => { listener = onCallerLeft } } as unknown as CallerExchange
   return { caller, leave: () => { listener() } }
 }
 
--- a/apps/entry/src/lib/routed/StartupQueue.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.ts
@@ -16,32 +16,32 @@
 import type { CallerExchange } from './CallerExchange.js'
 
 /** Age of a host up to which its requests wait, in milliseconds: measured returns of all hosts took 1.3 s. */
-const STARTUP_MS = 3000
+const MAX_HOST_AGE_MS = 3000
 
 /** Longest wait of one request, in milliseconds: a return that takes longer than the measured ones by half. */
-const LONGEST_WAIT_MS = 2000
+const MAX_WAIT_MS = 2000
 
 /** Share of the caller's time that may be spent waiting, so that the rest is enough for an answer. */
-const WAITING_SHARE = 0.5
+const MAX_WAIT_SHARE = 0.5
 
 /** Time between steps in which requests are let go, in milliseconds: hosts report their work so often. */
-const STEP_MS = 50
+const RELEASE_STEP_MS = 50
 
 /** Steps in which all are let go: late requests are worth little more for half a second less. */
-const STEPS = 10
+const RELEASE_STEPS = 10
 
 /** Most requests that wait; a few seconds of a busy host's arrivals. */
-const MOST_WAITING = 1000
+const MAX_WAITING = 1000
 
-interface Waiting {
-  readonly go: () => void
+interface WaitingRequest {
+  readonly resume: () => void
   readonly timer: NodeJS.Timeout
 }
 
 /** Holds requests until they are released or their time is up. */
 export class StartupQueue {
-  readonly #waiting = new Set<Waiting>()
-  #release: NodeJS.Timeout | undefined
+  readonly #waiting = new Set<WaitingRequest>()
+  #releaseTimer: NodeJS.Timeout | undefined
 
   /** @param startedAt - monotonic milliseconds at which the process began */
   constructor (private readonly startedAt = 0) {}
@@ -54,43 +54,43 @@
    * @param exchange - the caller's side
    * @param deadlineMs - milliseconds that the caller waits, if it says so
    * @param now - monotonic milliseconds
-   * @param go - called once when the request is released, or has waited long enough; not if its caller leaves
+   * @param resume - called once when the request is released, or has waited long enough; not if its caller leaves
    * @returns whether the request waits
    */
-  hold (exchange: CallerExchange, deadlineMs: number | undefined, now: number, go: () => void): boolean {
-    if (now - this.startedAt > STARTUP_MS || this.#waiting.size >= MOST_WAITING) return false
-    const waitMs = Math.min(LONGEST_WAIT_MS, (deadlineMs ?? LONGEST_WAIT_MS) * WAITING_SHARE)
-    const waiting: Waiting = { go, timer: setTimeout(() => { this.#let(waiting) }, waitMs) }
+  hold (exchange: CallerExchange, deadlineMs: number | undefined, now: number, resume: () => void): boolean {
+    if (now - this.startedAt > MAX_HOST_AGE_MS || this.#waiting.size >= MAX_WAITING) return false
+    const waitMs = Math.min(MAX_WAIT_MS, (deadlineMs ?? MAX_WAIT_MS) * MAX_WAIT_SHARE)
+    const waiting: WaitingRequest = { resume, timer: setTimeout(() => { this.#resume(waiting) }, waitMs) }
     this.#waiting.add(waiting)
-    exchange.onLeave(() => { this.#forget(waiting) })
+    exchange.onCallerLeft(() => { this.#remove(waiting) })
     return true
   }
 
   /** Begins to let requests go, the newest first: those can still be on time. */
   release (): void {
-    if (this.#release !== undefined) return
-    this.#step(Math.ceil(this.#waiting.size / STEPS))
+    if (this.#releaseTimer !== undefined) return
+    this.#releaseStep(Math.ceil(this.#waiting.size / RELEASE_STEPS))
   }
 
   /** Lets all go that wait. */
   releaseAll (): void {
-    clearTimeout(this.#release)
-    this.#release = undefined
-    for (const waiting of [...this.#waiting]) this.#let(waiting)
+    clearTimeout(this.#releaseTimer)
+    this.#releaseTimer = undefined
+    for (const waiting of [...this.#waiting]) this.#resume(waiting)
   }
 
-  #step (count: number): void {
-    this.#release = undefined
+  #releaseStep (count: number): void {
+    this.#releaseTimer = undefined
     if (this.#waiting.size === 0) return
-    for (const waiting of [...this.#waiting].reverse().slice(0, count)) this.#let(waiting)
-    this.#release = setTimeout(() => { this.#step(count) }, STEP_MS)
+    for (const waiting of [...this.#waiting].reverse().slice(0, count)) this.#resume(waiting)
+    this.#releaseTimer = setTimeout(() => { this.#releaseStep(count) }, RELEASE_STEP_MS)
   }
 
-  #let (waiting: Waiting): void {
-    if (this.#forget(waiting)) waiting.go()
+  #resume (waiting: WaitingRequest): void {
+    if (this.#remove(waiting)) waiting.resume()
   }
 
-  #forget (waiting: Waiting): boolean {
+  #remove (waiting: WaitingRequest): boolean {
     clearTimeout(waiting.timer)
     return this.#waiting.delete(waiting)
   }
--- a/apps/entry/src/lib/routed/TriedEndpoints.test.ts
+++ b/apps/entry/src/lib/routed/TriedEndpoints.test.ts
@@ -6,7 +6,7 @@
     const tried = new TriedEndpoints()
     const pauses = Array.from({ length: 6 }, () => {
       tried.observeRejection(1000)
-      return Math.max(0, tried.askAgainAt - 1000)
+      return Math.max(0, tried.retryAt - 1000)
     })
     expect(pauses).toEqual([0, 150, 300, 500, 500, 500])
   })
@@ -15,9 +15,9 @@
     const tried = new TriedEndpoints()
     for (let rejection = 0; rejection < 4; rejection += 1) tried.observeRejection(1000)
     tried.observeProgress()
-    expect(tried.askAgainAt).toBeLessThan(1000)
+    expect(tried.retryAt).toBeLessThan(1000)
     tried.observeRejection(2000)
-    expect(tried.askAgainAt).toBeLessThan(2000)
+    expect(tried.retryAt).toBeLessThan(2000)
   })
 
   it('allows endpoints again that rejected the request or fell silent, not those where it failed or runs', () => {
--- a/apps/entry/src/lib/routed/TriedEndpoints.ts
+++ b/apps/entry/src/lib/routed/TriedEndpoints.ts
@@ -1,24 +1,24 @@
 /** Endpoints that a request was sent to, and when it may be sent on after rejections. */
 
 /** Rejections in a row after which the next endpoint is still asked at once. */
-const ASKED_AT_ONCE = 2
+const IMMEDIATE_RETRIES = 2
 
 /** Pause before the next endpoint is asked after further rejections, in milliseconds; doubles with each, up to the longest. */
-const FIRST_PAUSE_MS = 150
-const LONGEST_PAUSE_MS = 500
+const MIN_RETRY_PAUSE_MS = 150
+const MAX_RETRY_PAUSE_MS = 500
 
 /** Endpoints of one request. */
 export class TriedEndpoints {
   readonly #ids = new Set<string>()
   readonly #failed = new Set<string>()
-  #rejectionsInARow = 0
-  #askAgainAt = Number.NEGATIVE_INFINITY
+  #consecutiveRejections = 0
+  #retryAt = Number.NEGATIVE_INFINITY
 
   /** Endpoints that it is not sent to again. */
   get ids (): ReadonlySet<string> { return this.#ids }
 
   /** Monotonic milliseconds before which a request that can wait asks no further endpoint. */
-  get askAgainAt (): number { return this.#askAgainAt }
+  get retryAt (): number { return this.#retryAt }
 
   /** @param id - endpoint to which it is sent */
   add (id: string): void {
@@ -32,15 +32,15 @@
 
   /** @param now - monotonic milliseconds at which an endpoint rejected it */
   observeRejection (now: number): void {
-    this.#rejectionsInARow += 1
-    const doublings = this.#rejectionsInARow - ASKED_AT_ONCE
-    if (doublings >= 0) this.#askAgainAt = now + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** doublings)
+    this.#consecutiveRejections += 1
+    const doublings = this.#consecutiveRejections - IMMEDIATE_RETRIES
+    if (doublings >= 0) this.#retryAt = now + Math.min(MAX_RETRY_PAUSE_MS, MIN_RETRY_PAUSE_MS * 2 ** doublings)
   }
 
   /** Call when bytes of the answer have come: what rejected it before says nothing of the next time. */
   observeProgress (): void {
-    this.#rejectionsInARow = 0
-    this.#askAgainAt = Number.NEGATIVE_INFINITY
+    this.#consecutiveRejections = 0
+    this.#retryAt = Number.NEGATIVE_INFINITY
   }
 
   /**
--- a/apps/entry/src/lib/routed/endpointRateLimit.test.ts
+++ b/apps/entry/src/lib/routed/endpointRateLimit.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, describe, expect, it } from 'vitest'
-import { HostsSimulation, type Arrival, type HostsShape } from './harness/HostsSimulation.js'
+import { HostsSimulation, type Arrival, type SimulationOptions } from './harness/HostsSimulation.js'
 
 const WINDOW_MS = 4000
 
@@ -9,7 +9,7 @@
 /** Endpoints that name a rate, of those that there are. */
 const LIMITED = [0, 1, 2, 3]
 
-const SHAPES: readonly HostsShape[] = [
+const SHAPES: readonly SimulationOptions[] = [
   { hosts: 7, endpoints: 13, requestsPerSecond: 20, seed: 1 },
   { hosts: 81, endpoints: 42, requestsPerSecond: 10, seed: 2 },
   { hosts: 195, endpoints: 55, requestsPerSecond: 5, seed: 3 }
@@ -19,10 +19,10 @@
 afterEach(() => { simulation?.close() })
 
 /** Hosts that have learnt what the first four endpoints name. */
-function limitedSimulation (shape: HostsShape, requestsPerSecond: number): HostsSimulation {
+function limitedSimulation (shape: SimulationOptions, requestsPerSecond: number): HostsSimulation {
   simulation = new HostsSimulation(shape)
   simulation.run(1000)
-  for (const endpoint of LIMITED) simulation.state(endpoint, { requestsPerSecond })
+  for (const endpoint of LIMITED) simulation.setBehaviour(endpoint, { requestsPerSecond })
   simulation.run(NOTICE_MS)
   return simulation
 }
@@ -58,7 +58,7 @@
     it('gets as much as the others once it names none any more, also from hosts that had no part', () => {
       const hosts = limitedSimulation(shape, 2.3)
       hosts.run(3000)
-      for (const endpoint of LIMITED) hosts.state(endpoint, {})
+      for (const endpoint of LIMITED) hosts.setBehaviour(endpoint, {})
       hosts.run(5000)
       const since = performance.now()
       hosts.run(2000)
--- a/apps/entry/src/lib/routed/failover.test.ts
+++ b/apps/entry/src/lib/routed/failover.test.ts
@@ -61,10 +61,10 @@
 
 /** Lets the first request that comes to any endpoint be handled by one behaviour, and all others by another. */
 function firstThen (first: Behaviour, then: Behaviour): Behaviour {
-  let seen = 0
+  let requestsSeen = 0
   return (request, response, body) => {
-    seen += 1
-    ;(seen === 1 ? first : then)(request, response, body)
+    requestsSeen += 1
+    ;(requestsSeen === 1 ? first : then)(request, response, body)
   }
 }
 
@@ -78,12 +78,12 @@
     await host.start()
   }
 
-  function seen (): number {
+  function countReceived (): number {
     return endpoints.reduce((sum, endpoint) => sum + endpoint.receivedRequests.length, 0)
   }
 
   function closedEarly (): number {
-    return endpoints.reduce((sum, endpoint) => sum + endpoint.closedEarly, 0)
+    return endpoints.reduce((sum, endpoint) => sum + endpoint.abortedResponses, 0)
   }
 
   afterEach(async () => { await host.close() })
@@ -92,7 +92,7 @@
     it.each([2, 3])('is not left for endpoints that reject the rest (%i endpoints)', async count => {
       await serve(count, firstThen(pauses, rejectNotExecuted))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-      expect(seen()).toBeGreaterThan(1)
+      expect(countReceived()).toBeGreaterThan(1)
       expect(closedEarly()).toBe(0)
     })
 
@@ -100,7 +100,7 @@
       await serve(2, firstThen(pauses, sendsRest))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       await expect.poll(closedEarly).toBe(1)
-      expect(seen()).toBe(2)
+      expect(countReceived()).toBe(2)
     })
 
     // Guards against two endpoints at work on one stream for longer than the overlap.
@@ -124,7 +124,7 @@
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       // The other one is told that it is not wanted.
       await expect.poll(closedEarly).toBe(1)
-      expect(seen()).toBe(2)
+      expect(countReceived()).toBe(2)
     })
 
     it('is not left for one that fails to go on with it', async () => {
@@ -145,7 +145,7 @@
         setTimeout(() => { sendsRest(request, response, body) }, 20)
       }))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-      expect(seen()).toBe(2)
+      expect(countReceived()).toBe(2)
     })
   })
 
@@ -163,7 +163,7 @@
       await serve(3, firstThen(dies, rejectNotExecuted))
       const outcome = await Promise.race([host.sendRequest('/resumable/1'), sleep(LONG_AFTER_MS, undefined)])
       expect(outcome).toMatchObject({ body: streamEvent(1), isWhole: false })
-      expect(seen()).toBeLessThanOrEqual(1 + MOST_ASKS)
+      expect(countReceived()).toBeLessThanOrEqual(1 + MOST_ASKS)
     })
   })
 
@@ -171,7 +171,7 @@
     it('is not left for an endpoint that rejects it', async () => {
       await serve(2, firstThen((request, response, body) => { setTimeout(() => { respondOk(request, response, body) }, 1500) }, rejectNotExecuted))
       expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
-      expect(seen()).toBeGreaterThan(1)
+      expect(countReceived()).toBeGreaterThan(1)
     })
 
     it('is asked for elsewhere while its endpoint hangs', async () => {
--- a/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
+++ b/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
@@ -10,8 +10,8 @@
 /** The endpoint. */
 export class FakeEndpoint {
   readonly receivedRequests: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
-  closedEarly = 0
-  readonly #seenWaiters: Array<() => void> = []
+  abortedResponses = 0
+  readonly #requestWaiters: Array<() => void> = []
   readonly #responses = new Set<ServerResponse>()
   #server: Server | undefined
 
@@ -20,14 +20,14 @@
   async listen (): Promise<ListedEndpoint> {
     const server = createServer((request, response) => {
       const chunks: Buffer[] = []
-      response.on('close', () => { if (!response.writableEnded) this.closedEarly += 1 })
+      response.on('close', () => { if (!response.writableEnded) this.abortedResponses += 1 })
       request.on('data', (chunk: Buffer) => { chunks.push(chunk) })
       request.on('end', () => {
         const body = Buffer.concat(chunks).toString()
         this.receivedRequests.push({ method: request.method ?? '', target: request.url ?? '', body, headers: request.headers })
         this.#responses.add(response)
         this.behaviour(request, response, body)
-        for (const wake of this.#seenWaiters.splice(0)) wake()
+        for (const wake of this.#requestWaiters.splice(0)) wake()
       })
     })
     this.#server = server
@@ -38,11 +38,11 @@
 
   /** Resolves when the next request has come. */
   async nextRequest (): Promise<void> {
-    await new Promise<void>(resolve => { this.#seenWaiters.push(resolve) })
+    await new Promise<void>(resolve => { this.#requestWaiters.push(resolve) })
   }
 
   /** Ends all answers that have begun. */
-  finishStreams (): void {
+  endResponses (): void {
     for (const response of this.#responses) {
       if (response.headersSent) response.end()
     }
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -10,7 +10,7 @@
 import type { LoadTotals } from '@eelgrassmux/routing/load/loadReport'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { AnswerHead } from '../RoutedAttempt.js'
+import type { ResponseHead } from '../RoutedAttempt.js'
 import type { ResponseFields } from '../RequestCodec.js'
 import { learnFromFailure } from '../learnFromFailure.js'
 import { RoutedFleet } from '../RoutedFleet.js'
@@ -19,22 +19,22 @@
 const STEP_MS = 5
 
 /** Time from a send to the head of its answer, and to the end of it, in milliseconds. */
-const HEAD_MS = 60
-const WHOLE_MS = 150
+const RESPONSE_HEAD_MS = 60
+const RESPONSE_END_MS = 150
 
 /** Age up to which a host places requests on the others' work without asking anew, in milliseconds. */
-const EXCHANGE_MS = 25
+const LOAD_EXCHANGE_INTERVAL_MS = 25
 
 const SERVICE = 'pool'
 
 /** What an endpoint says in its answers; they are whole unless it says otherwise. */
-export interface Statement extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
+export interface ResponseBehaviour extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
   /** It rejects what comes and wants nothing more from that host for so long; 0 if it asks for no pause. */
-  readonly rejectsForMs?: number
+  readonly rejectionPauseMs?: number
 }
 
 /** What a simulation consists of. */
-export interface HostsShape {
+export interface SimulationOptions {
   readonly hosts: number
   readonly endpoints: number
   /** That come to each host. */
@@ -55,7 +55,7 @@
   readonly at: number
 }
 
-interface PendingAnswer {
+interface PendingResponse {
   readonly host: Host
   readonly endpoint: EndpointState
   readonly sentAt: number
@@ -68,9 +68,9 @@
   readonly #hosts: readonly Host[]
   readonly #board = new LoadBoard()
   readonly #arrivals = new Map<string, Arrival[]>()
-  readonly #statements = new Map<string, Statement>()
+  readonly #responseBehaviours = new Map<string, ResponseBehaviour>()
   readonly #requestsPerSecond: number
-  #pending: PendingAnswer[] = []
+  #pending: PendingResponse[] = []
   #readTotals: { readonly totals: Totals, readonly read: LoadTotals } | undefined
   /** Requests for which no endpoint was to be had. */
   unplaced = 0
@@ -82,7 +82,7 @@
    *
    * @param shape - what it consists of
    */
-  constructor ({ hosts, endpoints, requestsPerSecond, seed }: HostsShape) {
+  constructor ({ hosts, endpoints, requestsPerSecond, seed }: SimulationOptions) {
     vi.useFakeTimers({ toFake: ['performance'] })
     vi.spyOn(Math, 'random').mockImplementation(seededRandom(seed))
     this.#requestsPerSecond = requestsPerSecond
@@ -105,8 +105,8 @@
    * @param endpoint - number of an endpoint
    * @param statement - what its answers say from now on
    */
-  state (endpoint: number, statement: Statement): void {
-    this.#statements.set(listedEndpoint(endpoint).id, statement)
+  setBehaviour (endpoint: number, statement: ResponseBehaviour): void {
+    this.#responseBehaviours.set(listedEndpoint(endpoint).id, statement)
   }
 
   /** @param milliseconds - of the virtual clock in which requests come */
@@ -150,15 +150,15 @@
 
   #answer (now: number): void {
     for (const pending of this.#pending) {
-      if (!pending.hasHead && now >= pending.sentAt + HEAD_MS) this.#answerHead(pending, now)
-      if (!pending.hasEnded && now >= pending.sentAt + WHOLE_MS) this.#end(pending)
+      if (!pending.hasHead && now >= pending.sentAt + RESPONSE_HEAD_MS) this.#answerHead(pending, now)
+      if (!pending.hasEnded && now >= pending.sentAt + RESPONSE_END_MS) this.#end(pending)
     }
     this.#pending = this.#pending.filter(({ hasEnded }) => !hasEnded)
   }
 
-  #answerHead (pending: PendingAnswer, now: number): void {
+  #answerHead (pending: PendingResponse, now: number): void {
     const { host, endpoint } = pending
-    const head = headOf(this.#statements.get(endpoint.id) ?? {})
+    const head = headOf(this.#responseBehaviours.get(endpoint.id) ?? {})
     pending.hasHead = true
     endpoint.observeBytes(now)
     host.fleet.limits.observeAnswer(endpoint, head, now)
@@ -169,14 +169,14 @@
     this.rejected += 1
   }
 
-  #end (pending: PendingAnswer): void {
+  #end (pending: PendingResponse): void {
     pending.endpoint.end(0)
     pending.host.fleet.observe(pending.endpoint, 'success')
     pending.hasEnded = true
   }
 
   #exchange (host: Host, now: number): void {
-    if (now - host.exchangedAt < EXCHANGE_MS) return
+    if (now - host.exchangedAt < LOAD_EXCHANGE_INTERVAL_MS) return
     host.exchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
@@ -196,7 +196,7 @@
   return { id: `e-${number}`, service: SERVICE, address: `10.1.0.${number}:80`, dataCentre: 'north', slots: 48, isLeaving: false, isBusy: false, models: [] }
 }
 
-function headOf ({ requestsPerSecond, rejectsForMs }: Statement): AnswerHead {
+function headOf ({ requestsPerSecond, rejectionPauseMs: rejectsForMs }: ResponseBehaviour): ResponseHead {
   const isNotExecuted = rejectsForMs !== undefined
   return {
     status: isNotExecuted ? 503 : 200,
--- a/apps/entry/src/lib/routed/harness/RoutedHost.ts
+++ b/apps/entry/src/lib/routed/harness/RoutedHost.ts
@@ -9,7 +9,7 @@
 import { RoutedFleet } from '../RoutedFleet.js'
 import { RoutedServer } from '../RoutedServer.js'
 import type { FakeEndpoint } from './FakeEndpoint.js'
-import { idleQuarantine } from './idleQuarantine.js'
+import { emptyQuarantine } from './emptyQuarantine.js'
 import { PLAIN_HEADERS, PlainCodec } from './PlainCodec.js'
 import { TEST_SITE } from './testSite.js'
 
@@ -17,7 +17,7 @@
 export const BALANCER_LAG_MS = 100
 
 /** Age of a host that does not let requests wait for the site any more, in milliseconds. */
-const LONG_AGO_MS = 60_000
+const DEFAULT_HOST_AGE_MS = 60_000
 
 /** What a test may want otherwise. */
 export interface RoutedHostOptions {
@@ -28,7 +28,7 @@
   readonly startedAt?: number
   readonly quarantine?: RequestQuarantine
   /** Has a request placed, at once unless given. */
-  readonly beforePlacing?: (place: () => void) => void
+  readonly withRecentLoad?: (place: () => void) => void
 }
 
 /** What a caller got. */
@@ -57,7 +57,7 @@
    * @param options - what differs
    */
   constructor (private readonly endpoints: readonly FakeEndpoint[], options: RoutedHostOptions = {}) {
-    const { graceMs = 60_000, budget = { ratio: 0.2, slack: 20 }, site = TEST_SITE, startedAt = performance.now() - LONG_AGO_MS, quarantine = idleQuarantine(), beforePlacing = place => { place() } } = options
+    const { graceMs = 60_000, budget = { ratio: 0.2, slack: 20 }, site = TEST_SITE, startedAt = performance.now() - DEFAULT_HOST_AGE_MS, quarantine = emptyQuarantine(), withRecentLoad = place => { place() } } = options
     const work = new WorkGate()
     this.#site = site
     this.stop = new PlannedStop(work, { balancerLagMs: BALANCER_LAG_MS, graceMs }, this.telemetry)
@@ -76,7 +76,7 @@
       isSiteUsable: () => true,
       areStoresUsable: () => false,
       storeClockMs: () => undefined,
-      withRecentLoad: beforePlacing,
+      withRecentLoad,
       isLagging: () => false
     }, startedAt)
   }
--- a/apps/entry/src/lib/routed/harness/idleQuarantine.ts
+++ b/apps/entry/src/lib/routed/harness/emptyQuarantine.ts
@@ -4,6 +4,6 @@
 import { RequestQuarantine } from '../../quarantine/RequestQuarantine.js'
 
 /** @returns a quarantine without entries */
-export function idleQuarantine (): RequestQuarantine {
+export function emptyQuarantine (): RequestQuarantine {
   return new RequestQuarantine(new QuarantineTable(), { noteLost: () => {}, noteWhole: () => {} }, new Telemetry('idle'))
 }
--- a/apps/entry/src/lib/routed/learnFromFailure.ts
+++ b/apps/entry/src/lib/routed/learnFromFailure.ts
@@ -2,7 +2,7 @@
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { RoutedFleet } from './RoutedFleet.js'
-import type { AnswerHead } from './RoutedAttempt.js'
+import type { ResponseHead } from './RoutedAttempt.js'
 
 /**
  * @param fleet - where outcomes are counted
@@ -10,7 +10,7 @@
  * @param failure - how it failed
  * @param head - head of the answer, if there was one
  */
-export function learnFromFailure (fleet: RoutedFleet, endpoint: EndpointState, failure: AttemptFailure, head: AnswerHead | undefined): void {
+export function learnFromFailure (fleet: RoutedFleet, endpoint: EndpointState, failure: AttemptFailure, head: ResponseHead | undefined): void {
   const now = performance.now()
   switch (failure) {
     case 'not-connected':
--- a/apps/entry/src/lib/routed/learnFromFirstEvent.ts
+++ b/apps/entry/src/lib/routed/learnFromFirstEvent.ts
@@ -8,7 +8,7 @@
  * Share of the estimate beyond which a fetch, and not the engine, is what a first event
  * tells of: an engine must not be avoided for a store's slow link.
  */
-const FETCHING_SHARE = 0.25
+const MAX_FETCH_SHARE = 0.25
 
 /**
  * @param fleet - where it is kept
@@ -19,16 +19,16 @@
   const now = performance.now()
   const actualMs = now - startedAt
   const { endpoint, reading, workMs, estimatedMs, memoryWaitMs } = choice
-  fleet.noteEstimate(estimatedMs, actualMs)
-  learnOfLink(fleet, choice, actualMs, now)
-  if (reading.fetchMs > workMs * FETCHING_SHARE) return
+  fleet.recordEstimateError(estimatedMs, actualMs)
+  learnLinkSpeed(fleet, choice, actualMs, now)
+  if (reading.fetchMs > workMs * MAX_FETCH_SHARE) return
   if (fleet.isLoadKnown) fleet.engineModel(service.name).observe(choice.load, actualMs - reading.fetchMs - memoryWaitMs)
   endpoint.slowness.observe(actualMs, workMs, now)
   fleet.routeSlowness(route.name).observe(actualMs, estimatedMs, now)
 }
 
 /** What requests without a fetch have shown of the engine is not the link's fault. */
-function learnOfLink (fleet: RoutedFleet, { endpoint, reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
+function learnLinkSpeed (fleet: RoutedFleet, { endpoint, reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
   const { slowest, fetchMs } = reading
   if (slowest === undefined) return
   const { transfer: { store, dataCentre }, doublings } = slowest
--- a/apps/entry/src/lib/routed/learnFromHead.ts
+++ b/apps/entry/src/lib/routed/learnFromHead.ts
@@ -1,6 +1,6 @@
 /** What the head of an answer says of its endpoint. */
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import type { AnswerHead } from './RoutedAttempt.js'
+import type { ResponseHead } from './RoutedAttempt.js'
 
 /**
  * @param endpoint - that answers
@@ -8,7 +8,7 @@
  * @param head - of the answer
  * @param now - monotonic milliseconds
  */
-export function learnFromHead (endpoint: EndpointState, model: string | undefined, { fields }: AnswerHead, now: number): void {
+export function learnFromHead (endpoint: EndpointState, model: string | undefined, { fields }: ResponseHead, now: number): void {
   if (fields.load !== undefined) endpoint.observeLoad(fields.load, now)
   if (model !== undefined && fields.version !== undefined) endpoint.learnVersion(model, fields.version)
 }
--- a/apps/entry/src/lib/routed/requestedPause.test.ts
+++ b/apps/entry/src/lib/routed/requestedPause.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, describe, expect, it } from 'vitest'
-import { HostsSimulation, type Arrival, type HostsShape } from './harness/HostsSimulation.js'
+import { HostsSimulation, type Arrival, type SimulationOptions } from './harness/HostsSimulation.js'
 
 const PAUSE_MS = 3000
 
@@ -12,7 +12,7 @@
 /** Endpoints that reject, of those that there are. */
 const REJECTING = [0, 1, 2, 3]
 
-const SHAPES: readonly HostsShape[] = [
+const SHAPES: readonly SimulationOptions[] = [
   { hosts: 7, endpoints: 13, requestsPerSecond: 20, seed: 1 },
   { hosts: 81, endpoints: 42, requestsPerSecond: 10, seed: 2 }
 ]
@@ -33,7 +33,7 @@
       simulation = new HostsSimulation(shape)
       simulation.run(1000)
       const since = performance.now()
-      for (const endpoint of REJECTING) simulation.state(endpoint, { rejectsForMs: PAUSE_MS })
+      for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, { rejectionPauseMs: PAUSE_MS })
       simulation.run(8000)
       for (const endpoint of REJECTING) expect(mostInsidePauses(simulation.arrivals(endpoint, since))).toBeLessThanOrEqual(MOST_INSIDE)
       expect(simulation.unplaced).toBe(0)
@@ -41,9 +41,9 @@
 
     it('gets as much as the others once it takes requests again', () => {
       simulation = new HostsSimulation(shape)
-      for (const endpoint of REJECTING) simulation.state(endpoint, { rejectsForMs: 1000 })
+      for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, { rejectionPauseMs: 1000 })
       simulation.run(2000)
-      for (const endpoint of REJECTING) simulation.state(endpoint, {})
+      for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, {})
       simulation.run(3000)
       const since = performance.now()
       simulation.run(2000)
@@ -59,7 +59,7 @@
     simulation = new HostsSimulation(shape)
     simulation.run(1000)
     const since = performance.now()
-    for (const endpoint of REJECTING) simulation.state(endpoint, { rejectsForMs: 0 })
+    for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, { rejectionPauseMs: 0 })
     simulation.run(5000)
     const others = simulation.arrivals(REJECTING.length, since).length
     for (const endpoint of REJECTING) expect(simulation.arrivals(endpoint, since).length).toBeLessThan(others / 2)
--- a/apps/entry/src/lib/routed/pauseSeconds.ts
+++ b/apps/entry/src/lib/routed/retryAfterSecondsFor.ts
@@ -3,20 +3,20 @@
 import type { RefusalReason } from '@eelgrassmux/schema/Refusal'
 
 /** Longest pause before a caller of a stopping host asks another one, in milliseconds: spreads those that are sent away in one moment. */
-const OTHER_HOST_SPREAD_MS = 100
+const MAX_DRAINING_RETRY_MS = 100
 
 const MILLISECONDS_PER_SECOND = 1000
 
 /**
  * @param reason - why it was refused
- * @param wantedReturnMs - milliseconds after which a place is expected
+ * @param expectedFreeInMs - milliseconds after which a place is expected
  * @param remainingMs - milliseconds that the caller has left
  * @returns seconds
  */
-export function pauseSeconds (reason: RefusalReason, wantedReturnMs: number, remainingMs: number): number {
+export function retryAfterSecondsFor (reason: RefusalReason, expectedFreeInMs: number, remainingMs: number): number {
   // No host has a place for it sooner, whatever time its caller has left.
-  if (reason === 'request-quarantined') return Math.ceil(wantedReturnMs / MILLISECONDS_PER_SECOND)
+  if (reason === 'request-quarantined') return Math.ceil(expectedFreeInMs / MILLISECONDS_PER_SECOND)
   // Other hosts have places now; only callers of this one have to leave.
-  const returnMs = reason === 'draining' ? Math.random() * OTHER_HOST_SPREAD_MS : returnAfterMs(wantedReturnMs, remainingMs, Math.random())
+  const returnMs = reason === 'draining' ? Math.random() * MAX_DRAINING_RETRY_MS : returnAfterMs(expectedFreeInMs, remainingMs, Math.random())
   return returnMs / MILLISECONDS_PER_SECOND
 }
--- a/apps/entry/src/lib/routed/silentEndpoint.test.ts
+++ b/apps/entry/src/lib/routed/silentEndpoint.test.ts
@@ -59,7 +59,7 @@
     }
     const host = new RoutedHost(ENDPOINTS.map(id => new FakeEndpoint(id, behave)), {
       budget: { ratio: 1, slack: 100 },
-      beforePlacing: place => { if (sends === 0) place(); else setTimeout(place, PLACING_MS) }
+      withRecentLoad: place => { if (sends === 0) place(); else setTimeout(place, PLACING_MS) }
     })
     await host.start()
     // Each endpoint has other work that it never answers.
@@ -82,7 +82,7 @@
   }
 
   function runs (): number {
-    return endpoints.reduce((sum, { receivedRequests: seen }) => sum + seen.length, 0)
+    return endpoints.reduce((sum, { receivedRequests }) => sum + receivedRequests.length, 0)
   }
 
   afterEach(async () => { await host.close() })
