--- a/apps/entry/src/lib/routed/CallerExchange.ts
+++ b/apps/entry/src/lib/routed/CallerExchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller and the answer to it, on the caller's connection. */
+/** One request of a caller and the response to it, on the caller's connection. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Refusal } from '@eelgrassmux/schema/Refusal'
@@ -6,17 +6,17 @@
 import type { EndpointRequest } from './EndpointConnection.js'
 import { endToEndHeaders } from './headers.js'
 
-/** What the requests of one connection have to know of each other. */
+/** State that the requests of one connection share. */
 interface ConnectionState {
-  /** The request that came last. */
+  /** The request that arrived last. */
   latest: CallerExchange
-  /** Whether an answer said that it is the last one. */
+  /** Whether a response announced with `Connection: close` that it is the last one. */
   isClosing: boolean
 }
 
 const connectionStates = new WeakMap<Socket, ConnectionState>()
 
-/** The caller's side of a routed request. */
+/** Reads a caller's request and writes the response. */
 export class CallerExchange {
   #hasHead = false
   #hasEnded = false
@@ -27,8 +27,8 @@
 
   /**
    * @param request - the caller's request
-   * @param response - the answer to it
-   * @param shouldCloseConnections - whether callers should use other connections from now on
+   * @param response - response to the request
+   * @param shouldCloseConnections - whether callers should move to other connections
    */
   constructor (
     readonly request: IncomingMessage,
@@ -45,37 +45,37 @@
   }
 
   /**
-   * @param writeHeaders - makes the endpoint's headers of the caller's
-   * @param body - that was read
-   * @returns the request as it goes on
+   * @param writeHeaders - converts the caller's headers to those for the endpoint
+   * @param body - request body that was read
+   * @returns the request to send to the endpoint
    */
   toEndpoint (writeHeaders: (headers: readonly string[]) => string[], body: Buffer | undefined): EndpointRequest {
     const { method = 'GET', url: target = '/', rawHeaders } = this.request
     return { method, target, headers: writeHeaders(rawHeaders), body }
   }
 
-  /** Whether the caller made a connection for this request. */
+  /** Whether this is the first request on its connection. */
   get isFirstOnConnection (): boolean { return this.#isFirstOnConnection }
 
-  /** Whether an earlier answer on this connection was the last: no answer to this request can be sent any more. */
+  /** Whether an earlier response on this connection announced that it is the last one, so that this request can't be answered. */
   get isAfterLastResponse (): boolean { return this.#isAfterLastResponse }
 
-  /** Whether part of an answer was passed on. */
+  /** Whether the head of a response has been written. */
   get hasHead (): boolean { return this.#hasHead }
-  /** Whether the answer is complete, or nobody waits for it any more. */
+  /** Whether the response has ended, or the caller has disconnected. */
   get hasEnded (): boolean { return this.#hasEnded || this.#hasCallerLeft }
 
-  /** Whether the caller has closed its side before it got an answer, as far as the sockets have been read. */
+  /** Whether the response has ended or the caller is known to have disconnected. A disconnect that has not been read from the socket yet is not seen. */
   get isAbandoned (): boolean {
     return this.hasEnded || this.request.errored !== null || this.request.socket.destroyed
   }
 
-  /** @param listener - called once when the answer has been handed to the system or the connection is gone */
+  /** @param listener - called once when the response has been handed to the operating system or the connection has closed */
   onClosed (listener: () => void): void {
     this.response.on('close', listener)
   }
 
-  /** @param listener - called once if the caller leaves before the answer is complete */
+  /** @param listener - called once if the caller disconnects before the response is complete */
   onCallerLeft (listener: () => void): void {
     this.response.on('close', () => {
       if (this.#hasEnded) return
@@ -85,10 +85,10 @@
   }
 
   /**
-   * Passes on the head of an endpoint's answer.
+   * Writes the head of an endpoint's response.
    *
-   * @param status - as the endpoint answered
-   * @param headers - as the endpoint answered
+   * @param status - status of the endpoint's response
+   * @param headers - headers of the endpoint's response
    */
   writeHead (status: number, headers: readonly string[]): void {
     this.#hasHead = true
@@ -98,30 +98,30 @@
   }
 
   /**
-   * @param chunk - bytes of the answer
-   * @returns false if the caller reads more slowly than they come
+   * @param chunk - bytes of the response body
+   * @returns false if the write buffer is full, because the caller reads too slowly
    */
   write (chunk: Buffer): boolean {
     return this.response.write(chunk)
   }
 
-  /** @param listener - called once when more can be written */
+  /** @param listener - called once when the write buffer has been drained */
   onceDrained (listener: () => void): void {
     this.response.once('drain', listener)
   }
 
-  /** Ends the answer as complete. */
+  /** Ends the response as complete. */
   end (): void {
     this.#hasEnded = true
     this.response.end()
   }
 
   /**
-   * Answers with a whole answer of an endpoint.
+   * Writes a complete response of an endpoint.
    *
-   * @param status - as the endpoint answered
-   * @param headers - as the endpoint answered
-   * @param body - whole body
+   * @param status - status of the endpoint's response
+   * @param headers - headers of the endpoint's response
+   * @param body - complete body
    */
   sendWhole (status: number, headers: readonly string[], body: Buffer): void {
     this.writeHead(status, headers)
@@ -129,22 +129,22 @@
     this.response.end(body)
   }
 
-  /** Breaks an answer off, so that it can't be taken for complete. */
+  /** Closes the connection in the middle of the response, so that the caller can't take it for complete. */
   abort (): void {
     this.#hasEnded = true
     this.response.destroy()
   }
 
   /**
-   * Answers with a refusal of this host.
+   * Writes a refusal by this host as a problem document.
    *
-   * @param refusal - reason, status, and whether the request ran
+   * @param refusal - reason, status, and whether the request may have been executed
    */
   refuse (refusal: Refusal): void {
     const body = Buffer.from(JSON.stringify(toProblem(refusal)))
     const headers = ['Content-Type', 'application/problem+json', 'Content-Length', String(body.length)]
     if (refusal.retryAfterSeconds !== undefined) headers.push('Retry-After', refusal.retryAfterSeconds.toFixed(2))
-    // Bytes of the request that were not read would be taken for the next one.
+    // Unread bytes of this request would be parsed as the next request.
     if (this.#closesConnection() || !this.request.complete) headers.push('Connection', 'close')
     this.#hasHead = true
     this.#hasEnded = true
@@ -152,7 +152,7 @@
     this.response.end(body)
   }
 
-  /** A caller may have sent further requests behind this one; they were read and are answered first. */
+  /** Whether this response is the last one on the connection. It is not while further requests of a pipelining caller have been read, because those are answered first. */
   #closesConnection (): boolean {
     if (!this.shouldCloseConnections() || this.#connection.latest !== this) return false
     this.#connection.isClosing = true
--- a/apps/entry/src/lib/routed/EndpointConnection.ts
+++ b/apps/entry/src/lib/routed/EndpointConnection.ts
@@ -1,14 +1,14 @@
 /**
- * One connection to an endpoint. It carries one request at a time.
+ * One connection to an endpoint, which carries one request at a time.
  *
- * Built on an undici client with a single socket. The socket is made here, so
- * that a reset can be told from an orderly end: an answer without a length ends
- * with its connection, and one that was reset is not complete.
+ * It is an undici client with a single socket. The socket is created here, so that
+ * a connection reset can be distinguished from an orderly end: a response without a
+ * length ends with its connection, and is incomplete if the connection was reset.
  */
 import { connect, type Socket } from 'node:net'
 import { Client, type buildConnector } from 'undici'
 
-/** A request as it is sent. */
+/** A request as it is sent to an endpoint. */
 export interface EndpointRequest {
   readonly method: string
   readonly target: string
@@ -16,33 +16,33 @@
   readonly body: Buffer | undefined
 }
 
-/** Told of the answer as it comes in. */
+/** Receives a response as it arrives. */
 export interface ResponseHandler {
-  /** The first byte of the request may leave from now on. */
+  /** Called before the first byte of the request may be sent. */
   sending (): void
   /**
-   * @param resume - goes on after {@link ResponseHandler.data} asked to pause
+   * @param resume - resumes reading after {@link ResponseHandler.data} returned false
    */
   head (status: number, headers: string[], resume: () => void): void
-  /** @returns false to pause */
+  /** @returns false to pause reading */
   data (chunk: Buffer): boolean
   complete (): void
   failed (error: Error): void
 }
 
-/** Ends a request; its endpoint notices by the closed connection. */
+/** Cancels a request. The endpoint learns of it because the connection closes. */
 export type CancelRequest = () => void
 
-/** Longest wait for a connection, in milliseconds: hosts are a millisecond apart, and a lost first packet is sent again after a second. */
+/** Connect timeout, in milliseconds. The round trip takes about a millisecond, and TCP would repeat a lost SYN only after a second. */
 const CONNECT_TIMEOUT_MS = 200
 
-/** Idle time after which a connection without a stated limit is not used again, in milliseconds. */
+/** Idle time after which a connection is not reused if the endpoint states no limit, in milliseconds. */
 const DEFAULT_IDLE_TIMEOUT_MS = 4000
 
-/** Taken off the idle limit that an endpoint states, in milliseconds: a request must arrive before the endpoint closes. */
+/** Subtracted from the idle limit that an endpoint states, in milliseconds, so that a request arrives before the endpoint closes the connection. */
 const IDLE_MARGIN_MS = 700
 
-/** Raised when the endpoint resets a connection inside an answer. */
+/** The endpoint reset the connection inside a response. */
 class AnswerReset extends Error {
   constructor () {
     super('the connection was reset inside the answer')
@@ -50,15 +50,15 @@
   }
 }
 
-/** A connection that is opened with its first request. */
+/** A connection that is opened by its first request. */
 export class EndpointConnection {
   readonly #client: Client
   #wasReset = false
   #isClosed = false
 
   /**
-   * @param address - IP number and port
-   * @param onClose - called once when the connection is gone
+   * @param address - IP address and port
+   * @param onClose - called once when the connection has closed
    */
   constructor (address: string, private readonly onClose: (connection: EndpointConnection) => void) {
     this.#client = new Client(`http://${address}`, {
@@ -73,15 +73,15 @@
     this.#client.on('connectionError', () => { this.close() })
   }
 
-  /** Whether a further request can be sent on it. */
+  /** Whether another request can be sent on this connection. */
   get isUsable (): boolean { return !this.#isClosed }
 
   /**
-   * Sends a request and reads its answer.
+   * Sends a request and reads the response.
    *
-   * @param request - what to send
-   * @param handler - told of the answer
-   * @returns ends the request early
+   * @param request - request to send
+   * @param handler - receives the response
+   * @returns cancels the request
    */
   send (request: EndpointRequest, handler: ResponseHandler): CancelRequest {
     let hasEnded = false
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Closes at once; a request under way fails. */
+  /** Closes the connection at once; a pending request fails. */
   close (): void {
     if (this.#isClosed) return
     this.#isClosed = true
@@ -132,14 +132,14 @@
       else callback(null, connected)
     }
     socket.on('error', error => {
-      // Noted before the client looks: it takes a reset for the end of an answer without a length.
+      // Recorded before undici handles the error, because undici takes a reset for the end of a response without a length.
       this.#wasReset = true
       settle(error, undefined)
     })
-    // A reset that comes together with bytes is reported as an end. A connection that was
-    // reset has no peer any more, one that ended in order still has.
+    // A reset that arrives together with data is reported as an end. After a reset the
+    // socket has no remote address; after an orderly end it still has one.
     socket.once('end', () => { this.#wasReset ||= socket.remoteAddress === undefined })
-    // A busy host hears of its caller's leaving a turn after the connection: nothing is to be sent then.
+    // On a busy host, a caller's disconnect may be read one turn after this event; the request must not be sent then.
     socket.once('connect', () => { setImmediate(() => { setImmediate(() => { settle(undefined, socket) }) }) })
   }
 }
--- a/apps/entry/src/lib/routed/EndpointConnections.ts
+++ b/apps/entry/src/lib/routed/EndpointConnections.ts
@@ -1,27 +1,27 @@
-/** Connections of this host to one endpoint: reused where possible, because new ones cost the endpoint time. */
+/** Pool of this host's connections to one endpoint. Connections are reused, because accepting new ones costs the endpoint time. */
 import { EndpointConnection } from './EndpointConnection.js'
 
-/** Keeps idle connections; the last one used is used first, so that surplus ones close by themselves. */
+/** Keeps idle connections. The most recently used one is reused first, so that surplus ones reach their idle timeout. */
 export class EndpointConnections {
   readonly #idle: EndpointConnection[] = []
   readonly #open = new Set<EndpointConnection>()
 
   /**
-   * @param address - IP number and port
+   * @param address - IP address and port
    * @param onOpen - called for each new connection
    */
   constructor (readonly address: string, private readonly onOpen: () => void) {}
 
-  /** Connections that are open, idle ones included. */
+  /** Number of open connections, including idle ones. */
   get count (): number { return this.#open.size }
 
-  /** Whether a request can be sent without a new connection. */
+  /** Whether a request can be sent without opening a connection. */
   get hasIdle (): boolean { return this.#idle.some(connection => connection.isUsable) }
 
   /**
-   * Takes an idle connection or makes a new one.
+   * Takes an idle connection or opens a new one.
    *
-   * @param maximum - connections that this host may have
+   * @param maximum - most connections that this host may have open
    * @returns the connection, or undefined if all are in use
    */
   acquire (maximum: number): EndpointConnection | undefined {
@@ -36,10 +36,10 @@
   }
 
   /**
-   * Gives a connection back after a whole answer. It becomes usable a moment
-   * later, so that bytes behind the answer are noticed and close it first.
+   * Returns a connection to the pool after a complete response. It becomes available
+   * in the next turn, so that surplus bytes after the response are noticed and close it first.
    *
-   * @param connection - taken by {@link EndpointConnections.acquire}
+   * @param connection - connection from {@link EndpointConnections.acquire}
    */
   release (connection: EndpointConnection): void {
     setImmediate(() => {
@@ -47,7 +47,7 @@
     })
   }
 
-  /** Closes all idle connections; those in use close when their answer is whole. */
+  /** Closes all idle connections. */
   closeIdle (): void {
     for (const connection of this.#idle.splice(0)) connection.close()
   }
--- a/apps/entry/src/lib/routed/ResponseRelay.ts
+++ b/apps/entry/src/lib/routed/ResponseRelay.ts
@@ -1,33 +1,33 @@
-/** Passes an endpoint's answer on to the caller: events as they come, everything else when it is whole. */
+/** Forwards an endpoint's response to the caller: streams as the events arrive, other responses once they are complete. */
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import { EventCursor } from '@eelgrassmux/runs/EventCursor'
 import type { CallerExchange } from './CallerExchange.js'
 import type { ResponseHead } from './RoutedAttempt.js'
 
-/** Whole answers up to this size are passed on only when they are complete, so that a broken one can be asked for again; in bytes. */
+/** Responses other than streams are buffered up to this size, in bytes, so that the request can be retried if the response breaks off. */
 const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
 
 const OK = 200
 
-/** Answers from this status on are failures of the endpoint. */
+/** Lowest status that counts as a failure of the endpoint. */
 const FIRST_SERVER_ERROR_STATUS = 500
 
-/** What kind of answer is expected. */
+/** The kind of response that is expected. */
 export interface RelayKind {
   readonly isStream: boolean
-  /** Whether a broken stream may go on at another endpoint. */
+  /** Whether a broken stream may be resumed at another endpoint. */
   readonly isResumable: boolean
-  /** Event behind which the caller asked to go on. */
+  /** Id of the event after which the caller asked to resume. */
   readonly lastEventId: number | undefined
 }
 
-/** Why an answer that has ended can't be passed on. */
+/** Why a response that has ended can't be forwarded. */
 export interface ResponseFault {
   readonly failure: AttemptFailure
   readonly detail: string
 }
 
-/** The answer to one request, over all its attempts. */
+/** The response to one request, over all its attempts. */
 export class ResponseRelay {
   readonly #cursor: EventCursor | undefined
   #head: ResponseHead | undefined
@@ -36,19 +36,19 @@
   #bufferedBytes = 0
 
   /**
-   * @param exchange - the caller's side
-   * @param kind - what is expected
+   * @param exchange - connection to the caller
+   * @param kind - kind of response that is expected
    */
   constructor (private readonly exchange: CallerExchange, private readonly kind: RelayKind) {
     if (kind.isStream && kind.isResumable) this.#cursor = new EventCursor(kind.lastEventId)
   }
 
-  /** Whether a further attempt may go on behind what was passed on. */
+  /** Whether another attempt may continue the stream after what was forwarded. */
   get canResume (): boolean { return this.#cursor !== undefined }
-  /** Event behind which the next attempt goes on. */
+  /** Id of the event after which the next attempt has to continue. */
   get lastEventId (): number | undefined { return this.#cursor?.lastId ?? this.kind.lastEventId }
   get head (): ResponseHead | undefined { return this.#head }
-  /** Why the present attempt's answer, which has ended, is not the rest of what the caller has. */
+  /** Why the current attempt's response, which has ended, does not complete the response to the caller. */
   get fault (): ResponseFault | undefined {
     if (this.#cursor?.isInsideEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
     if (this.canResume && this.exchange.hasHead && this.#head?.status !== OK) return { failure: 'failed', detail: `status ${this.#head?.status ?? 0} in place of the rest of the stream` }
@@ -56,30 +56,30 @@
   }
 
   /**
-   * @param head - of another attempt's answer
-   * @returns whether it could be passed on behind what the caller has
+   * @param head - head of another attempt's response
+   * @returns whether that response could be forwarded after what the caller already has
    */
   canContinueWith ({ status }: ResponseHead): boolean {
     return this.canResume && this.exchange.hasHead ? status === OK : status < FIRST_SERVER_ERROR_STATUS
   }
 
   /**
-   * Takes the head of an attempt's answer.
+   * Begins the response of an attempt.
    *
-   * @param head - of an answer that was executed
-   * @param resume - goes on after {@link ResponseRelay.data} asked to pause
+   * @param head - head of a response whose request was executed
+   * @param resume - resumes reading after {@link ResponseRelay.data} returned false
    */
   begin (head: ResponseHead, resume: () => void): void {
     this.#head = head
     this.#resume = resume
-    // A failure is looked at whole before anything is passed on; what an earlier attempt left of one is not part of this answer.
+    // A failure is buffered, because the request may be retried. What an earlier attempt left in the buffer is not part of this response.
     this.#buffered = !this.kind.isStream || head.status !== OK ? [] : undefined
     this.#bufferedBytes = 0
   }
 
   /**
-   * @param chunk - next bytes of the attempt's answer
-   * @returns false to pause
+   * @param chunk - next bytes of the attempt's response
+   * @returns false to pause reading
    */
   data (chunk: Buffer): boolean {
     if (this.#buffered !== undefined) return this.#buffer(this.#buffered, chunk)
@@ -87,14 +87,14 @@
     return bytes.length === 0 || this.#forward(bytes)
   }
 
-  /** Forgets what an attempt left that was not passed on. */
+  /** Discards what was received from an attempt and not forwarded. */
   dropIncomplete (): void {
     this.#buffered = undefined
     this.#bufferedBytes = 0
     this.#cursor?.dropIncomplete()
   }
 
-  /** Ends the answer as complete. */
+  /** Ends the response as complete. */
   complete (): void {
     const head = this.#head
     if (head === undefined) return
--- a/apps/entry/src/lib/routed/ResponseTimes.ts
+++ b/apps/entry/src/lib/routed/ResponseTimes.ts
@@ -1,33 +1,33 @@
-/** When the parts of an answer came, and what that says of later requests. */
+/** Records when the parts of a response arrived, also for estimates of later requests. */
 import { callerPatienceMs } from '@eelgrassmux/routing/admission/admitStream'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
-/** Times of one request. */
+/** Times of the response to one request. */
 export class ResponseTimes {
   #firstEventMs: number | undefined
   #lastEventAt: number
 
   /**
-   * @param request - the request
-   * @param ports - where times are counted
+   * @param request - request whose response is timed
+   * @param ports - where the times are recorded
    */
   constructor (private readonly request: RoutedRequest, private readonly ports: Pick<RoutedPorts, 'firstEvent' | 'durations'>) {
     this.#lastEventAt = request.arrivedAt
   }
 
-  /** Milliseconds until the first event, once there was one. */
+  /** Milliseconds from the request's arrival to the first event; undefined before it. */
   get firstEventMs (): number | undefined { return this.#firstEventMs }
 
-  /** Whether an event has come. */
+  /** Whether an event has arrived. */
   get hasFirstEvent (): boolean { return this.#firstEventMs !== undefined }
 
-  /** Monotonic milliseconds after which its caller leaves if no event comes. */
+  /** When the caller is expected to disconnect unless another event arrives, in monotonic milliseconds. */
   get callerTimeoutAt (): number { return this.#lastEventAt + callerPatienceMs(this.request.route) }
 
   /**
-   * Called at each event.
+   * Records the arrival of an event.
    *
-   * @returns whether it is the first
+   * @returns whether it was the first one
    */
   recordEvent (): boolean {
     this.#lastEventAt = performance.now()
@@ -37,7 +37,7 @@
     return true
   }
 
-  /** Called when the answer is whole. */
+  /** Records that the response is complete. */
   noteWhole (): void {
     const wholeMs = this.#sinceArrivalMs
     const startMs = this.#firstEventMs ?? wholeMs
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -1,4 +1,4 @@
-/** One send of a routed request to one endpoint, from its connection to the end of the answer. */
+/** One attempt to send a routed request to an endpoint, from the connection to the end of the response. */
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { CancelRequest, EndpointConnection, EndpointRequest } from './EndpointConnection.js'
@@ -6,16 +6,16 @@
 import type { ResponseFields, RequestCodec } from './RequestCodec.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 
-/** An answer's head, read. */
+/** Head of a response, with the fields that were read from its headers. */
 export interface ResponseHead {
   readonly status: number
   readonly headers: readonly string[]
   readonly fields: ResponseFields
 }
 
-/** Told of the answer; after `failed` or `complete` nothing more comes. */
+/** Receives the response of an attempt; `failed` or `complete` is the last call. */
 export interface AttemptListener {
-  /** The first byte may leave from now on. */
+  /** Called before the first byte may be sent. */
   sending (): void
   head (attempt: RoutedAttempt, head: ResponseHead, resume: () => void): void
   /** @returns false to pause until `resume` */
@@ -26,7 +26,7 @@
 
 const MISDIRECTED = 421
 
-/** Sends once; its connection is kept only after a whole answer that belongs to the request. */
+/** Sends a request once. The connection is reused only after a complete response that belongs to the request. */
 export class RoutedAttempt {
   #cancel: CancelRequest = () => {}
   #head: ResponseHead | undefined
@@ -36,13 +36,13 @@
   readonly startedAt = performance.now()
 
   /**
-   * @param choice - where it goes
-   * @param requestId - id that the answer must bear
+   * @param choice - endpoint that was chosen
+   * @param requestId - request id that the response must carry, if it carries any
    * @param connections - this host's connections to that endpoint
-   * @param connection - the one to use
-   * @param fleet - where the work that it causes is counted
-   * @param codec - reads the answer's headers
-   * @param listener - told of the answer
+   * @param connection - connection to use
+   * @param fleet - counts the load of the attempt
+   * @param codec - reads the response headers
+   * @param listener - receives the response
    */
   constructor (
     readonly choice: EndpointChoice,
@@ -54,13 +54,13 @@
     private readonly listener: AttemptListener
   ) {}
 
-  /** Whether the first byte may have left. */
+  /** Whether the first byte may have been sent. */
   get wasSent (): boolean { return this.#wasSent }
-  /** Milliseconds since it was made. */
+  /** Milliseconds since the attempt was created. */
   get ageMs (): number { return performance.now() - this.startedAt }
   get hasHead (): boolean { return this.#head !== undefined }
 
-  /** @param request - what to send */
+  /** @param request - request to send */
   send (request: EndpointRequest): void {
     this.choice.endpoint.begin(this.choice.reading.tokensToRead, this.choice.tokensHeld, performance.now())
     this.fleet.storeLinks.begin(this.choice.reading.transfers)
@@ -77,7 +77,7 @@
     })
   }
 
-  /** Ends the attempt; the endpoint notices by the closed connection, and the listener hears nothing more. */
+  /** Ends the attempt without calling the listener. The endpoint learns of it because the connection closes. */
   cancel (): void {
     if (this.#hasEnded) return
     this.#end()
@@ -85,7 +85,7 @@
     this.#cancel()
   }
 
-  /** The endpoint's work ends here, as far as this host counts it. */
+  /** Removes the attempt from the endpoint's load. */
   #end (): void {
     this.#hasEnded = true
     this.#endPromptReading()
@@ -93,7 +93,7 @@
     this.fleet.noteWork('eased')
   }
 
-  /** With the first event, the prompt has been fetched and read. */
+  /** Removes the prompt from the endpoint's load; the first bytes of the body show that it has been fetched and read. */
   #endPromptReading (): void {
     if (!this.#isReadingPrompt) return
     this.#isReadingPrompt = false
@@ -107,7 +107,7 @@
     this.choice.endpoint.observeBytes(performance.now())
     const fields = this.codec.readResponseHeaders(status, headers)
     if (fields.requestId !== undefined && fields.requestId !== this.requestId) {
-      // An extra answer to an earlier request: what follows on this connection can't be trusted.
+      // This is a surplus response to an earlier request, so nothing that follows on this connection can be trusted.
       this.#fail('lost', `the answer bears the id ${fields.requestId}`)
       return
     }
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -1,4 +1,4 @@
-/** Endpoints of routed requests: what is known of each, and this host's connections to it. */
+/** The endpoints of routed requests, with the state and the connections that this host keeps for each. */
 import { chooseEndpoint } from '@eelgrassmux/routing/endpoints/chooseEndpoint'
 import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
 import { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
@@ -21,32 +21,32 @@
 import { EndpointLimits } from './EndpointLimits.js'
 import { EndpointConnections } from './EndpointConnections.js'
 
-/** Connections that a host may have at an endpoint that states no bound. */
+/** Most connections of this host to one endpoint of a service that states no limit. */
 const DEFAULT_MAX_CONNECTIONS = 64
 
-/** Fewest connections of a host to an endpoint, however many hosts share its bound. */
+/** Lowest connection limit of a host per endpoint, however many hosts share the service's limit. */
 const MIN_CONNECTIONS = 2
 
-/** In seconds: a tenth to several times of what first events take. */
+/** Bucket bounds from a tenth of a usual first event time to several times of it. */
 const ESTIMATE_ERROR_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
 
-/** Outcomes of late that are worth telling other hosts. */
+/** Recent outcomes, in decayed count, from which an endpoint is reported to other hosts. */
 const MIN_REPORTED_OUTCOMES = 0.5
 
-/** Share of an endpoint's connections that hosts plan with; the rest covers hosts that are just leaving or starting. */
+/** Share of an endpoint's connection limit that the live hosts divide among themselves; the rest covers hosts that are just stopping or starting. */
 const PLANNED_CONNECTION_SHARE = 0.9
 
-/** Interval between looks at what turns this host away from endpoints, in milliseconds; they are for the log alone. */
+/** Interval at which ejected endpoints are determined, in milliseconds. The result is only logged and counted. */
 const EJECTION_CHECK_INTERVAL_MS = 250
 
-/** How this host's work at endpoints changed. */
+/** How this host's load on endpoints changed. */
 export type WorkChange =
-  /** There is more: hosts that place requests now have to know. */
+  /** The load grew; other hosts need to know before they place requests. */
   | 'sent'
-  /** There is less. */
+  /** The load shrank. */
   | 'eased'
 
-/** Follows the list, chooses endpoints and keeps connections to them. */
+/** Follows the endpoint list, chooses endpoints for requests, and keeps connections to them. */
 export class RoutedFleet {
   readonly #pool: EndpointPool
   readonly promptMemory = new PromptMemory()
@@ -64,11 +64,11 @@
   #ejectionsCheckedAt = Number.NEGATIVE_INFINITY
 
   /**
-   * @param dataCentre - where this host stands
-   * @param liveHosts - entry hosts that may be alive, as of now
+   * @param dataCentre - data centre of this host
+   * @param liveHosts - returns how many entry hosts may be alive now
    * @param telemetry - log and metrics
-   * @param mechanisms - that decide where requests go
-   * @param host - name of this host, unlike those of all others
+   * @param mechanisms - routing mechanisms to use
+   * @param host - unique name of this host
    */
   constructor (
     private readonly dataCentre: string,
@@ -94,7 +94,7 @@
 
   /**
    * @param route - route name
-   * @returns how much slower its first events are than estimated
+   * @returns how much slower the route's first events are than estimated
    */
   routeSlowness (route: string): Slowness {
     const present = this.#routeSlowness.get(route)
@@ -105,8 +105,8 @@
   }
 
   /**
-   * @param service - name of a service of engines
-   * @returns what its engines take
+   * @param service - name of a service with engines
+   * @returns the timing model of its engines
    */
   engineModel (service: string): EngineModel {
     const present = this.#engineModels.get(service)
@@ -117,21 +117,21 @@
   }
 
   /**
-   * Counts how far an estimate was off.
+   * Records the error of an estimate in a histogram.
    *
-   * @param estimatedMs - when the endpoint was chosen
-   * @param actualMs - until the first event
+   * @param estimatedMs - time to the first event, as estimated when the endpoint was chosen
+   * @param actualMs - actual time to the first event
    */
   recordEstimateError (estimatedMs: number, actualMs: number): void {
     this.#observeEstimateError(Math.abs(actualMs - estimatedMs))
   }
 
-  /** Whether the work of other hosts is known, so that estimates may decide about refusals. */
+  /** Whether the load of the other hosts is known recently enough to refuse requests by estimate. */
   get isLoadKnown (): boolean { return this.otherHostsLoad.isRecent(performance.now()) }
   /** Whether any endpoint is known. */
   get hasEndpoints (): boolean { return this.#pool.all.length > 0 }
 
-  /** @param listed - the platform's list as last read */
+  /** @param listed - the platform's endpoint list, as last read */
   update (listed: readonly ListedEndpoint[]): void {
     for (const gone of this.#pool.update(listed)) {
       this.#connections.get(gone.incarnation)?.closeIdle()
@@ -140,13 +140,13 @@
     }
   }
 
-  /** @param site - that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.limits.configure(site)
     this.storedParts.configure(site.services.filter(service => service.type === 'store'))
   }
 
-  /** Notes what other hosts have told since the last time; call when it was heard. */
+  /** Applies what other hosts have reported since the last call. Call this after each load exchange. */
   applyObservations (): void {
     const now = performance.now()
     for (const change of this.storeLinks.observeOthers(this.otherHostsLoad.links, now)) this.#logLink(change)
@@ -190,7 +190,7 @@
 
   /**
    * @param service - service name
-   * @returns its endpoints
+   * @returns the service's endpoints
    */
   endpointsOf (service: string): readonly EndpointState[] {
     return this.#pool.ofService(service)
@@ -200,7 +200,8 @@
    * Chooses an endpoint of a service.
    *
    * @param service - service name
-   * @param ask - what is asked
+   * @param ask - requirements of the request
+   * @returns the chosen endpoint, or why there is none
    */
   choose (service: string, ask: Pick<EndpointAsk, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
@@ -219,33 +220,33 @@
 
   /**
    * @param service - service name
-   * @param excluded - endpoints that can't be used again
-   * @returns when the first endpoint that is held back may get a request of this host, in monotonic milliseconds
+   * @param excluded - ids of endpoints that the request can't use
+   * @returns when the first endpoint that is held back may get a request from this host, in monotonic milliseconds; infinity if none is held back
    */
   firstRelease (service: string, excluded: ReadonlySet<string>): number {
     return this.limits.firstRelease(this.#pool.ofService(service).filter(endpoint => !endpoint.isLeaving && !excluded.has(endpoint.id)), performance.now())
   }
 
   /**
-   * @param endpoint - with work of this host
-   * @returns whether it has fallen silent towards everybody, as far as is known
+   * @param endpoint - endpoint with pending requests of this host
+   * @returns whether it is known to have stopped responding to all hosts
    */
   isSilent (endpoint: EndpointState): boolean {
     const now = performance.now()
     return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.at(endpoint.incarnation), now))
   }
 
-  /** @param listener - told of each change of this host's work at endpoints */
+  /** @param listener - called on each change of this host's load on endpoints */
   onWorkChange (listener: (change: WorkChange) => void): void {
     this.#workListener = listener
   }
 
-  /** @param change - how work at endpoints changed */
+  /** @param change - how this host's load on endpoints changed */
   noteWork (change: WorkChange): void {
     this.#workListener(change)
   }
 
-  /** @returns this host's work at each endpoint that has any, or of which there is something to tell, and on links */
+  /** @returns this host's load on links, and on each endpoint with load or with observations to report */
   ownWork (): HostWork {
     const now = performance.now()
     const work = this.#pool.all.filter(endpoint => endpoint.hasWork(now))
@@ -263,7 +264,7 @@
   }
 
   /**
-   * @param endpoint - a chosen endpoint
+   * @param endpoint - endpoint that was chosen
    * @returns this host's connections to it
    */
   connectionsTo (endpoint: EndpointState): EndpointConnections {
@@ -276,8 +277,8 @@
   }
 
   /**
-   * @param connectionsPerEndpoint - bound of the service over all callers; 0 if it states none
-   * @returns this host's part of it
+   * @param connectionsPerEndpoint - the service's limit over all hosts; 0 if it states none
+   * @returns this host's share of the limit
    */
   connectionLimit (connectionsPerEndpoint: number): number {
     if (connectionsPerEndpoint === 0) return DEFAULT_MAX_CONNECTIONS
@@ -285,16 +286,16 @@
   }
 
   /**
-   * Takes the outcome of a request for what it says of the endpoint.
+   * Updates the health of an endpoint with the outcome of a request.
    *
-   * @param endpoint - where it was sent
-   * @param outcome - how it ended there
+   * @param endpoint - endpoint that the request was sent to
+   * @param outcome - how the request ended there
    */
   observe (endpoint: EndpointState, outcome: 'success' | 'failure' | 'unreachable' | 'unanswered'): void {
     const peers = this.#pool.ofService(endpoint.listed.service).filter(peer => peer !== endpoint)
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
-    // A connection to a host that is gone without a word would take one more request with it.
+    // An idle connection to an endpoint that is no longer reachable would lose one more request.
     if (endpoint.health.isOutOfReach(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
     this.telemetry.stateChanged('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
--- a/apps/entry/src/lib/routed/RoutedRequest.ts
+++ b/apps/entry/src/lib/routed/RoutedRequest.ts
@@ -1,4 +1,4 @@
-/** A routed request and what it needs from around it. */
+/** A routed request and its dependencies. */
 import type { RegionBound } from '@eelgrassmux/routing/places/RegionBound'
 import type { RouteDurations } from '@eelgrassmux/routing/admission/RouteDurations'
 import type { RetryAllowance } from '@eelgrassmux/routing/attempts/RetryAllowance'
@@ -10,23 +10,23 @@
 import type { CallerFields, RequestCodec } from './RequestCodec.js'
 import type { SharedInterval } from './SharedInterval.js'
 
-/** A request that was read whole and belongs to a route. */
+/** A request that was read completely and assigned to a route. */
 export interface RoutedRequest {
   readonly id: string
   readonly route: Route
   readonly service: ReplicatedService
   readonly customer: SiteCustomer | undefined
-  /** Regions in which it has to stay; undefined if it may go anywhere. */
+  /** Regions that the request has to stay in; undefined if there is no restriction. */
   readonly regionBound?: RegionBound | undefined
   readonly fields: CallerFields
   readonly body: Buffer | undefined
-  /** Monotonic milliseconds when its head was read. */
+  /** When the request's head was read, in monotonic milliseconds. */
   readonly arrivedAt: number
-  /** Version of the site under which it was admitted. */
+  /** Version of the site configuration under which the request was admitted. */
   readonly siteVersion: number
 }
 
-/** What a request needs from around it. */
+/** Dependencies of a request. */
 export interface RoutedPorts extends PromptPorts {
   readonly codec: RequestCodec
   readonly allowance: RetryAllowance
@@ -37,8 +37,8 @@
   readonly stop: PlannedStop
   readonly durations: RouteDurations
   readonly quarantine: RequestQuarantine
-  /** Looks at requests whose endpoints may fall silent. */
+  /** Timer for checks whether the endpoints of requests have stopped responding. */
   readonly silenceChecks: SharedInterval
-  /** Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked. */
+  /** Calls `place` at once if the load of the other hosts is known recently enough, otherwise after requesting it. */
   withRecentLoad (place: () => void): void
 }
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -1,7 +1,7 @@
 /**
- * Carries one routed request to its end: chooses endpoints, passes the answer
- * on, and goes on elsewhere where that is allowed. The bytes of request and
- * answer are not looked into, but for the numbers of a resumable stream's events.
+ * Handles one routed request: chooses an endpoint, forwards the response, and retries
+ * at another endpoint where that is allowed. The bodies of request and response are
+ * not inspected, except for the event ids of a resumable stream.
  */
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
@@ -27,10 +27,10 @@
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 import { SilenceFailover } from './SilenceFailover.js'
 
-/** Statuses that callers take for a promise that the request has not run. */
+/** Statuses from which callers conclude that the request was not executed. */
 const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
-/** One request. */
+/** Runs one request until its response is complete, refused or aborted. */
 export class RoutedRequestTask {
   readonly #attempts = new AttemptRecord()
   readonly #deadline: number
@@ -49,9 +49,9 @@
   readonly #times: ResponseTimes
 
   /**
-   * @param request - what to do
-   * @param exchange - the caller's side
-   * @param ports - surroundings
+   * @param request - request to handle
+   * @param exchange - connection to the caller
+   * @param ports - dependencies
    */
   constructor (
     private readonly request: RoutedRequest,
@@ -92,7 +92,7 @@
     this.#relay = new ResponseRelay(exchange, { isStream: request.route.kind === 'stream', isResumable: request.route.isResumable, lastEventId: request.fields.lastEventId })
   }
 
-  /** Starts; everything else follows from timers and sockets. */
+  /** Starts the request. All further steps are driven by timers and socket events. */
   start (): void {
     this.#timer = setTimeout(() => { this.#onTimeout() }, Math.max(0, this.#deadline - performance.now()))
     this.exchange.onCallerLeft(() => { this.#onCallerLeft() })
@@ -100,18 +100,19 @@
   }
 
   /**
-   * Logs what a stop of this host decides about this request.
+   * Logs a decision that the stop of this host takes about this request.
    *
-   * @param event - name of the decision
-   * @param details - what it was made of
+   * @param event - name of the log event
+   * @param details - fields of the log event
    */
   logStop<Event extends keyof typeof stopDecisions> (event: Event, details: DecisionFields<Event>): void {
     this.#logDecision(event, { ...details, elapsedMs: Math.round(performance.now() - this.request.arrivedAt), sends: this.#attempts.sends, hadEvents: this.#times.hasFirstEvent })
   }
 
   /**
-   * Ends because the process is about to be killed: a caller that has no answer yet is told
-   * what is known, one that has part of it sees that it is not complete.
+   * Ends the request because the process is about to be killed. A caller that has no
+   * response yet gets a refusal; a response that has begun is aborted, so that the
+   * caller can tell that it is incomplete.
    *
    * @param sinceSignalMs - milliseconds since the stop began
    */
@@ -125,14 +126,14 @@
 
   // --- Attempts ---
 
-  /** Places it on what is known of the others' work by then. */
+  /** Chooses an endpoint and sends the request there, once the load of the other hosts is known. */
   #placeNext (): void {
     this.ports.withRecentLoad(() => { if (!this.#isDone) this.#sendToNextEndpoint() })
   }
 
   #sendToNextEndpoint (): void {
     if (this.#refuseIfQuarantined()) return
-    // Also asked of requests that have waited since before the stop began.
+    // This also covers requests that were waiting when the stop began.
     if (!this.#attempts.mayHaveRun && !this.exchange.hasHead && !this.#placement.canFinishBeforeStop) {
       this.#refuse('draining', 503, 'this host is stopping and could not finish it; ask another')
       return
@@ -164,8 +165,8 @@
   }
 
   /**
-   * Refused before every send, so that a request which waits or goes on elsewhere is not sent either once it is
-   * known. It takes an endpoint, with all that runs there, each time.
+   * Refuses a request that is known to crash endpoints. This is checked before every send, so that waiting
+   * requests and retries are stopped as well: each send would end an endpoint with all requests that run there.
    */
   #refuseIfQuarantined (): boolean {
     const rejection = this.#guard.heldBack(performance.now())
@@ -173,7 +174,7 @@
     return rejection !== undefined
   }
 
-  /** Waits if an endpoint that is held back is released in good time; else the caller learns at once when to come back. */
+  /** Waits if an endpoint that is held back is released in time. Otherwise refuses at once, with the time to retry, or aborts a stream that has begun. */
   #endWithoutEndpoint (reason: NoEndpointReason): void {
     const release = this.#placement.releasedAt(reason)
     if (this.#canResumeStream) {
@@ -184,7 +185,7 @@
     this.#refuse('no-endpoint', 503, `no endpoint of ${this.request.service.name}: ${reason}`, Number.isFinite(release) ? release - performance.now() : 0)
   }
 
-  /** The plan of stores is made anew, because more may be stored by then. */
+  /** Places the request with a new plan for the stores, because they may hold more parts by now. */
   #retryPlacement (): void {
     if (this.#isDone) return
     this.#prompt?.forgetPlans()
@@ -223,7 +224,7 @@
     this.ports.fleet.observe(endpoint, isFailure ? 'failure' : 'success')
     if (isFailure && !this.exchange.hasHead && (this.#switchToStandby() || this.#tryRetry('failed'))) return
     if (NOT_EXECUTED_STATUSES.has(head.status)) {
-      // The endpoint does not say that the request has not run; its caller would take the status for that.
+      // The endpoint did not state that the request was not executed, but the caller would conclude that from the status.
       this.#refuse('endpoint-failed', 502, `the endpoint answered ${head.status} without saying that it did not run the request`)
       return
     }
@@ -248,13 +249,13 @@
     }
     this.#relay.dropIncomplete()
     if (this.#switchToStandby()) return
-    // Until the next send its silence would be taken for a second failure, and the request placed twice.
+    // If the check went on until the next send, the endpoint's silence would count as a second failure and the request would be placed twice.
     this.#failover.stop()
     if (this.exchange.hasHead && !this.#relay.canResume) return this.#abort(failure, detail)
     this.#retryOrGiveUp(failure, detail)
   }
 
-  /** @returns whether a second attempt is under way already */
+  /** @returns whether a standby attempt was open and has become the current attempt */
   #switchToStandby (): boolean {
     const standby = this.#failover.takeStandby()
     if (standby === undefined) return false
@@ -269,8 +270,8 @@
   #tryRetry (failure: AttemptFailure): boolean {
     const reservation = this.#reserveRetry(failure)
     if (reservation === 'no-budget' && this.#canResumeStream) {
-      // Requests that come meanwhile add to the budget.
-      return this.#waits.waitToResume(0, this.#placement.callerTimeoutAt, () => { if (!this.#isDone) this.#retryOrGiveUp(failure, 'the budget for repeats is used up') })
+      // New requests refill the budget in the meantime.
+      return this.#waits.waitToResume(0, this.#placement.callerTimeoutAt, () => { if (!this.#isDone) this.#retryOrGiveUp(failure, 'the retry budget is used up') })
     }
     if (reservation !== 'reserved') return false
     this.ports.retries.count(failure)
@@ -284,7 +285,7 @@
     return this.#retries.reserve(failure, this.#deadline - performance.now(), this.#canResumeStream)
   }
 
-  /** Whether its caller has part of a stream that may go on at another endpoint. */
+  /** Whether the caller has received part of a stream that may be resumed at another endpoint. */
   get #canResumeStream (): boolean { return this.exchange.hasHead && this.#relay.canResume }
 
   #waitToResume (until: number): boolean {
@@ -298,7 +299,7 @@
     return !this.#isDone && this.#attempts.runs < this.request.route.attempts && this.#isEndpointSilent()
   }
 
-  /** A request that no other endpoint takes stays where it is: silence alone is no reason to end an answer. */
+  /** Opens a standby attempt if another endpoint can take the request. Otherwise the request stays where it is, because silence alone is no reason to end a response. */
   #openStandby (): RoutedAttempt | undefined {
     const now = performance.now()
     if (this.#guard.heldBack(now) !== undefined || now < this.#placement.tried.retryAt) return undefined
@@ -323,7 +324,7 @@
     this.#failures.observeSilence(replaced)
   }
 
-  // --- Ends ---
+  // --- Completion ---
 
   #giveUp (failure: AttemptFailure, detail: string): void {
     if (this.exchange.hasHead) return this.#abort(failure, detail)
@@ -333,7 +334,7 @@
 
   #onTimeout (): void {
     if (this.#isDone) return
-    // Some requests take longer than their route allows; only silence towards all is the endpoint's fault.
+    // Some requests take longer than their route allows, so the endpoint is blamed only if it has stopped responding to all hosts.
     this.#cancelAttempt(this.#isEndpointSilent() ? 'unanswered' : undefined)
     if (this.exchange.hasHead) return this.#abort('timeout')
     this.#refuse('deadline-passed', 504, 'the time of the request is over')
@@ -350,7 +351,11 @@
     return this.#attempt !== undefined && this.ports.fleet.isSilent(this.#attempt.choice.endpoint)
   }
 
-  /** An endpoint that answered nothing for all the time there was is to blame, and one that has fallen silent towards everybody. */
+  /**
+   * Cancels the current attempt.
+   *
+   * @param outcome - set if the endpoint has stopped responding to all hosts; it is then counted against the endpoint, unless a response head has come
+   */
   #cancelAttempt (outcome: 'unanswered' | undefined): void {
     const attempt = this.#attempt
     if (attempt === undefined) return
@@ -366,9 +371,9 @@
   }
 
   #refuse (reason: RefusalReason, wantedStatus: number, detail: string, expectedFreeInMs = 0): void {
-    // Part of an answer is with the caller already: all that can be said is that no more comes.
+    // The caller already has part of a response, so no other status can be sent.
     if (this.exchange.hasHead) return this.#abort(reason, detail)
-    // A status that promises that nothing ran needs the proof.
+    // A 503 tells the caller that the request was not executed, so it is only sent if that is certain.
     const status = wantedStatus === 503 && this.#attempts.mayHaveRun ? 502 : wantedStatus
     const retryAfterSeconds = status === 503 ? retryAfterSecondsFor(reason, expectedFreeInMs, this.#deadline - performance.now()) : undefined
     const refusal = refuse({ reason, status, detail, ...(retryAfterSeconds === undefined ? {} : { retryAfterSeconds }) }, this.#attempts.dispatch)
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -1,8 +1,9 @@
 /**
- * The HTTP server for routed requests: who asks, which route, and within which bounds.
+ * The HTTP server for routed requests. It authenticates the caller, finds the route, and
+ * enforces the site's size limits.
  *
- * Node's own server and not h3: bytes go from socket to socket as buffers, and a
- * connection has to be closed, kept or broken off exactly as the answer asks.
+ * Uses Node's HTTP server rather than h3, because bytes are passed between sockets as buffers,
+ * and each connection has to be closed, kept or aborted exactly as the response requires.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -26,7 +27,7 @@
 import { SILENCE_CHECK_INTERVAL_MS } from './SilenceFailover.js'
 import { StartupQueue } from './StartupQueue.js'
 
-/** What the server needs from around it. */
+/** Dependencies of the server. */
 export interface RoutedServerPorts {
   readonly fleet: RoutedFleet
   readonly codec: RequestCodec
@@ -39,33 +40,33 @@
   readonly regions: ReadonlyMap<string, string>
   liveHosts (): number
   desiredVersion (model: string): number
-  /** Milliseconds within which a request may begin on weights of that version. */
+  /** Milliseconds during which requests may still begin on weights of that version. */
   remainingMsForVersion (model: string, version: number): number
-  /** Whether this host may act on the site it knows. */
+  /** Whether this host may serve requests under the site configuration that it has. */
   isSiteUsable (): boolean
-  /** Whether what this host knows of stores may be acted on. */
+  /** Whether this host's knowledge of the stores is recent enough to use. */
   areStoresUsable (now: number): boolean
-  /** The stores' clock in milliseconds, once it is known. */
+  /** Time on the stores' clock, in milliseconds; undefined until it is known. */
   storeClockMs (now: number): number | undefined
-  /** Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked. */
+  /** Calls `place` at once if the load of the other hosts is known recently enough, otherwise after requesting it. */
   withRecentLoad (place: () => void): void
-  /** Whether this process did not get to its sockets for a while. */
+  /** Whether the event loop of this process was blocked for a while, so that its sockets were not read. */
   isLagging (): boolean
 }
 
-/** Headers that Node reads at most, in bytes; the site's own limit is checked after that and lies below. */
+/** Largest headers that Node accepts, in bytes. The site's own limit is lower and is checked afterwards. */
 const MAX_HEADER_BYTES = 64 * 1024
 
-/** Connections that wait to be accepted. */
+/** Length of the listen backlog, in connections. */
 const ACCEPT_BACKLOG = 4096
 
-/** Interval at which Node looks for callers that take too long, in milliseconds. */
+/** Interval at which Node checks connections for header timeouts, in milliseconds. */
 const CONNECTION_CHECK_INTERVAL_MS = 1000
 
-/** Longest wait for answers that are being written when the server closes, in milliseconds: refusals of the last moment, which nothing else waits for. */
+/** Time that {@link RoutedServer.close} gives to responses still being written, in milliseconds. These are late refusals, which no other step of the shutdown waits for. */
 const CLOSE_TIMEOUT_MS = 100
 
-/** Pause after which a caller should ask another host again, in seconds. */
+/** Retry-After of refusals after which the caller should try another host, in seconds. */
 const RETRY_AFTER_SECONDS = 0.3
 
 const FIRST_EVENT_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 5, 10]
@@ -73,7 +74,7 @@
 /** Serves routed requests until drained. */
 export class RoutedServer {
   readonly #server: Server
-  /** What requests need from around them, by service. */
+  /** Dependencies of requests, by service. */
   readonly #requestPorts = new Map<string, RoutedPorts>()
   readonly #refusals: LabelledCounter
   readonly #retries: LabelledCounter
@@ -84,12 +85,12 @@
   readonly #silenceChecks = new SharedInterval(SILENCE_CHECK_INTERVAL_MS)
   #index: SiteIndex | undefined
   #lastRequestAt = 0
-  /** Requests that were read and not answered yet; the task only once there is one. */
+  /** Requests without a complete response; the task is undefined until the request has been routed. */
   readonly #pendingRequests = new Map<CallerExchange, RoutedRequestTask | undefined>()
 
   /**
-   * @param ports - surroundings
-   * @param startedAt - monotonic milliseconds at which this host started; 0 is the start of the process
+   * @param ports - dependencies
+   * @param startedAt - when this host started, in monotonic milliseconds; 0 is the start of the process
    */
   constructor (private readonly ports: RoutedServerPorts, startedAt = 0) {
     const { telemetry } = ports
@@ -109,12 +110,12 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port, 0 for a free one
-   * @param early - a port that is open already; closed if it is another one
-   * @returns the port
+   * @param host - IP address
+   * @param port - port, or 0 for any free port
+   * @param early - listener that was opened during startup; it is taken over if its address matches, otherwise closed
+   * @returns the port that the server listens on
    */
   async listen (host: string, port: number, early?: EarlyListener): Promise<number> {
     if (early?.isFor(host, port) === true) {
@@ -129,36 +130,36 @@
     return (this.#server.address() as AddressInfo).port
   }
 
-  /** @param site - site that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.#index = new SiteIndex(site)
     this.#server.headersTimeout = site.limits.headerTimeoutMs
     this.#server.keepAliveTimeout = site.limits.idleTimeoutMs
   }
 
-  /** Lets requests go that waited for what this host has learnt. */
+  /** Releases requests that waited for the site, if this host now knows enough to serve them or is stopping. */
   releaseWaiting (): void {
     if (this.ports.stop.isStopping) this.#startup.releaseAll()
     else if (this.#isReadyToServe()) this.#startup.release()
   }
 
-  /** Whether a site is known. */
+  /** Whether a site configuration has been applied. */
   get isConfigured (): boolean { return this.#index !== undefined }
 
-  /** Closes connections on which no request is under way, so that callers move to other hosts. */
+  /** Closes connections without a pending request, so that callers reconnect to other hosts. */
   closeIdleConnections (): void {
     this.#server.closeIdleConnections()
   }
 
-  /** Monotonic milliseconds at which the last request arrived. */
+  /** When the last request arrived, in monotonic milliseconds. */
   get lastRequestAt (): number { return this.#lastRequestAt }
 
-  /** Logs what is under way, so that work that is cut later can be told by its ids. */
+  /** Logs the pending requests, so that requests which the stop aborts later can be identified. */
   logUnderWay (): void {
     for (const task of this.#pendingRequests.values()) task?.logStop('awaited-by-stop', { sinceSignalMs: Math.round(this.ports.stop.sinceSignalMs) })
   }
 
-  /** Ends what is under way because the process is about to be killed. */
+  /** Ends all pending requests because the process is about to be killed. */
   cutUnderWay (): void {
     for (const [exchange, task] of [...this.#pendingRequests]) {
       if (task !== undefined) task.endForStop(this.ports.stop.sinceSignalMs)
@@ -166,7 +167,7 @@
     }
   }
 
-  /** Closes; what is still being written has a moment to leave the process. */
+  /** Closes the server. Responses that are still being written get {@link CLOSE_TIMEOUT_MS}. */
   async close (): Promise<void> {
     await new Promise<void>(resolve => {
       const overdue = setTimeout(() => { this.#server.closeAllConnections() }, CLOSE_TIMEOUT_MS)
@@ -177,7 +178,7 @@
     })
   }
 
-  /** Whether this host knows what it needs to serve. The others' work is part of it: all hosts release what waits at the same moment. */
+  /** Whether this host knows enough to serve requests. That includes the load of the other hosts, because after a common start all hosts release their waiting requests at the same moment. */
   #isReadyToServe (): boolean {
     const { fleet } = this.ports
     return this.#index !== undefined && this.ports.isSiteUsable() && fleet.hasEndpoints && fleet.isLoadKnown
@@ -187,7 +188,7 @@
     const arrivedAt = performance.now()
     this.#lastRequestAt = arrivedAt
     const exchange = new CallerExchange(message, response, () => this.ports.stop.isStopping)
-    // It was sent before its caller knew, and the connection closes without it.
+    // The caller sent this request before it saw that the connection is closing; it can't be answered.
     if (exchange.isAfterLastResponse) return
     const ticket = this.ports.work.tryBegin()
     if (ticket === undefined) {
@@ -236,8 +237,9 @@
   }
 
   /**
-   * A host that was held up reads a request long after it was sent, and its caller's
-   * leaving in the turn after that. It looks before it sends the request on.
+   * Calls `start` unless the caller has disconnected. After a blocked event loop, a request
+   * is read long after it was sent, and the caller's disconnect only in the following turn,
+   * so the check waits for that turn.
    */
   #unlessAbandoned (exchange: CallerExchange, fields: CallerFields, start: () => void): void {
     if (!this.ports.isLagging()) {
