--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -1,4 +1,4 @@
-/** What the failed attempts of one request say of endpoints and of the request itself. */
+/** Updates the state of endpoints and of the request after failed attempts. */
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { QuarantineGuard } from '../quarantine/QuarantineGuard.js'
@@ -9,35 +9,35 @@
 import type { RoutedPorts } from './RoutedRequest.js'
 import type { TriedEndpoints } from './TriedEndpoints.js'
 
-/** Failures after which another endpoint, or the same one a little later, may take the request. */
+/** Failures after which another endpoint, or the same one a little later, may accept the request. */
 const TRANSIENT_FAILURES: ReadonlySet<AttemptFailure> = new Set(['rejected', 'misdirected', 'not-connected'])
 
-/** What is kept of the request. */
+/** State of the request that failures change. */
 export interface FailureRecords {
   readonly attempts: AttemptRecord
   readonly tried: TriedEndpoints
   readonly guard: QuarantineGuard
   readonly times: ResponseTimes
-  /** Monotonic milliseconds at which its time is over. */
+  /** Deadline of the request, in monotonic milliseconds. */
   readonly deadline: number
   log (details: DecisionFields<'attempt-failed'>): void
 }
 
-/** Failures of one request. */
+/** Handles the failed attempts of one request. */
 export class AttemptFailures {
   /**
-   * @param fleet - where outcomes are counted
-   * @param records - of the request
+   * @param fleet - where outcomes are recorded
+   * @param records - state of the request
    */
   constructor (private readonly fleet: RoutedPorts['fleet'], private readonly records: FailureRecords) {}
 
   /**
-   * Takes a failure that the endpoint or its connection has reported.
+   * Records a failure that the endpoint or its connection has reported.
    *
-   * @param attempt - that failed
-   * @param failure - how
-   * @param detail - for the log
-   * @param head - of the answer, if there was one
+   * @param attempt - attempt that failed
+   * @param failure - kind of failure
+   * @param detail - detail for the log
+   * @param head - head of the response, if there was one
    */
   observe (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: ResponseHead | undefined): void {
     const { attempts, tried } = this.records
@@ -49,13 +49,18 @@
     this.#log(attempt, failure, detail)
   }
 
-  /** @param attempt - that was ended because its endpoint has fallen silent */
+  /** @param attempt - attempt that was cancelled because its endpoint stopped responding */
   observeSilence (attempt: RoutedAttempt): void {
     this.fleet.observe(attempt.choice.endpoint, 'unanswered')
-    this.#log(attempt, 'broken-stream', 'the endpoint has fallen silent')
+    this.#log(attempt, 'broken-stream', 'the endpoint stopped responding')
   }
 
-  /** @param attempt - whose endpoint may have ended with it; one that leaves ends anyway, whatever it runs */
+  /**
+   * Reports that the endpoint may have crashed because of this attempt. An endpoint that is leaving
+   * is not reported, because it ends whatever it runs.
+   *
+   * @param attempt - attempt that was lost
+   */
   noteLost ({ choice: { endpoint }, wasSent, ageMs }: RoutedAttempt): void {
     if (wasSent && !endpoint.isLeaving) this.records.guard.noteLost(endpoint.incarnation, ageMs)
   }
--- a/apps/entry/src/lib/routed/AttemptSender.ts
+++ b/apps/entry/src/lib/routed/AttemptSender.ts
@@ -1,4 +1,4 @@
-/** Sends one routed request to the endpoints chosen for it. */
+/** Sends a routed request to the endpoints chosen for it. */
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { CallerExchange } from './CallerExchange.js'
 import { endpointFields, type SendState } from './endpointFields.js'
@@ -6,14 +6,14 @@
 import { RoutedAttempt, type AttemptListener } from './RoutedAttempt.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
-/** Sender of one request. */
+/** Opens and sends the attempts of one request. */
 export class AttemptSender {
   /**
-   * @param request - what is asked
-   * @param exchange - the caller's side
-   * @param ports - surroundings
-   * @param prompt - of the request, if it has one
-   * @param listener - told of the answers
+   * @param request - request to send
+   * @param exchange - connection to the caller
+   * @param ports - dependencies
+   * @param prompt - prompt of the request, if it has one
+   * @param listener - receives the responses
    */
   constructor (
     private readonly request: RoutedRequest,
@@ -24,8 +24,8 @@
   ) {}
 
   /**
-   * @param choice - where it is to go
-   * @returns an attempt with a connection of its own; undefined if all connections are in use
+   * @param choice - endpoint that was chosen
+   * @returns an attempt with a connection of its own, not sent yet; undefined if all connections are in use
    */
   open (choice: EndpointChoice): RoutedAttempt | undefined {
     const { fleet, codec } = this.ports
@@ -35,8 +35,8 @@
   }
 
   /**
-   * @param attempt - that was opened
-   * @param state - how far the request is
+   * @param attempt - attempt from {@link AttemptSender.open}
+   * @param state - progress of the request
    */
   send (attempt: RoutedAttempt, state: Omit<SendState, 'prompt'>): void {
     const now = performance.now()
--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -1,4 +1,4 @@
-/** What operators, services and endpoints themselves forbid of endpoints: data centres that are evacuated, rates that are not to be exceeded. */
+/** Limits on new requests to endpoints, set by operators, services and the endpoints themselves: evacuated data centres, rate limits and pauses. */
 import type { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
 import type { HoldReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
@@ -8,23 +8,23 @@
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { ResponseHead } from './RoutedAttempt.js'
 
-/** Time in which sends to an endpoint count as lately where its limit is logged, in milliseconds. */
+/** Window of the number of recent sends that is logged with a limit, in milliseconds. */
 const RECENT_SENDS_WINDOW_MS = 4000
 
-/** Status of an answer that may come from another instance at the endpoint's address. */
+/** Status of a response that may come from another instance at the endpoint's address. */
 const MISDIRECTED = 421
 
 /** Status of a rejection that may ask for a pause. */
 const UNAVAILABLE = 503
 
-/** That an endpoint is held back from this host. */
+/** Why and until when this host may not send requests to an endpoint. */
 export interface EndpointHold {
   readonly reason: HoldReason
-  /** Monotonic milliseconds before which it gets nothing from this host. */
+  /** Earliest time at which the endpoint may get a request from this host, in monotonic milliseconds. */
   readonly until: number
 }
 
-/** Follows the site, the operators' orders and what endpoints ask for. */
+/** Tracks the limits from the site configuration, operators' evacuations and the responses of endpoints. */
 export class EndpointLimits {
   readonly #coldRates = new Map<string, number>()
   #evacuated: ReadonlySet<string> = new Set()
@@ -32,9 +32,9 @@
   readonly #sendsDespitePause: LabelledCounter
 
   /**
-   * @param coldAllowance - this host's part of what cold endpoints take
-   * @param rateShare - this host's part of rates that endpoints name
-   * @param endpoints - all endpoints, as of now
+   * @param coldAllowance - this host's share of the requests that cold endpoints accept
+   * @param rateShare - this host's share of the rate limits that endpoints state
+   * @param endpoints - returns all known endpoints
    * @param telemetry - log and metrics
    */
   constructor (
@@ -51,10 +51,10 @@
     telemetry.gauge('data_centres_evacuated', 'Data centres whose endpoints get no new work', () => this.#evacuated.size)
   }
 
-  /** Data centres whose endpoints get no new work. */
+  /** Data centres whose endpoints get no new requests. */
   get evacuated (): ReadonlySet<string> { return this.#evacuated }
 
-  /** @param site - that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.#coldRates.clear()
     for (const service of site.services) {
@@ -63,7 +63,7 @@
   }
 
   /**
-   * @param evacuated - all data centres that are evacuated from now on
+   * @param evacuated - complete set of data centres that are evacuated from now on
    * @param now - monotonic milliseconds
    */
   evacuate (evacuated: ReadonlySet<string>, now: number): void {
@@ -71,7 +71,7 @@
     this.#evacuated = evacuated
     for (const dataCentre of changed) {
       const endpoints = this.endpoints().filter(endpoint => endpoint.listed.dataCentre === dataCentre)
-      // They may start anew meanwhile, and the list lags.
+      // Endpoints may restart during an evacuation, and the endpoint list shows it late.
       for (const endpoint of endpoints) endpoint.observeAbsence(now)
       const underWay = endpoints.reduce((sum, endpoint) => sum + endpoint.inFlight, 0)
       this.telemetry.stateChanged('evacuation-in-force', { dataCentre, isEvacuated: evacuated.has(dataCentre), endpoints: endpoints.length, underWay })
@@ -79,12 +79,12 @@
   }
 
   /**
-   * @param endpoint - that a request might go to
+   * @param endpoint - endpoint that a request might be sent to
    * @param now - monotonic milliseconds
-   * @returns why this host may not send it one now, and until when at least; undefined if it may
+   * @returns why this host may not send it a request now, and until when at least; undefined if it may
    */
   hold (endpoint: EndpointState, now: number): EndpointHold | undefined {
-    // Nobody can tell how soon it is warm.
+    // It is not known when a cold endpoint will be warm, so no later time is returned.
     if (!this.#admitsCold(endpoint, now)) return { reason: 'cold', until: now }
     const pauseUntil = endpoint.requestedPause.heldUntil(endpoint.sends.newest(1), now)
     if (pauseUntil !== undefined) return { reason: 'asked-to-pause', until: pauseUntil }
@@ -93,23 +93,23 @@
   }
 
   /**
-   * @param endpoints - that a request may use
+   * @param endpoints - endpoints that a request may use
    * @param now - monotonic milliseconds
-   * @returns when the first of them that is held back may get a request; infinity if there is none
+   * @returns when the first of them that is held back may get a request, in monotonic milliseconds; infinity if none is held back
    */
   firstRelease (endpoints: readonly EndpointState[], now: number): number {
     return Math.min(...endpoints.map(endpoint => this.hold(endpoint, now)?.until ?? Number.POSITIVE_INFINITY))
   }
 
   /**
-   * Takes what the head of an answer asks of hosts.
+   * Applies the limits that the head of a response states.
    *
-   * @param endpoint - that answers
-   * @param head - of the answer
+   * @param endpoint - endpoint that responded
+   * @param head - head of the response
    * @param now - monotonic milliseconds
    */
   observeAnswer (endpoint: EndpointState, { status, fields: { instance, isLeaving, requestsPerSecond, retryAfterMs } }: ResponseHead, now: number): void {
-    // Another instance at its address speaks for itself.
+    // The response may come from another instance at the same address, and then says nothing about this endpoint.
     if (instance === undefined ? status === MISDIRECTED : instance !== endpoint.id) return
     if (isLeaving) this.#markLeaving(endpoint)
     if (endpoint.rateLimit.observeAnswer(requestsPerSecond, now)) this.#logRateLimit(endpoint, now)
@@ -118,10 +118,10 @@
   }
 
   /**
-   * Takes what another host has read in answers of an endpoint.
+   * Applies a rate limit that another host has read from a response.
    *
-   * @param endpoint - that has said so
-   * @param statement - as told
+   * @param endpoint - endpoint that stated the limit
+   * @param statement - limit as the other host reported it
    * @param now - monotonic milliseconds
    */
   observeStatement (endpoint: EndpointState, statement: RateLimitStatement, now: number): void {
@@ -129,7 +129,9 @@
   }
 
   /**
-   * @param endpoint - that a request is being sent to
+   * Counts a send in the metrics if the endpoint has stated a limit.
+   *
+   * @param endpoint - endpoint that a request is being sent to
    * @param now - monotonic milliseconds
    */
   countSend (endpoint: EndpointState, now: number): void {
--- a/apps/entry/src/lib/routed/PlacementWaits.ts
+++ b/apps/entry/src/lib/routed/PlacementWaits.ts
@@ -1,50 +1,50 @@
-/** Waits of one request for an endpoint that can take it: for memory, or until one is not held back from this host any more. */
+/** Delayed placement of a request that no endpoint can take at the moment, for lack of memory or because all are held back. */
 import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { RoutedRequest } from './RoutedRequest.js'
 
-/** Interval at which a request that waits for an engine's memory looks again, in milliseconds: in that time an engine makes some ten steps. */
+/** Interval at which a request that waits for engine memory is placed again, in milliseconds; an engine makes about ten decoding steps in that time. */
 const MEMORY_RETRY_INTERVAL_MS = 40
 
-/** Shortest interval at which a request looks again for an endpoint that is not held back, in milliseconds. */
+/** Shortest delay before a request is placed again after all endpoints were held back, in milliseconds. */
 const MIN_HELD_BACK_RETRY_INTERVAL_MS = 60
 
-/** Shortest interval at which a stream that has begun looks again for an endpoint that takes the rest, in milliseconds. */
+/** Shortest delay before a stream that has begun is placed again to be resumed, in milliseconds. */
 const MIN_RESUME_RETRY_INTERVAL_MS = 100
 
-/** Reasons that pass by themselves. */
+/** Reasons that cease to apply after a time. */
 const TEMPORARY_REASONS: ReadonlySet<NoEndpointReason> = new Set(['all-cold', 'all-rate-limited', 'all-asked-to-pause', 'all-held-back'])
 
 /**
  * @param reason - why no endpoint was chosen
- * @returns whether some endpoint is held back from this host for a time only
+ * @returns whether some endpoint is only held back from this host temporarily
  */
 export function isHeldBack (reason: NoEndpointReason): boolean {
   return TEMPORARY_REASONS.has(reason)
 }
 
-/** What the waits need from the request's task. */
+/** Callbacks to the task of the request. */
 export interface PlacementWaitsPorts {
-  /** Looks for an endpoint again. */
+  /** Chooses an endpoint again. */
   retryPlacement (): void
-  /** Logs that the request waits for memory. */
+  /** Logs that the request waits for engine memory. */
   logWait (details: DecisionFields<'waits-for-room'>): void
-  /** Logs that the stream waits for an endpoint that takes the rest. */
+  /** Logs that the stream waits for an endpoint that can resume it. */
   logResumption (details: DecisionFields<'waits-to-resume'>): void
 }
 
-/** Looks again after a moment, as long as that is of use. */
+/** Schedules the next placement of a request, as long as it could still be answered in time. */
 export class PlacementWaits {
   #hasWaitedForMemory = false
   #hasWaitedToResume = false
 
   /**
-   * @param request - that waits
-   * @param ports - surroundings
+   * @param request - request that waits
+   * @param ports - callbacks to its task
    */
   constructor (private readonly request: RoutedRequest, private readonly ports: PlacementWaitsPorts) {}
 
-  /** @param choice - the best engine, which has no memory for it now */
+  /** @param choice - best engine, which has no memory for the request at the moment */
   waitForMemory ({ endpoint, memoryShare, tokensHeld, load }: EndpointChoice): void {
     if (!this.#hasWaitedForMemory) {
       this.ports.logWait({ endpoint: endpoint.id, memoryShare: Number(memoryShare.toFixed(2)), tokensHeld: Math.round(tokensHeld), tokensAhead: Math.round(load.tokensAhead) })
@@ -54,11 +54,11 @@
   }
 
   /**
-   * Waits while all endpoints that it may use are held back.
+   * Waits while all endpoints that the request may use are held back.
    *
-   * @param until - monotonic milliseconds before which none is released
-   * @param deadline - monotonic milliseconds at which its time is over
-   * @returns false if it would be late
+   * @param until - earliest time at which one is released, in monotonic milliseconds
+   * @param deadline - deadline of the request, in monotonic milliseconds
+   * @returns false without waiting if the request would be late by then
    */
   waitForRelease (until: number, deadline: number): boolean {
     const { arrivedAt, route } = this.request
@@ -69,12 +69,12 @@
   }
 
   /**
-   * Waits with a stream that has begun: with its caller gone or its time over, nothing is left to wait for.
+   * Waits to resume a stream that has begun, unless its caller will have disconnected or its deadline will have passed by then.
    *
-   * @param until - monotonic milliseconds before which it can't go on
-   * @param callerTimeoutAt - monotonic milliseconds at which its caller leaves
-   * @param onRetry - called then; looks for an endpoint again unless given
-   * @returns false if its caller would have left by then
+   * @param until - earliest time at which it can be resumed, in monotonic milliseconds
+   * @param callerTimeoutAt - when the caller disconnects, in monotonic milliseconds
+   * @param onRetry - called after the wait; chooses an endpoint again by default
+   * @returns false without waiting if the caller would have disconnected by then
    */
   waitToResume (until: number, callerTimeoutAt: number, onRetry: () => void = () => { this.ports.retryPlacement() }): boolean {
     const now = performance.now()
--- a/apps/entry/src/lib/routed/PromptContext.ts
+++ b/apps/entry/src/lib/routed/PromptContext.ts
@@ -1,4 +1,4 @@
-/** What concerns the prompt of one routed request: where its parts are kept, and what is asked of engines and stores. */
+/** The prompt of one routed request: where its parts are cached, and which transfers engines and stores should make. */
 import type { EndpointChoice, PromptAsk } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import { cacheScope } from '@eelgrassmux/routing/prompts/cacheScope'
 import type { PromptDescription, PromptPart } from '@eelgrassmux/routing/prompts/promptDescription'
@@ -12,7 +12,7 @@
 /** A plan that uses no store. */
 const NO_STORES: StorePlan = { fetches: [], saves: [], storedTokens: 0 }
 
-/** The prompt of one request to a service of engines. */
+/** The prompt of one request to a service with engines. */
 export class PromptContext {
   readonly #plans = new Map<number, StorePlan>()
   readonly #shared: readonly PromptPart[]
@@ -24,14 +24,14 @@
     private readonly isolatedCustomer: string | undefined,
     private readonly ports: PromptPorts
   ) {
-    // The last part belongs to this request alone.
+    // The last part is unique to this request.
     this.#shared = description.parts.slice(0, -1)
   }
 
   /**
-   * @param request - any routed request
-   * @param ports - surroundings
-   * @returns its prompt, or undefined if it has none or its service has no engines
+   * @param request - routed request of any kind
+   * @param ports - dependencies
+   * @returns the request's prompt; undefined if it has none or its service has no engines
    */
   static of (request: RoutedRequest, ports: PromptPorts): PromptContext | undefined {
     const { fields, service, customer } = request
@@ -40,9 +40,9 @@
   }
 
   /**
-   * What to ask when an engine is chosen.
+   * Returns the prompt's requirements for the choice of an engine.
    *
-   * @param requiredVersion - set when the request must go on under the weights it began with
+   * @param requiredVersion - version of the weights under which the response has begun; undefined before that
    */
   ask (requiredVersion: number | undefined): { readonly prompt: PromptAsk } {
     const { route, service, arrivedAt } = this.request
@@ -64,19 +64,19 @@
   }
 
   /**
-   * @param version - of the weights
-   * @returns the text under which engines and stores keep the parts
+   * @param version - version of the weights
+   * @returns key under which engines and stores cache the parts
    */
   scope (version: number): string {
     return cacheScope(version, this.isolatedCustomer, this.request.regionBound)
   }
 
   /**
-   * Transfers to ask of the chosen engine.
+   * Returns the transfers that the chosen engine should make.
    *
-   * @param choice - the engine
-   * @param version - of its weights
-   * @param deadline - monotonic milliseconds at which the request's time is over
+   * @param choice - engine that was chosen
+   * @param version - version of its weights
+   * @param deadline - deadline of the request, in monotonic milliseconds
    */
   transfers (choice: EndpointChoice, version: number, deadline: number): StoreTransfers | undefined {
     const plan = this.#plan(version)
@@ -84,36 +84,36 @@
     const now = performance.now()
     const clockMs = this.ports.storeClockMs(now)
     const saves = this.#eachPart(index => plan.saves[index])
-    // Without the stores' clock a late fetch could not be thrown away, so there is none.
+    // Without the stores' clock, a fetch could not be given a time limit, so nothing is fetched.
     if (clockMs === undefined) return { fetches: [], saves, fetchUntilMs: undefined }
-    // A request that has waited needs its fetch all the more: without it the engine reads
-    // the whole prompt, its queue grows, and the fetches of all others come too late as well.
+    // The time limit is the request's own deadline, also after it has waited: without the fetch, the
+    // engine would read the whole prompt, its queue would grow, and all other fetches would be late as well.
     const fetches = this.#eachPart(index => index < choice.reading.partsFromStores ? plan.fetches[index]?.address : undefined)
     return { fetches, saves, fetchUntilMs: clockMs + deadline - now }
   }
 
-  /** @param choice - the engine to which the request was sent */
+  /** @param choice - engine that the request was sent to */
   recordSend ({ version, endpoint }: EndpointChoice): void {
     if (version === undefined) return
     this.ports.fleet.promptMemory.recordSend(this.scope(version), this.#shared, endpoint.incarnation, performance.now())
   }
 
   /**
-   * @param choice - an engine
-   * @returns share of its memory that the request alone needs; 0 if that is not known
+   * @param choice - engine that was chosen
+   * @returns share of its memory that this request alone needs; 0 if the memory size is not known
    */
   memoryShareOf ({ tokensHeld }: EndpointChoice): number {
     return this.engine.cacheTokens === 0 ? 0 : tokensHeld / this.engine.cacheTokens
   }
 
-  /** Plans anew next time, because more may be stored by then. */
+  /** Discards the store plans, so that the next choice sees what has been stored since. */
   forgetPlans (): void {
     this.#plans.clear()
   }
 
   /**
-   * @param version - of the weights
-   * @returns what the log says of the prompt
+   * @param version - version of the weights
+   * @returns fields of the log event that describe the prompt
    */
   describe (version: number): Pick<DecisionFields<'answered'>, 'promptTokens' | 'storedTokens' | 'sharedPart' | 'saves'> {
     const { storedTokens, saves } = this.#plan(version)
@@ -125,12 +125,12 @@
     }
   }
 
-  /** An address that stands alone, with no entry for the other parts, would be asked for the whole prompt. */
+  /** Returns one entry for each part. A list with a single address would be understood as the store of the whole prompt. */
   #eachPart (address: (index: number) => string | undefined): Array<string | undefined> {
     return this.description.parts.map((_, index) => address(index))
   }
 
-  /** Planned once for each version: all candidates are weighed against the same plan. */
+  /** Returns the store plan for a version of the weights. It is made once, so that all candidates are compared under the same plan. */
   #plan (version: number): StorePlan {
     const present = this.#plans.get(version)
     if (present !== undefined) return present
--- a/apps/entry/src/lib/routed/RetryReservation.ts
+++ b/apps/entry/src/lib/routed/RetryReservation.ts
@@ -1,24 +1,24 @@
-/** Whether a request may be sent once more, within its route and the budget that all hosts share. */
+/** Decides whether a request may be retried, within the limits of its route and the retry budget that all hosts share. */
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { AttemptRecord } from './AttemptRecord.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
-/** What came of a reservation. */
+/** Result of a reservation. */
 export type RetryReservationOutcome =
   | 'reserved'
   | 'not-allowed'
-  /** Allowed, but the budget is used up for now. */
+  /** A retry is allowed, but the budget is used up for now. */
   | 'no-budget'
 
-/** Reservations of one request. */
+/** Reserves the retries of one request. */
 export class RetryReservation {
   #hasLogged = false
 
   /**
-   * @param request - that may be sent again
-   * @param ports - the budget
-   * @param attempts - that were made
-   * @param logBudgetExhausted - logs that the budget is used up
+   * @param request - request that may be retried
+   * @param ports - retry budget
+   * @param attempts - attempts that were made
+   * @param logBudgetExhausted - called once when the budget is used up
    */
   constructor (
     private readonly request: RoutedRequest,
@@ -28,11 +28,11 @@
   ) {}
 
   /**
-   * Spends the budget for one more attempt.
+   * Reserves one more attempt, and charges it to the budget if its kind requires that.
    *
-   * @param failure - of the last one
-   * @param remainingMs - that its caller has left
-   * @param hasBegun - whether its caller has part of the answer
+   * @param failure - how the last attempt failed
+   * @param remainingMs - milliseconds until the deadline
+   * @param hasBegun - whether the caller has received part of the response
    */
   reserve (failure: AttemptFailure, remainingMs: number, hasBegun: boolean): RetryReservationOutcome {
     const step = this.attempts.nextStep(this.request.route, failure, remainingMs, hasBegun)
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -30,7 +30,7 @@
 /** Bucket bounds from a tenth of a usual first event time to several times of it. */
 const ESTIMATE_ERROR_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
 
-/** Recent outcomes, in decayed count, from which an endpoint is reported to other hosts. */
+/** Fewest recent outcomes at an endpoint that are worth reporting to other hosts; the count decays, so it is not an integer. */
 const MIN_REPORTED_OUTCOMES = 0.5
 
 /** Share of an endpoint's connection limit that the live hosts divide among themselves; the rest covers hosts that are just stopping or starting. */
