--- a/apps/entry/src/lib/routed/RequestCodec.ts
+++ b/apps/entry/src/lib/routed/RequestCodec.ts
@@ -1,33 +1,33 @@
-/** How routed requests and answers state what the product needs to know. Each platform has its own words for it. */
+/** Translation of request and response headers to the fields that the product uses. Each platform has its own header names. */
 import type { StatedLoad } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { PromptDescription } from '@eelgrassmux/routing/prompts/promptDescription'
 
-/** What a caller states in the headers of a request. */
+/** Fields that a caller states in the headers of a request. */
 export interface CallerFields {
-  /** The caller's id of this one attempt; undefined if there is none. */
+  /** The caller's id of this attempt; undefined if it states none. */
   readonly requestId: string | undefined
   readonly key: string | undefined
-  /** How long the caller waits, from sending; undefined if it does not say. */
+  /** How long the caller waits after sending the request, in milliseconds; undefined if it states no limit. */
   readonly deadlineMs: number | undefined
   readonly prompt: PromptDescription | undefined
-  /** Event behind which the caller wants a stream to go on. */
+  /** Id of the event after which the caller wants a stream to resume. */
   readonly lastEventId: number | undefined
 }
 
-/** What the product states towards an endpoint. */
+/** Fields that the product adds to a request to an endpoint. */
 export interface EndpointFields {
-  /** Any other instance at the address must not run the request. */
+  /** Instance that the request is meant for; any other instance at the address must not execute it. */
   readonly instance: string
   readonly remainingMs: number
   readonly customer: string | undefined
   readonly lastEventId: number | undefined
   /** Rank among the endpoint's waiting requests; 0 is first. */
   readonly priority: number | undefined
-  /** Engines with other weights must not run the request. */
+  /** Version of the weights; engines with other weights must not execute the request. */
   readonly version: number | undefined
-  /** Under which the engine keeps the prompt's parts. */
+  /** Key under which the engine caches the prompt's parts. */
   readonly cacheSalt: string | undefined
-  /** Stores from which the engine fetches parts of the prompt and to which it saves them, one entry a part. */
+  /** Stores from which the engine fetches parts of the prompt and to which it saves them, with one entry for each part. */
   readonly stores: StoreTransfers | undefined
 }
 
@@ -35,41 +35,41 @@
 export interface StoreTransfers {
   readonly fetches: ReadonlyArray<string | undefined>
   readonly saves: ReadonlyArray<string | undefined>
-  /** On the stores' clock: a fetch that has not ended by then is thrown away. */
+  /** Time limit of the fetches on the stores' clock; the result of a fetch that ends later is discarded. */
   readonly fetchUntilMs: number | undefined
 }
 
-/** What an endpoint states in the headers of an answer. */
+/** Fields that an endpoint states in the headers of a response. */
 export interface ResponseFields {
   readonly requestId: string | undefined
-  /** The endpoint certainly did not run the request. */
+  /** Whether the endpoint states that it did not execute the request. */
   readonly isNotExecuted: boolean
-  /** Instance that answered, if it says so. */
+  /** Instance that responded, if it is stated. */
   readonly instance: string | undefined
   readonly load: StatedLoad | undefined
-  /** Version of the weights that it holds. */
+  /** Version of the weights that the endpoint has loaded. */
   readonly version: number | undefined
-  /** Requests a second that it takes from all hosts together, for as long as it says so. */
+  /** Requests a second that the endpoint accepts from all hosts together; the limit applies until a response without it. */
   readonly requestsPerSecond: number | undefined
-  /** It takes no new work for much longer. */
+  /** Whether the endpoint is about to stop accepting requests. */
   readonly isLeaving: boolean
-  /** Of a rejection: milliseconds for which the endpoint wants nothing more from this host. */
+  /** Milliseconds for which this host should send nothing more to the endpoint after a rejection. */
   readonly retryAfterMs: number | undefined
 }
 
-/** Translates headers; lists of names and values by turns, as they came. */
+/** Translates headers, which are lists of alternating names and values in the order in which they arrived. */
 export interface RequestCodec {
-  /** @param headers - of a caller's request */
+  /** @param headers - headers of a caller's request */
   readRequestHeaders (headers: readonly string[]): CallerFields
   /**
-   * @param headers - of the caller's request
-   * @param fields - what the product adds or replaces
-   * @returns headers for the endpoint
+   * @param headers - headers of the caller's request
+   * @param fields - fields that the product adds or replaces
+   * @returns headers of the request to the endpoint
    */
   writeRequestHeaders (headers: readonly string[], fields: EndpointFields): string[]
   /**
-   * @param status - of the endpoint's answer
-   * @param headers - of the endpoint's answer
+   * @param status - status of the endpoint's response
+   * @param headers - headers of the endpoint's response
    */
   readResponseHeaders (status: number, headers: readonly string[]): ResponseFields
 }
--- a/apps/entry/src/lib/routed/RequestPlacement.ts
+++ b/apps/entry/src/lib/routed/RequestPlacement.ts
@@ -1,4 +1,4 @@
-/** Which endpoint one request goes to next, and whether it is sent there. */
+/** Chooses the next endpoint for a request, and decides whether to send the request there. */
 import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import { admitRouted, type RoutedAdmission } from './admitRouted.js'
 import type { ResponseTimes } from './ResponseTimes.js'
@@ -7,17 +7,17 @@
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 import { TriedEndpoints } from './TriedEndpoints.js'
 
-/** Placement of one request. */
+/** Places one request. */
 export class RequestPlacement {
   readonly tried = new TriedEndpoints()
   #requiredVersion: number | undefined
 
   /**
-   * @param request - to place
-   * @param ports - its endpoints, and the stop of this host
-   * @param prompt - of the request, if it has one
-   * @param times - how far its answer is
-   * @param deadline - monotonic milliseconds at which its time is over
+   * @param request - request to place
+   * @param ports - dependencies
+   * @param prompt - prompt of the request, if it has one
+   * @param times - times of its response
+   * @param deadline - deadline of the request, in monotonic milliseconds
    */
   constructor (
     private readonly request: RoutedRequest,
@@ -27,10 +27,10 @@
     private readonly deadline: number
   ) {}
 
-  /** Monotonic milliseconds at which its time is over, or its caller leaves if nothing more comes. */
+  /** When the deadline passes or the caller is expected to disconnect unless another event arrives, in monotonic milliseconds. */
   get callerTimeoutAt (): number { return Math.min(this.deadline, this.times.callerTimeoutAt) }
 
-  /** Whether it can be answered before this host stops, if it does. */
+  /** Whether the request can be finished before this host stops; true if the host is not stopping. */
   get canFinishBeforeStop (): boolean {
     const { route, fields } = this.request
     return this.ports.stop.admits({
@@ -39,25 +39,25 @@
     })
   }
 
-  /** @param version - of the weights under which its answer has begun */
+  /** @param version - version of the weights under which the response has begun */
   requireVersion (version: number | undefined): void {
     this.#requiredVersion = version
   }
 
-  /** @returns the endpoint to send it to, or why there is none */
+  /** @returns the endpoint to send the request to, or why there is none */
   choose (): EndpointChoice | NoEndpointReason {
     const { service, regionBound } = this.request
     return this.ports.fleet.choose(service.name, { excluded: this.tried.ids, regionBound, ...this.prompt?.ask(this.#requiredVersion) })
   }
 
-  /** @param choice - the endpoint chosen for it */
+  /** @param choice - endpoint that was chosen */
   admit (choice: EndpointChoice): RoutedAdmission {
     return admitRouted(this.request, choice, this.ports.fleet, { prompt: this.prompt, hasFirstEvent: this.times.hasFirstEvent, deadline: this.deadline }, performance.now())
   }
 
   /**
    * @param reason - why no endpoint was chosen
-   * @returns monotonic milliseconds before which none is to be had; infinity if that is not known
+   * @returns earliest time at which an endpoint may be available, in monotonic milliseconds; infinity if it is not known
    */
   releasedAt (reason: NoEndpointReason): number {
     return isHeldBack(reason) ? this.ports.fleet.firstRelease(this.request.service.name, this.tried.ids) : Number.POSITIVE_INFINITY
--- a/apps/entry/src/lib/routed/SharedInterval.ts
+++ b/apps/entry/src/lib/routed/SharedInterval.ts
@@ -1,26 +1,26 @@
 /**
- * Looks that many requests want at the same interval.
+ * Periodic callbacks of many requests on one shared timer.
  *
- * A timer for each request wakes the process once for each of them; one for all wakes it a few times a second.
+ * With a timer for each request, the process would wake up once for each of them; the shared timer wakes it up a few times a second.
  */
 
-/** Calls everybody who has joined, by one timer that runs only while there is somebody. */
+/** Calls all registered callbacks at an interval. The timer runs only while there are callbacks. */
 export class SharedInterval {
   readonly #callbacks = new Set<() => void>()
   #timer: NodeJS.Timeout | undefined
 
-  /** @param intervalMs - between two looks, in milliseconds */
+  /** @param intervalMs - interval between calls, in milliseconds */
   constructor (private readonly intervalMs: number) {}
 
-  /** @param callback - called from now on; for the first time within one interval */
+  /** @param callback - callback to add; it is called for the first time within one interval */
   join (callback: () => void): void {
     this.#callbacks.add(callback)
     this.#timer ??= setInterval(() => { for (const joinedCallback of [...this.#callbacks]) joinedCallback() }, this.intervalMs)
   }
 
-  /** @param look - not called any more */
-  leave (look: () => void): void {
-    this.#callbacks.delete(look)
+  /** @param callback - callback to remove */
+  leave (callback: () => void): void {
+    this.#callbacks.delete(callback)
     if (this.#callbacks.size > 0) return
     clearInterval(this.#timer)
     this.#timer = undefined
--- a/apps/entry/src/lib/routed/SilenceFailover.ts
+++ b/apps/entry/src/lib/routed/SilenceFailover.ts
@@ -1,38 +1,38 @@
 /**
- * Failover of a request whose endpoint has fallen silent towards everybody.
+ * Failover of a request whose endpoint has stopped responding to all hosts.
  *
- * Answers endpoints that hang with requests under way: one that may run elsewhere goes on there,
- * long before its caller's time is over. The first attempt stays open beside a standby until that
- * is accepted, because endpoints reject what they can't take and silent ones may only have paused.
+ * If an endpoint hangs with pending requests, those that may run elsewhere continue at another
+ * endpoint long before their deadlines. The first attempt stays open beside a standby attempt until
+ * the standby is accepted, because an endpoint may reject the standby, and a silent one may only have paused.
  */
 import type { RoutedAttempt } from './RoutedAttempt.js'
 import type { SharedInterval } from './SharedInterval.js'
 
-/** Interval between looks, in milliseconds: a quarter of the silence that counts. */
+/** Interval of the checks, in milliseconds; a quarter of the silence after which an endpoint counts as unresponsive. */
 export const SILENCE_CHECK_INTERVAL_MS = 200
 
 /**
- * Longest time for which both attempts are open, in milliseconds. A rejection comes within a few; two
- * endpoints must not be at work on one request for longer than 400.
+ * Longest time for which both attempts are open, in milliseconds. A rejection arrives within a few
+ * milliseconds. Two endpoints must not execute one request at the same time for longer than 400 ms.
  */
 const MAX_OVERLAP_MS = 150
 
-/** What the failover needs from the request's task. */
+/** Callbacks to the task of the request. */
 export interface SilenceFailoverPorts {
-  /** Whether the request may run at one more endpoint, and its present one has fallen silent. */
+  /** Whether the request may be sent to another endpoint, and its current one has stopped responding. */
   isWanted (): boolean
-  /** Whether the present endpoint has fallen silent. */
+  /** Whether the current endpoint has stopped responding. */
   isSilent (): boolean
-  /** Calls back once it is known what other hosts have under way. */
+  /** Calls `place` once the load of the other hosts is known recently enough. */
   withRecentLoad (place: () => void): void
-  /** @returns a second attempt that is not sent yet; undefined if no endpoint can take it */
+  /** @returns a standby attempt that is not sent yet; undefined if no endpoint can take the request */
   open (): RoutedAttempt | undefined
   send (attempt: RoutedAttempt): void
-  /** Ends the present attempt; the standby takes its place. */
+  /** Cancels the current attempt and continues with the standby. */
   replace (standby: RoutedAttempt): void
 }
 
-/** Watch over the attempts of one request, with at most one standby at a time. */
+/** Watches the current attempt of one request, and opens at most one standby attempt at a time. */
 export class SilenceFailover {
   #standby: RoutedAttempt | undefined
   #overlapTimer: NodeJS.Timeout | undefined
@@ -42,24 +42,24 @@
   }
 
   /**
-   * @param checks - of all requests
-   * @param ports - the request's task
+   * @param checks - shared timer of all requests
+   * @param ports - callbacks to the task of the request
    */
   constructor (private readonly checks: SharedInterval, private readonly ports: SilenceFailoverPorts) {}
 
-  /** Starts to look. */
+  /** Starts the checks. */
   watch (): void {
     this.#isWatching = true
     this.checks.join(this.#check)
   }
 
-  /** Stops looking. */
+  /** Stops the checks. */
   stop (): void {
     if (this.#isWatching) this.checks.leave(this.#check)
     this.#isWatching = false
   }
 
-  /** Stops looking, and ends the standby if there is one. */
+  /** Stops the checks, and cancels the standby if there is one. */
   end (): void {
     this.stop()
     this.takeStandby()?.cancel()
@@ -70,7 +70,7 @@
     return attempt === this.#standby
   }
 
-  /** @returns the standby, which is none any more; undefined if there was none */
+  /** @returns the standby, which is no longer treated as one; undefined if there was none */
   takeStandby (): RoutedAttempt | undefined {
     const standby = this.#standby
     this.#standby = undefined
@@ -81,8 +81,8 @@
   /**
    * Ends the time in which both attempts are open.
    *
-   * @param isUsable - whether the standby can go on with the answer, as far as is known
-   * @returns whether it has taken the place of the present attempt; else it is ended
+   * @param isUsable - whether the standby can continue the response, as far as is known
+   * @returns whether the standby has replaced the current attempt; otherwise it has been cancelled
    */
   settle (isUsable: boolean): boolean {
     const standby = this.takeStandby()
@@ -101,7 +101,7 @@
     const standby = this.ports.open()
     if (standby === undefined) return
     this.#standby = standby
-    // Endpoints reject at once what they can't take: one that has said nothing has it waiting.
+    // Endpoints reject at once what they can't take, so one that has not responded by then has queued the request.
     this.#overlapTimer = setTimeout(() => { this.settle(true) }, MAX_OVERLAP_MS)
     this.ports.send(standby)
   }
--- a/apps/entry/src/lib/routed/StartupQueue.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.ts
@@ -1,36 +1,36 @@
 /**
- * Requests that arrive before this host knows the site.
+ * Queue for requests that arrive before this host knows the site configuration.
  *
- * Answers the load in which all hosts start at once: every caller's connection
- * breaks, and all come back within the second in which the hosts learn the site
- * again. A refusal would use up the few attempts that a caller has, although the
- * site is tenths of a second away. Only a host that has just started makes
- * requests wait; one that does not learn the site refuses them.
+ * The queue handles a common restart of all hosts: all connections of callers break, and all
+ * callers reconnect within the second in which the hosts receive the configuration again.
+ * A refusal would use up one of a caller's few attempts, although the configuration
+ * arrives tenths of a second later. Only a host that has just started queues requests.
+ * If the configuration does not arrive, the host refuses them.
  *
- * All hosts learn the site at the same moment. Let go all at once, what waited would fill
- * the engines' memory with requests that are late already, and those that arrive next
- * would be late or refused for it (46 long requests in the five seconds after a return of 8
- * hosts before 13 engines). So the newest go first, and the others step by step, at a pace at
- * which hosts hear of each other's sends.
+ * All hosts receive the configuration at the same moment. If they released all requests at once,
+ * those would fill the engines' memory although they are late already, and the requests that arrive
+ * next would be late or refused (46 long requests in the 5 s after a restart of 8 hosts with 13
+ * engines). Therefore the newest requests are released first and the others in steps, at the
+ * interval at which hosts report their load to each other.
  */
 import type { CallerExchange } from './CallerExchange.js'
 
-/** Age of a host up to which its requests wait, in milliseconds: measured returns of all hosts took 1.3 s. */
+/** Time after its start during which a host queues requests, in milliseconds; restarts of all hosts took 1.3 s. */
 const MAX_HOST_AGE_MS = 3000
 
-/** Longest wait of one request, in milliseconds: a return that takes longer than the measured ones by half. */
+/** Longest wait of one request, in milliseconds; covers a restart of all hosts that takes half as long again as 1.3 s. */
 const MAX_WAIT_MS = 2000
 
-/** Share of the caller's time that may be spent waiting, so that the rest is enough for an answer. */
+/** Largest share of the caller's deadline that a request may wait, so that the rest is enough for a response. */
 const MAX_WAIT_SHARE = 0.5
 
-/** Time between steps in which requests are let go, in milliseconds: hosts report their work so often. */
+/** Interval between the steps of a release, in milliseconds; the interval at which hosts report their load. */
 const RELEASE_STEP_MS = 50
 
-/** Steps in which all are let go: late requests are worth little more for half a second less. */
+/** Number of steps of a release, which takes half a second in total; requests that are late already gain little from a faster release. */
 const RELEASE_STEPS = 10
 
-/** Most requests that wait; a few seconds of a busy host's arrivals. */
+/** Most requests in the queue; a busy host receives them in a few seconds. */
 const MAX_WAITING = 1000
 
 interface WaitingRequest {
@@ -38,24 +38,24 @@
   readonly timer: NodeJS.Timeout
 }
 
-/** Holds requests until they are released or their time is up. */
+/** Holds requests until they are released or have waited long enough. */
 export class StartupQueue {
   readonly #waiting = new Set<WaitingRequest>()
   #releaseTimer: NodeJS.Timeout | undefined
 
-  /** @param startedAt - monotonic milliseconds at which the process began */
+  /** @param startedAt - when the process started, in monotonic milliseconds */
   constructor (private readonly startedAt = 0) {}
 
   get length (): number { return this.#waiting.size }
 
   /**
-   * Holds a request if there is reason to.
+   * Queues a request if this host has just started and the queue is not full.
    *
-   * @param exchange - the caller's side
-   * @param deadlineMs - milliseconds that the caller waits, if it says so
+   * @param exchange - connection to the caller
+   * @param deadlineMs - milliseconds that the caller waits, if it states a limit
    * @param now - monotonic milliseconds
-   * @param resume - called once when the request is released, or has waited long enough; not if its caller leaves
-   * @returns whether the request waits
+   * @param resume - called once when the request is released or has waited long enough, unless the caller disconnects
+   * @returns whether the request was queued
    */
   hold (exchange: CallerExchange, deadlineMs: number | undefined, now: number, resume: () => void): boolean {
     if (now - this.startedAt > MAX_HOST_AGE_MS || this.#waiting.size >= MAX_WAITING) return false
@@ -66,13 +66,13 @@
     return true
   }
 
-  /** Begins to let requests go, the newest first: those can still be on time. */
+  /** Begins to release requests in steps, the newest first, because those can still be answered in time. */
   release (): void {
     if (this.#releaseTimer !== undefined) return
     this.#releaseStep(Math.ceil(this.#waiting.size / RELEASE_STEPS))
   }
 
-  /** Lets all go that wait. */
+  /** Releases all requests at once. */
   releaseAll (): void {
     clearTimeout(this.#releaseTimer)
     this.#releaseTimer = undefined
--- a/apps/entry/src/lib/routed/TriedEndpoints.ts
+++ b/apps/entry/src/lib/routed/TriedEndpoints.ts
@@ -1,52 +1,52 @@
-/** Endpoints that a request was sent to, and when it may be sent on after rejections. */
+/** Endpoints that a request was sent to, and the pause before the next one after rejections. */
 
-/** Rejections in a row after which the next endpoint is still asked at once. */
-const IMMEDIATE_RETRIES = 2
+/** Consecutive rejections from which the next attempt waits. */
+const REJECTIONS_BEFORE_PAUSE = 2
 
-/** Pause before the next endpoint is asked after further rejections, in milliseconds; doubles with each, up to the longest. */
+/** Pause before the next attempt, in milliseconds; it doubles with each further rejection, up to the maximum. */
 const MIN_RETRY_PAUSE_MS = 150
 const MAX_RETRY_PAUSE_MS = 500
 
-/** Endpoints of one request. */
+/** Tracks the endpoints that one request was sent to. */
 export class TriedEndpoints {
   readonly #ids = new Set<string>()
   readonly #failed = new Set<string>()
   #consecutiveRejections = 0
   #retryAt = Number.NEGATIVE_INFINITY
 
-  /** Endpoints that it is not sent to again. */
+  /** Ids of the endpoints that the request is not sent to again. */
   get ids (): ReadonlySet<string> { return this.#ids }
 
-  /** Monotonic milliseconds before which a request that can wait asks no further endpoint. */
+  /** Earliest time of the next attempt for a request that can wait, in monotonic milliseconds. */
   get retryAt (): number { return this.#retryAt }
 
-  /** @param id - endpoint to which it is sent */
+  /** @param id - id of an endpoint that the request is sent to */
   add (id: string): void {
     this.#ids.add(id)
   }
 
-  /** @param id - endpoint at which it failed: another run there could end it the same way */
+  /** @param id - id of an endpoint where the request failed; it stays excluded, because another attempt there could fail in the same way */
   observeFailure (id: string): void {
     this.#failed.add(id)
   }
 
-  /** @param now - monotonic milliseconds at which an endpoint rejected it */
+  /** @param now - when an endpoint rejected the request, in monotonic milliseconds */
   observeRejection (now: number): void {
     this.#consecutiveRejections += 1
-    const doublings = this.#consecutiveRejections - IMMEDIATE_RETRIES
+    const doublings = this.#consecutiveRejections - REJECTIONS_BEFORE_PAUSE
     if (doublings >= 0) this.#retryAt = now + Math.min(MAX_RETRY_PAUSE_MS, MIN_RETRY_PAUSE_MS * 2 ** doublings)
   }
 
-  /** Call when bytes of the answer have come: what rejected it before says nothing of the next time. */
+  /** Resets the pause. Call when bytes of the response have arrived, because earlier rejections say nothing about the next attempt. */
   observeProgress (): void {
     this.#consecutiveRejections = 0
     this.#retryAt = Number.NEGATIVE_INFINITY
   }
 
   /**
-   * Allows endpoints again that rejected the request or fell silent: they may have room, or have recovered.
+   * Allows endpoints again that rejected the request or stopped responding, because they may have capacity again or have recovered.
    *
-   * @param present - endpoint where it still runs
+   * @param present - id of the endpoint where the request still runs
    */
   allowAgain (present: string | undefined): void {
     for (const id of this.#ids) {
--- a/apps/entry/src/lib/routed/admitRouted.ts
+++ b/apps/entry/src/lib/routed/admitRouted.ts
@@ -1,39 +1,40 @@
-/** Whether a routed request is sent to the endpoint chosen for it, waits, or is refused. */
+/** Decides whether a routed request is sent to the endpoint chosen for it, waits, or is refused. */
 import { admitStream } from '@eelgrassmux/routing/admission/admitStream'
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { PromptContext } from './PromptContext.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
-/** What becomes of the request now. */
+/** Decision about the request. */
 export type RoutedAdmission =
   | { readonly kind: 'send', readonly isExpectedLate: boolean }
-  /** An engine may have room for it in a moment. */
+  /** No engine has memory for the request at the moment, but one may soon. */
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse', readonly detail: string, readonly returnAfterMs: number }
 
-/** How far the request is. */
+/** Progress of the request. */
 export interface AdmissionState {
   readonly prompt: PromptContext | undefined
   readonly hasFirstEvent: boolean
-  /** Monotonic milliseconds. */
+  /** Deadline of the request, in monotonic milliseconds. */
   readonly deadline: number
 }
 
 /**
- * Plain requests are always sent; endpoints that are full say so at once. A stream that has begun goes on.
+ * Decides whether a request is sent. Requests without a prompt are always sent, because full endpoints reject them at once.
+ * A stream that has begun is always sent on.
  *
- * @param request - what is asked
- * @param choice - the best endpoint for it
- * @param fleet - what is known of endpoints
- * @param state - how far it is
+ * @param request - request to decide about
+ * @param choice - best endpoint for it
+ * @param fleet - state of the endpoints
+ * @param state - progress of the request
  * @param now - monotonic milliseconds
  */
 export function admitRouted (request: RoutedRequest, choice: EndpointChoice, fleet: RoutedPorts['fleet'], state: AdmissionState, now: number): RoutedAdmission {
   if (choice.version === undefined || state.hasFirstEvent) return { kind: 'send', isExpectedLate: false }
   const waitedMs = now - request.arrivedAt
-  // Without the others' work no estimate may refuse or hold, but what is late already gives way all the same.
+  // Without the load of the other hosts, estimates must not refuse or delay requests, but a request that is late already still gets a lower priority.
   if (!fleet.isLoadKnown) return { kind: 'send', isExpectedLate: waitedMs > request.route.targetLatencyMs }
-  // Estimates count all work at an engine; urgent routes overtake much of it, and how much shows in their outcomes.
+  // Estimates count all load at an engine, but requests of urgent routes overtake part of it. The route's measured slowness corrects for that.
   const expectedMs = choice.estimatedMs * fleet.routeSlowness(request.route.name).factor(now)
   const admission = admitStream(request.route, {
     waitedMs,
--- a/apps/entry/src/lib/routed/describePlacement.ts
+++ b/apps/entry/src/lib/routed/describePlacement.ts
@@ -1,14 +1,14 @@
-/** What decided where a request went, for its line. */
+/** Log fields that describe why a request was sent to its endpoint. */
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { PromptContext } from './PromptContext.js'
 import type { RoutedRequest } from './RoutedRequest.js'
 
 /**
- * @param choice - endpoint that answered, with the estimates that chose it
- * @param request - the request
+ * @param choice - endpoint that responded, with the estimates for it
+ * @param request - request that was sent
  * @param prompt - its prompt, if it has one
- * @param firstEventMs - milliseconds until its first event, if there were events
+ * @param firstEventMs - milliseconds until the first event, if there were events
  */
 export function describePlacement (
   choice: EndpointChoice, request: RoutedRequest, prompt: PromptContext | undefined, firstEventMs: number | undefined
--- a/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
+++ b/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
@@ -1,13 +1,13 @@
-/** An endpoint that answers as a test wants. */
+/** An endpoint whose behaviour is set by a test. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { PLAIN_HEADERS } from './PlainCodec.js'
 
-/** What an endpoint does with a request that it has read. */
+/** Handles a request after its body has been read. */
 export type Behaviour = (request: IncomingMessage, response: ServerResponse, body: string) => void
 
-/** The endpoint. */
+/** An HTTP server that records its requests and handles them with a given behaviour. */
 export class FakeEndpoint {
   readonly receivedRequests: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
   abortedResponses = 0
@@ -36,12 +36,12 @@
     return { id: this.id, service: 'app', address, dataCentre: 'n', slots: 4, isLeaving: false, isBusy: false, models: [] }
   }
 
-  /** Resolves when the next request has come. */
+  /** Resolves when the next request has been received. */
   async nextRequest (): Promise<void> {
     await new Promise<void>(resolve => { this.#requestWaiters.push(resolve) })
   }
 
-  /** Ends all answers that have begun. */
+  /** Ends all responses that have begun. */
   endResponses (): void {
     for (const response of this.#responses) {
       if (response.headersSent) response.end()
@@ -54,20 +54,20 @@
   }
 }
 
-/** One numbered event of a stream. */
+/** Returns a stream event with an id. */
 export const streamEvent = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`
 
-/** Answers with what was asked. */
+/** Responds with a summary of the request. */
 export const respondOk: Behaviour = (request, response, body) => {
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '', 'x-stamp': 's1' })
   response.end(`${request.method ?? ''} ${request.url ?? ''} ${body}`)
 }
 
-/** Says that it did not run the request. */
+/** Rejects the request, stating that it was not executed. */
 export const rejectNotExecuted: Behaviour = (_request, response) => {
   response.writeHead(503, { [PLAIN_HEADERS.notRun]: '1' })
   response.end()
 }
 
-/** Breaks the connection off. */
+/** Resets the connection. */
 export const resetConnection: Behaviour = request => { request.socket.resetAndDestroy() }
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -1,7 +1,7 @@
 /**
- * Several hosts that choose among the same endpoints, on a virtual clock and without network, for tests.
+ * Simulation of several hosts that share endpoints, on a virtual clock and without a network, for tests.
  *
- * Hosts exchange their work as in service: through the bytes of load reports, with the host that adds up.
+ * Hosts exchange their load as in production, as encoded load reports to the host that computes the totals.
  */
 import { vi } from 'vitest'
 import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
@@ -18,26 +18,26 @@
 /** Step of the virtual clock, in milliseconds. */
 const STEP_MS = 5
 
-/** Time from a send to the head of its answer, and to the end of it, in milliseconds. */
+/** Time from a send to the head and to the end of the response, in milliseconds. */
 const RESPONSE_HEAD_MS = 60
 const RESPONSE_END_MS = 150
 
-/** Age up to which a host places requests on the others' work without asking anew, in milliseconds. */
+/** Age from which a host requests the load of the other hosts again before it places a request, in milliseconds. */
 const LOAD_EXCHANGE_INTERVAL_MS = 25
 
 const SERVICE = 'pool'
 
-/** What an endpoint says in its answers; they are whole unless it says otherwise. */
+/** How an endpoint responds; by default it accepts all requests and states no limit. */
 export interface ResponseBehaviour extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
-  /** It rejects what comes and wants nothing more from that host for so long; 0 if it asks for no pause. */
+  /** If set, the endpoint rejects all requests and asks the host for a pause of this length, in milliseconds; 0 if it asks for no pause. */
   readonly rejectionPauseMs?: number
 }
 
-/** What a simulation consists of. */
+/** Options of a simulation. */
 export interface SimulationOptions {
   readonly hosts: number
   readonly endpoints: number
-  /** That come to each host. */
+  /** Requests that each host receives per second. */
   readonly requestsPerSecond: number
   readonly seed: number
 }
@@ -49,7 +49,7 @@
   sequence: number
 }
 
-/** One request at an endpoint. */
+/** A request that arrived at an endpoint. */
 export interface Arrival {
   readonly host: string
   readonly at: number
@@ -63,7 +63,7 @@
   hasEnded: boolean
 }
 
-/** Hosts, endpoints and the requests between them. */
+/** Simulated hosts, endpoints, and the requests between them. */
 export class HostsSimulation {
   readonly #hosts: readonly Host[]
   readonly #board = new LoadBoard()
@@ -72,15 +72,15 @@
   readonly #requestsPerSecond: number
   #pending: PendingResponse[] = []
   #readTotals: { readonly totals: Totals, readonly read: LoadTotals } | undefined
-  /** Requests for which no endpoint was to be had. */
+  /** Requests for which no endpoint was available. */
   unplaced = 0
-  /** Requests that an endpoint has rejected. */
+  /** Requests that an endpoint rejected. */
   rejected = 0
 
   /**
-   * Takes the clock of this process over; call {@link HostsSimulation.close} at the end.
+   * Replaces the clock and the random numbers of this process until {@link HostsSimulation.close} is called.
    *
-   * @param shape - what it consists of
+   * @param options - size, load and random seed of the simulation
    */
   constructor ({ hosts, endpoints, requestsPerSecond, seed }: SimulationOptions) {
     vi.useFakeTimers({ toFake: ['performance'] })
@@ -95,21 +95,21 @@
     })
   }
 
-  /** Gives the clock back. */
+  /** Restores the clock and the random numbers. */
   close (): void {
     vi.useRealTimers()
     vi.restoreAllMocks()
   }
 
   /**
-   * @param endpoint - number of an endpoint
-   * @param statement - what its answers say from now on
+   * @param endpoint - index of an endpoint
+   * @param behaviour - how it responds from now on
    */
-  setBehaviour (endpoint: number, statement: ResponseBehaviour): void {
-    this.#responseBehaviours.set(listedEndpoint(endpoint).id, statement)
+  setBehaviour (endpoint: number, behaviour: ResponseBehaviour): void {
+    this.#responseBehaviours.set(listedEndpoint(endpoint).id, behaviour)
   }
 
-  /** @param milliseconds - of the virtual clock in which requests come */
+  /** @param milliseconds - time on the virtual clock during which requests arrive */
   run (milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += STEP_MS) {
       vi.advanceTimersByTime(STEP_MS)
@@ -121,9 +121,9 @@
   }
 
   /**
-   * @param endpoint - number of an endpoint
-   * @param since - monotonic milliseconds
-   * @returns requests that reached it since then
+   * @param endpoint - index of an endpoint
+   * @param since - start of the period, in monotonic milliseconds
+   * @returns requests that arrived at the endpoint since then
    */
   arrivals (endpoint: number, since = 0): readonly Arrival[] {
     return this.#arrivalsOf(listedEndpoint(endpoint).id).filter(({ at }) => at >= since)
@@ -185,7 +185,7 @@
     const totals = this.#board.totals(now)
     const sequence = totals.sequences.get(host.name)
     if (sequence === undefined) return
-    // Read once for all hosts, whatever their sequence.
+    // The totals are decoded once for all hosts; only the sequence differs.
     if (this.#readTotals?.totals !== totals) this.#readTotals = { totals, read: decodeLoadTotals(frameLoadTotals(0, encodeLoadTotals(totals))) }
     host.fleet.otherHostsLoad.answered({ ...this.#readTotals.read, sequence }, now)
     host.fleet.applyObservations()
@@ -205,7 +205,7 @@
   }
 }
 
-/** Numbers in [0, 1) by a linear congruential generator. */
+/** Returns a linear congruential generator of numbers in [0, 1). */
 function seededRandom (seed: number): () => number {
   let state = seed >>> 0
   return () => {
--- a/apps/entry/src/lib/routed/harness/PlainCodec.ts
+++ b/apps/entry/src/lib/routed/harness/PlainCodec.ts
@@ -1,12 +1,12 @@
-/** Headers of routed requests as the product's own tests write them. */
+/** Header names for the product's own tests. */
 import { endToEndHeaders } from '../headers.js'
 import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
 import type { ResponseFields, CallerFields, EndpointFields, RequestCodec } from '../RequestCodec.js'
 
-/** Names of the headers. */
+/** Header names, in lower case. */
 export const PLAIN_HEADERS = { id: 'request-id', key: 'key', deadline: 'deadline', notRun: 'not-run', lastEvent: 'last-event-id', rateLimit: 'rate-limit', retryAfter: 'retry-after', leaving: 'leaving' }
 
-/** The smallest words that the product can be spoken to with. */
+/** A codec that supports the fewest fields that the product needs. */
 export class PlainCodec implements RequestCodec {
   readRequestHeaders (headers: readonly string[]): CallerFields {
     const deadline = valueOf(headers, PLAIN_HEADERS.deadline)
@@ -37,7 +37,7 @@
   }
 }
 
-/** Value of the header of that name, if there is one. */
+/** Returns the value of a header; undefined if it is missing. */
 function valueOf (headers: readonly string[], name: string): string | undefined {
   const at = headers.findIndex((header, index) => index % 2 === 0 && header.toLowerCase() === name)
   return at < 0 ? undefined : headers[at + 1]
--- a/apps/entry/src/lib/routed/harness/RoutedHost.ts
+++ b/apps/entry/src/lib/routed/harness/RoutedHost.ts
@@ -1,4 +1,4 @@
-/** A server for routed requests with everything around it, for tests. */
+/** A server for routed requests with all its dependencies, for tests. */
 import { request as httpRequest } from 'node:http'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import type { RetryBudgetTerms } from '@eelgrassmux/routing/attempts/RetryAllowance'
@@ -13,33 +13,33 @@
 import { PLAIN_HEADERS, PlainCodec } from './PlainCodec.js'
 import { TEST_SITE } from './testSite.js'
 
-/** The balancer's lag, in milliseconds. */
+/** How long the load balancer may send requests after readiness is withdrawn, in milliseconds. */
 export const BALANCER_LAG_MS = 100
 
-/** Age of a host that does not let requests wait for the site any more, in milliseconds. */
+/** Default age of the host, in milliseconds. At this age it no longer queues requests that arrive before the site configuration. */
 const DEFAULT_HOST_AGE_MS = 60_000
 
-/** What a test may want otherwise. */
+/** Options of a test host. */
 export interface RoutedHostOptions {
   readonly graceMs?: number
   readonly budget?: RetryBudgetTerms
   readonly site?: Site
-  /** Monotonic milliseconds at which the host started. */
+  /** When the host started, in monotonic milliseconds. */
   readonly startedAt?: number
   readonly quarantine?: RequestQuarantine
-  /** Has a request placed, at once unless given. */
+  /** Replaces the wait for the load of other hosts; by default, `place` is called at once. */
   readonly withRecentLoad?: (place: () => void) => void
 }
 
-/** What a caller got. */
+/** What a caller received. */
 export interface CallerOutcome {
-  /** 0 if the connection broke before there was an answer. */
+  /** Status of the response; 0 if the connection broke before it. */
   readonly status: number
   readonly body: string
   readonly isWhole: boolean
-  /** Value of the answer's header of that name. */
+  /** Value of the Connection header. */
   readonly connection: string | undefined
-  /** Likewise. */
+  /** Value of the Retry-After header. */
   readonly retryAfter: string | undefined
 }
 
@@ -53,8 +53,8 @@
   readonly #site: Site
 
   /**
-   * @param endpoints - all of the site's only service
-   * @param options - what differs
+   * @param endpoints - all endpoints of the site's only service
+   * @param options - options that differ from the defaults
    */
   constructor (private readonly endpoints: readonly FakeEndpoint[], options: RoutedHostOptions = {}) {
     const { graceMs = 60_000, budget = { ratio: 0.2, slack: 20 }, site = TEST_SITE, startedAt = performance.now() - DEFAULT_HOST_AGE_MS, quarantine = emptyQuarantine(), withRecentLoad = place => { place() } } = options
@@ -93,10 +93,10 @@
   }
 
   /**
-   * Asks as a caller does.
+   * Sends a request as a caller.
    *
-   * @param path - with the prefix of a route
-   * @param onHead - called when the answer begins
+   * @param path - path with the prefix of a route
+   * @param onHead - called when the response begins
    */
   async sendRequest (path: string, onHead: () => void = () => {}): Promise<CallerOutcome> {
     return await new Promise(resolve => {
--- a/apps/entry/src/lib/routed/harness/emptyQuarantine.ts
+++ b/apps/entry/src/lib/routed/harness/emptyQuarantine.ts
@@ -1,4 +1,4 @@
-/** Nothing is quarantined and nobody is told, for tests of everything else. */
+/** A quarantine without entries or reports, for tests of other things. */
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { RequestQuarantine } from '../../quarantine/RequestQuarantine.js'
--- a/apps/entry/src/lib/routed/harness/testSite.ts
+++ b/apps/entry/src/lib/routed/harness/testSite.ts
@@ -1,9 +1,9 @@
-/** A site with one route of each kind, for tests. */
+/** A site configuration with one route of each kind, for tests. */
 import type { Route, Site } from '@eelgrassmux/schema/site/siteSchema'
 
 /**
- * @param pathPrefix - prefix and name
- * @param overrides - what differs from a safe route
+ * @param pathPrefix - path prefix, which is also the route's name
+ * @param overrides - fields that differ from those of a safe route
  */
 export function testRoute (pathPrefix: string, overrides: Partial<Route>): Route {
   return {
@@ -11,7 +11,7 @@
   }
 }
 
-/** The site. */
+/** The site configuration. */
 export const TEST_SITE: Site = {
   version: 1,
   routes: [
--- a/apps/entry/src/lib/routed/headers.ts
+++ b/apps/entry/src/lib/routed/headers.ts
@@ -1,4 +1,4 @@
-/** Headers that belong to one connection and are never passed on. */
+/** Hop-by-hop headers, which belong to one connection and are never forwarded. */
 
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization',
@@ -6,9 +6,9 @@
 ])
 
 /**
- * @param headers - names and values by turns
- * @param isDropped - further names to leave out, given in lower case
- * @returns the headers that concern the request or answer itself
+ * @param headers - alternating names and values
+ * @param isDropped - called with a name in lower case; returns whether to leave out that header as well
+ * @returns the end-to-end headers
  */
 export function endToEndHeaders (headers: readonly string[], isDropped: (name: string) => boolean = () => false): string[] {
   const named = connectionNamed(headers)
@@ -21,7 +21,7 @@
   return kept
 }
 
-/** Names that a Connection header lists as concerning only this connection. */
+/** Returns the names that Connection headers list as hop-by-hop, in lower case. */
 function connectionNamed (headers: readonly string[]): Set<string> | undefined {
   let named: Set<string> | undefined
   for (let at = 0; at + 1 < headers.length; at += 2) {
--- a/apps/entry/src/lib/routed/learnFromFailure.ts
+++ b/apps/entry/src/lib/routed/learnFromFailure.ts
@@ -1,14 +1,14 @@
-/** What a failed attempt says of its endpoint. */
+/** Updates the state of an endpoint after a failed attempt. */
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { ResponseHead } from './RoutedAttempt.js'
 
 /**
- * @param fleet - where outcomes are counted
+ * @param fleet - where outcomes are recorded
  * @param endpoint - endpoint of the attempt
- * @param failure - how it failed
- * @param head - head of the answer, if there was one
+ * @param failure - how the attempt failed
+ * @param head - head of the response, if there was one
  */
 export function learnFromFailure (fleet: RoutedFleet, endpoint: EndpointState, failure: AttemptFailure, head: ResponseHead | undefined): void {
   const now = performance.now()
--- a/apps/entry/src/lib/routed/learnFromFirstEvent.ts
+++ b/apps/entry/src/lib/routed/learnFromFirstEvent.ts
@@ -1,19 +1,19 @@
-/** What the time to a first event says of the endpoint, of the link that its prompt came over, and of the route. */
+/** Updates the timing models of the endpoint, the route and the store link with the time to a first event. */
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
 import type { RoutedAttempt } from './RoutedAttempt.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { RoutedRequest } from './RoutedRequest.js'
 
 /**
- * Share of the estimate beyond which a fetch, and not the engine, is what a first event
- * tells of: an engine must not be avoided for a store's slow link.
+ * Largest share of the estimate that a fetch may take if the first event is to update the
+ * models of engine and route. An engine must not be avoided because of a slow store link.
  */
 const MAX_FETCH_SHARE = 0.25
 
 /**
- * @param fleet - where it is kept
- * @param request - whose first event has just come
- * @param attempt - that brought it
+ * @param fleet - where the timing models are kept
+ * @param request - request whose first event has just arrived
+ * @param attempt - attempt that received the event
  */
 export function learnFromFirstEvent (fleet: RoutedFleet, { route, service }: RoutedRequest, { choice, startedAt }: RoutedAttempt): void {
   const now = performance.now()
@@ -27,7 +27,7 @@
   fleet.routeSlowness(route.name).observe(actualMs, estimatedMs, now)
 }
 
-/** What requests without a fetch have shown of the engine is not the link's fault. */
+/** Updates the speed of the store link. The engine's own share of the time, corrected by the slowness that it showed without fetches, is not attributed to the link. */
 function learnLinkSpeed (fleet: RoutedFleet, { endpoint, reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
   const { slowest, fetchMs } = reading
   if (slowest === undefined) return
--- a/apps/entry/src/lib/routed/learnFromHead.ts
+++ b/apps/entry/src/lib/routed/learnFromHead.ts
@@ -1,11 +1,11 @@
-/** What the head of an answer says of its endpoint. */
+/** Updates the state of an endpoint from the head of a response. */
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { ResponseHead } from './RoutedAttempt.js'
 
 /**
- * @param endpoint - that answers
- * @param model - that was asked for; undefined for plain requests
- * @param head - of the answer
+ * @param endpoint - endpoint that responded
+ * @param model - model that was requested; undefined for requests without a prompt
+ * @param head - head of the response
  * @param now - monotonic milliseconds
  */
 export function learnFromHead (endpoint: EndpointState, model: string | undefined, { fields }: ResponseHead, now: number): void {
--- a/apps/entry/src/lib/routed/retryAfterSecondsFor.ts
+++ b/apps/entry/src/lib/routed/retryAfterSecondsFor.ts
@@ -1,22 +1,22 @@
-/** When the caller of a refused request had better ask again. */
+/** When the caller of a refused request should retry. */
 import { returnAfterMs } from '@eelgrassmux/routing/admission/returnAfter'
 import type { RefusalReason } from '@eelgrassmux/schema/Refusal'
 
-/** Longest pause before a caller of a stopping host asks another one, in milliseconds: spreads those that are sent away in one moment. */
+/** Longest Retry-After of a stopping host, in milliseconds. The random value spreads the retries of callers that are refused at the same moment. */
 const MAX_DRAINING_RETRY_MS = 100
 
 const MILLISECONDS_PER_SECOND = 1000
 
 /**
- * @param reason - why it was refused
- * @param expectedFreeInMs - milliseconds after which a place is expected
- * @param remainingMs - milliseconds that the caller has left
- * @returns seconds
+ * @param reason - why the request was refused
+ * @param expectedFreeInMs - milliseconds after which capacity is expected
+ * @param remainingMs - milliseconds until the deadline
+ * @returns value of Retry-After, in seconds
  */
 export function retryAfterSecondsFor (reason: RefusalReason, expectedFreeInMs: number, remainingMs: number): number {
-  // No host has a place for it sooner, whatever time its caller has left.
+  // No host accepts the request earlier, however little time the caller has left.
   if (reason === 'request-quarantined') return Math.ceil(expectedFreeInMs / MILLISECONDS_PER_SECOND)
-  // Other hosts have places now; only callers of this one have to leave.
+  // Other hosts have capacity now, so the caller may retry there almost at once.
   const returnMs = reason === 'draining' ? Math.random() * MAX_DRAINING_RETRY_MS : returnAfterMs(expectedFreeInMs, remainingMs, Math.random())
   return returnMs / MILLISECONDS_PER_SECOND
 }
