--- a/apps/entry/src/lib/routed/EndpointConnection.test.ts
+++ b/apps/entry/src/lib/routed/EndpointConnection.test.ts
@@ -41,13 +41,13 @@
     return { kind, status, body: Buffer.concat(body).toString() }
   }
 
-  describe('an answer without a length', () => {
-    it('is complete when the connection ends in order', async () => {
+  describe('a response without a length', () => {
+    it('is complete if the connection ends in order', async () => {
       const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\n\r\nwhole') })
       expect(outcome).toEqual({ kind: 'complete', status: 200, body: 'whole' })
     })
 
-    it('is not complete when the connection is reset behind its bytes', async () => {
+    it('is not complete if the connection is reset after its bytes', async () => {
       const outcome = await answerWith(socket => {
         socket.write('HTTP/1.1 200 OK\r\n\r\nhalf')
         void sleep(30).then(() => { socket.resetAndDestroy() })
@@ -55,7 +55,7 @@
       expect(outcome.kind).toBe('failed')
     })
 
-    it('is not complete when the reset comes with its bytes', async () => {
+    it('is not complete if the reset arrives together with its bytes', async () => {
       const outcome = await answerWith(socket => {
         socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => { socket.resetAndDestroy() })
       })
@@ -63,18 +63,18 @@
     })
   })
 
-  describe('an answer with a length', () => {
-    it('is not complete when the connection ends inside it', async () => {
+  describe('a response with a length', () => {
+    it('is not complete if the connection ends inside it', async () => {
       const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf') })
       expect(outcome.kind).toBe('failed')
     })
 
-    it('is not complete when the connection ends inside it and was to be closed', async () => {
+    it('is not complete if the connection ends inside it, also with Connection: close', async () => {
       const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nhalf') })
       expect(outcome.kind).toBe('failed')
     })
 
-    it('is not complete when it is chunked and its last chunk is missing', async () => {
+    it('is not complete if it is chunked and its last chunk is missing', async () => {
       const outcome = await answerWith(socket => {
         socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n')
       })
--- a/apps/entry/src/lib/routed/EndpointLimits.test.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.test.ts
@@ -28,7 +28,7 @@
   const limits = new EndpointLimits(new ColdAllowance('host', () => 1), new RateShare('host', () => 1), () => [north, south, plain], new Telemetry('test'))
   limits.configure(SITE)
 
-  it('takes the endpoints of a data centre for cold for a while after its evacuation', () => {
+  it('treats the endpoints of a data centre as cold for a while after its evacuation', () => {
     limits.evacuate(new Set(['north']), 0)
     expect([...limits.evacuated]).toEqual(['north'])
     limits.evacuate(new Set(), 60_000)
@@ -38,7 +38,7 @@
     expect(south.isCold(60_000)).toBe(false)
   })
 
-  it('bounds the rate of services that state one, and of no other', () => {
+  it('limits the rate of cold endpoints only for services that state one', () => {
     const engine = new EndpointState({ ...listed('c', 'north'), isCold: true })
     const app = new EndpointState({ ...listed('a', 'north', 'plain'), isCold: true })
     expect(limits.hold(engine, 70_000)).toBeUndefined()
@@ -48,12 +48,12 @@
     expect(limits.hold(app, 70_001)).toBeUndefined()
   })
 
-  describe('with an endpoint that names a rate', () => {
+  describe('with an endpoint that states a rate', () => {
     const head = (requestsPerSecond: number | undefined, overrides: Partial<ResponseHead> = {}, instance?: string): ResponseHead => ({
       status: 200, headers: [], fields: { requestId: undefined, isNotExecuted: false, instance, load: undefined, version: undefined, requestsPerSecond, isLeaving: false, retryAfterMs: undefined }, ...overrides
     })
 
-    it('sends it this host\'s part, says when the next may go, and everything again once it names none', () => {
+    it('allows this host\'s share, returns when the next request may be sent, and lifts the limit once the endpoint states none', () => {
       const endpoint = new EndpointState(listed('r', 'south', 'plain'))
       limits.observeAnswer(endpoint, head(0.5), 0)
       for (const now of [0, 100]) endpoint.begin(0, 0, now)
@@ -65,7 +65,7 @@
       expect(limits.hold(endpoint, 301)).toBeUndefined()
     })
 
-    it('takes no word from another instance at its address', () => {
+    it('ignores statements of another instance at its address', () => {
       const endpoint = new EndpointState(listed('r', 'south', 'plain'))
       limits.observeAnswer(endpoint, head(0.5, { status: 421 }), 0)
       limits.observeAnswer(endpoint, head(0.5, {}, 'another'), 0)
@@ -74,7 +74,7 @@
       expect(endpoint.rateLimit.requestsPerSecond).toBe(0.5)
     })
 
-    it('believes the newest statement, whichever host has read it', () => {
+    it('applies the newest statement, whichever host has read it', () => {
       const endpoint = new EndpointState(listed('r', 'south', 'plain'))
       limits.observeAnswer(endpoint, head(2), 1000)
       limits.observeStatement(endpoint, { requestsPerSecond: undefined, statedAgoMs: 500 }, 1400)
--- a/apps/entry/src/lib/routed/PromptContext.test.ts
+++ b/apps/entry/src/lib/routed/PromptContext.test.ts
@@ -37,18 +37,18 @@
   describe('transfers', () => {
     const parts = [{ id: 'rules', tokens: 2500 }, { id: 'inventory', tokens: 5000 }, { id: 'own', tokens: 1500 }]
 
-    it('have one entry for each part: an address that stands alone would be asked for the whole prompt, also for parts that it holds in part', () => {
+    it('have one entry for each part, because a single address would be understood as the store of the whole prompt', () => {
       const { fetches, saves } = context(parts, ['rules', 'inventory']).transfers(choice(1), 1, 6000) ?? {}
       expect(fetches).toEqual([store.address, undefined, undefined])
       expect(saves).toEqual([undefined, undefined, undefined])
     })
 
-    it('have one for the request\'s own part as well, where it has but one shared part', () => {
+    it('have an entry for the request\'s own part as well if there is only one shared part', () => {
       const { fetches } = context(parts.slice(1), ['inventory']).transfers(choice(1), 1, 6000) ?? {}
       expect(fetches).toEqual([store.address, undefined])
     })
 
-    it('save what no store holds, and fetch nothing that is to be read', () => {
+    it('save what no store holds, and fetch nothing that the engine is to read itself', () => {
       const { fetches, saves } = context(parts, ['rules']).transfers(choice(0), 1, 6000) ?? {}
       expect(fetches).toEqual([undefined, undefined, undefined])
       expect(saves).toEqual([undefined, store.address, undefined])
--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -11,7 +11,7 @@
   id: 'e', service: 'pool', address: '10.0.0.1:1', dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: [], startedAtMs
 })
 
-/** A fleet whose one endpoint has started at the given times, one after the other. */
+/** Returns a fleet whose only endpoint has started at each of the given times, and the endpoint's incarnations. */
 function fleetAfter (...starts: number[]): { fleet: RoutedFleet, incarnations: EndpointState[] } {
   const fleet = new RoutedFleet('north', () => 1, new Telemetry('test'))
   const incarnations = starts.flatMap(startedAtMs => {
@@ -22,8 +22,8 @@
 }
 
 describe('RoutedFleet', () => {
-  describe('when an endpoint has started again under its id', () => {
-    it('keeps no connection, no prompt and no word of other hosts from the former incarnation', () => {
+  describe('when an endpoint has restarted under its id', () => {
+    it('keeps no connections, prompts or reports of other hosts from the former incarnation', () => {
       const { fleet, incarnations: [former] } = fleetAfter(1000)
       if (former === undefined) throw new Error('no endpoint')
       const connections = fleet.connectionsTo(former)
@@ -39,7 +39,7 @@
       expect(fleet.otherHostsLoad.at(present.incarnation)).toEqual(NO_WORK)
     })
 
-    it('tells of its own work at the present incarnation only', () => {
+    it('reports its own load at the current incarnation only', () => {
       const { fleet, incarnations: [former, present] } = fleetAfter(1000, 2000)
       former?.begin(10, 10, 0)
       expect(fleet.ownWork()).toEqual({ work: [], links: [] })
--- a/apps/entry/src/lib/routed/SharedInterval.test.ts
+++ b/apps/entry/src/lib/routed/SharedInterval.test.ts
@@ -3,11 +3,11 @@
 
 const INTERVAL_MS = 200
 
-describe('SharedLooks', () => {
+describe('SharedInterval', () => {
   beforeEach(() => { vi.useFakeTimers() })
   afterEach(() => { vi.useRealTimers() })
 
-  it('calls everybody by one timer', () => {
+  it('calls all callbacks by one timer', () => {
     const looks = new SharedInterval(INTERVAL_MS)
     const called = [0, 0, 0]
     called.forEach((_, index) => {
@@ -19,7 +19,7 @@
     expect(called).toEqual([3, 3, 3])
   })
 
-  it('has no timer while nobody has joined, and can be joined again', () => {
+  it('has no timer while there are no callbacks, and starts again with the next one', () => {
     const looks = new SharedInterval(INTERVAL_MS)
     let called = 0
     const look = (): void => { called += 1 }
@@ -31,7 +31,7 @@
     expect(called).toBe(1)
   })
 
-  it('goes on if somebody leaves during a look, and does not call who has left', () => {
+  it('continues if a callback is removed during a call, and does not call it again', () => {
     const looks = new SharedInterval(INTERVAL_MS)
     const called: string[] = []
     const first = (): void => {
--- a/apps/entry/src/lib/routed/TriedEndpoints.test.ts
+++ b/apps/entry/src/lib/routed/TriedEndpoints.test.ts
@@ -2,7 +2,7 @@
 import { TriedEndpoints } from './TriedEndpoints.js'
 
 describe('TriedEndpoints', () => {
-  it('lets two endpoints be asked at once, and the next ones after pauses that grow up to a bound', () => {
+  it('allows two endpoints to be tried at once, and further ones after pauses that grow up to a maximum', () => {
     const tried = new TriedEndpoints()
     const pauses = Array.from({ length: 6 }, () => {
       tried.observeRejection(1000)
@@ -11,7 +11,7 @@
     expect(pauses).toEqual([0, 150, 300, 500, 500, 500])
   })
 
-  it('begins anew once the answer has gone on', () => {
+  it('resets the pause once the response has made progress', () => {
     const tried = new TriedEndpoints()
     for (let rejection = 0; rejection < 4; rejection += 1) tried.observeRejection(1000)
     tried.observeProgress()
@@ -20,7 +20,7 @@
     expect(tried.retryAt).toBeLessThan(2000)
   })
 
-  it('allows endpoints again that rejected the request or fell silent, not those where it failed or runs', () => {
+  it('allows endpoints again that rejected the request or stopped responding, but not those where it failed or runs', () => {
     const tried = new TriedEndpoints()
     for (const id of ['rejected', 'silent', 'failed', 'running']) tried.add(id)
     tried.observeFailure('failed')
--- a/apps/entry/src/lib/routed/endpointRateLimit.test.ts
+++ b/apps/entry/src/lib/routed/endpointRateLimit.test.ts
@@ -3,10 +3,10 @@
 
 const WINDOW_MS = 4000
 
-/** Time in which all hosts are to learn of a limit, in milliseconds. */
-const NOTICE_MS = 3000
+/** Time in which all hosts have to learn of a limit, in milliseconds. */
+const PROPAGATION_MS = 3000
 
-/** Endpoints that name a rate, of those that there are. */
+/** Indexes of the endpoints that state a rate. */
 const LIMITED = [0, 1, 2, 3]
 
 const SHAPES: readonly SimulationOptions[] = [
@@ -18,36 +18,36 @@
 let simulation: HostsSimulation | undefined
 afterEach(() => { simulation?.close() })
 
-/** Hosts that have learnt what the first four endpoints name. */
+/** Returns a simulation in which all hosts know the rate that the first four endpoints state. */
 function limitedSimulation (shape: SimulationOptions, requestsPerSecond: number): HostsSimulation {
   simulation = new HostsSimulation(shape)
   simulation.run(1000)
   for (const endpoint of LIMITED) simulation.setBehaviour(endpoint, { requestsPerSecond })
-  simulation.run(NOTICE_MS)
+  simulation.run(PROPAGATION_MS)
   return simulation
 }
 
-function mostInWindow (arrivals: readonly Arrival[]): number {
+function maxInWindow (arrivals: readonly Arrival[]): number {
   return Math.max(0, ...arrivals.map(({ at: from }) => arrivals.filter(({ at }) => at >= from && at < from + WINDOW_MS).length))
 }
 
-/** Half as much again as what it names, and some. */
-const mostAllowed = (requestsPerSecond: number): number => 1.5 * requestsPerSecond * WINDOW_MS / 1000 + 5
+/** Returns the most requests that may arrive in a window: half as many again as the stated rate allows, and a margin. */
+const maxAllowed = (requestsPerSecond: number): number => 1.5 * requestsPerSecond * WINDOW_MS / 1000 + 5
 
-describe('an endpoint that names a rate in its answers', () => {
+describe('an endpoint that states a rate in its responses', () => {
   describe.each(SHAPES)('before $hosts hosts', shape => {
-    // Guards against hosts that send an endpoint in need as much as any other.
-    it.each([0.7, 2.3, 6.1])('gets no more requests than it names over all hosts: %d a second', requestsPerSecond => {
+    // Guards against hosts that send an overloaded endpoint as many requests as any other.
+    it.each([0.7, 2.3, 6.1])('gets no more requests from all hosts together than it states: %d a second', requestsPerSecond => {
       const hosts = limitedSimulation(shape, requestsPerSecond)
       const since = performance.now()
       hosts.run(10_000)
-      for (const endpoint of LIMITED) expect(mostInWindow(hosts.arrivals(endpoint, since))).toBeLessThanOrEqual(mostAllowed(requestsPerSecond))
+      for (const endpoint of LIMITED) expect(maxInWindow(hosts.arrivals(endpoint, since))).toBeLessThanOrEqual(maxAllowed(requestsPerSecond))
       expect(hosts.unplaced).toBe(0)
     })
   })
 
   describe.each(SHAPES.slice(0, 2))('before $hosts hosts', shape => {
-    it('gets a fair part of what it names', () => {
+    it('gets a fair part of the rate that it states', () => {
       const hosts = limitedSimulation(shape, 2.3)
       const since = performance.now()
       hosts.run(8000)
@@ -55,7 +55,7 @@
       expect(received / LIMITED.length / 8).toBeGreaterThan(2.3 * 0.4)
     })
 
-    it('gets as much as the others once it names none any more, also from hosts that had no part', () => {
+    it('gets as many requests as the others once it states no rate any more, also from hosts that had no share', () => {
       const hosts = limitedSimulation(shape, 2.3)
       hosts.run(3000)
       for (const endpoint of LIMITED) hosts.setBehaviour(endpoint, {})
@@ -67,12 +67,12 @@
     })
   })
 
-  it('sends callers away at once where all endpoints name less than is asked for', () => {
+  it('leaves requests unplaced if all endpoints together state a lower rate than the load', () => {
     const shape = { hosts: 7, endpoints: LIMITED.length, requestsPerSecond: 20, seed: 4 }
     const hosts = limitedSimulation(shape, 1)
     const since = performance.now()
     hosts.run(8000)
-    for (const endpoint of LIMITED) expect(mostInWindow(hosts.arrivals(endpoint, since))).toBeLessThanOrEqual(mostAllowed(1))
+    for (const endpoint of LIMITED) expect(maxInWindow(hosts.arrivals(endpoint, since))).toBeLessThanOrEqual(maxAllowed(1))
     expect(hosts.unplaced).toBeGreaterThan(0)
   })
 })
--- a/apps/entry/src/lib/routed/failover.test.ts
+++ b/apps/entry/src/lib/routed/failover.test.ts
@@ -1,8 +1,7 @@
 /**
- * Seen: a stream was cut because its endpoint, which had only paused, was left before another one had
- * accepted the rest, and the other one rejected it. A stream that has begun is lost with its only
- * attempt, so the first attempt has to outlive the question whether there is a second, and a rejection
- * that passes must not end the stream.
+ * Guards against streams that are aborted although they could go on. An endpoint had only paused, its attempt
+ * was cancelled before another endpoint had accepted the rest of the stream, and that endpoint rejected it.
+ * The first attempt must stay open until a second one is accepted, and a temporary rejection must not end the stream.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
@@ -10,24 +9,24 @@
 import { PLAIN_HEADERS } from './harness/PlainCodec.js'
 import { RoutedHost } from './harness/RoutedHost.js'
 
-/** Pause in a stream, longer than the silence after which it goes on elsewhere where it may, in milliseconds. */
+/** Pause in a stream, in milliseconds; longer than the silence after which failover begins. */
 const PAUSE_MS = 2500
 
-/** Requests that endpoints reject before they take one. */
-const REJECTED = 3
+/** Number of requests that endpoints reject before they accept one. */
+const REJECTIONS = 3
 
-/** Time that a caller's patience of two seconds allows with room to spare, in milliseconds. */
-const LONG_AFTER_MS = 6000
+/** Time limit of a response, in milliseconds; callers disconnect after two seconds without an event. */
+const RESPONSE_TIMEOUT_MS = 6000
 
-/** Most asks of an endpoint that rejects, over all of a caller's patience. */
-const MOST_ASKS = 9
+/** Most requests to endpoints that reject, in the time before the caller disconnects. */
+const MAX_RETRIES = 9
 
 const AMPLE_BUDGET = { ratio: 100, slack: 200 }
 
 const WHOLE = streamEvent(1) + streamEvent(2) + streamEvent(3)
 
-/** Numbers of the events that an endpoint still has to send. */
-function begin (...[request, response]: Parameters<Behaviour>): number[] {
+/** Begins the response, and returns the ids of the events that remain to be sent. */
+function beginResponse (...[request, response]: Parameters<Behaviour>): number[] {
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
   const last = Number(request.headers[PLAIN_HEADERS.lastEvent] ?? 0)
   return [1, 2, 3].filter(id => id > last)
@@ -35,12 +34,12 @@
 
 /** Sends the rest of the stream at once. */
 const sendsRest: Behaviour = (request, response, body) => {
-  response.end(begin(request, response, body).map(streamEvent).join(''))
+  response.end(beginResponse(request, response, body).map(streamEvent).join(''))
 }
 
-/** Sends one event, and half of the next. */
+/** Sends one event, and half of the next one. */
 const sendsFirst: Behaviour = (request, response, body) => {
-  begin(request, response, body)
+  beginResponse(request, response, body)
   response.write(streamEvent(1) + streamEvent(2).slice(0, 8))
 }
 
@@ -50,7 +49,7 @@
   setTimeout(() => { response.end(streamEvent(2).slice(8) + streamEvent(3)) }, PAUSE_MS)
 }
 
-/** Sends one event and dies. */
+/** Sends one event and half of the next one, then resets the connection. */
 const dies: Behaviour = (request, response, body) => {
   sendsFirst(request, response, body)
   setTimeout(() => { resetConnection(request, response, body) }, 50)
@@ -59,16 +58,16 @@
 /** Never answers. */
 const hangs: Behaviour = () => {}
 
-/** Lets the first request that comes to any endpoint be handled by one behaviour, and all others by another. */
+/** Handles the first request to any endpoint with one behaviour, and all others with another. */
 function firstThen (first: Behaviour, then: Behaviour): Behaviour {
-  let requestsSeen = 0
+  let received = 0
   return (request, response, body) => {
-    requestsSeen += 1
-    ;(requestsSeen === 1 ? first : then)(request, response, body)
+    received += 1
+    ;(received === 1 ? first : then)(request, response, body)
   }
 }
 
-describe('a request whose endpoint has fallen silent or died', () => {
+describe('a request whose endpoint stops responding or resets the connection', () => {
   let host: RoutedHost
   let endpoints: FakeEndpoint[]
 
@@ -82,52 +81,52 @@
     return endpoints.reduce((sum, endpoint) => sum + endpoint.receivedRequests.length, 0)
   }
 
-  function closedEarly (): number {
+  function countAborted (): number {
     return endpoints.reduce((sum, endpoint) => sum + endpoint.abortedResponses, 0)
   }
 
   afterEach(async () => { await host.close() })
 
   describe('a stream whose endpoint pauses', () => {
-    it.each([2, 3])('is not left for endpoints that reject the rest (%i endpoints)', async count => {
+    it.each([2, 3])('stays at its endpoint if the others reject the rest (%i endpoints)', async count => {
       await serve(count, firstThen(pauses, rejectNotExecuted))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       expect(countReceived()).toBeGreaterThan(1)
-      expect(closedEarly()).toBe(0)
+      expect(countAborted()).toBe(0)
     })
 
-    it('is left as soon as another endpoint has accepted the rest', async () => {
+    it('is cancelled there as soon as another endpoint has accepted the rest', async () => {
       await serve(2, firstThen(pauses, sendsRest))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-      await expect.poll(closedEarly).toBe(1)
+      await expect.poll(countAborted).toBe(1)
       expect(countReceived()).toBe(2)
     })
 
-    // Guards against two endpoints at work on one stream for longer than the overlap.
-    it('is left though the other endpoint neither accepts nor rejects the rest for long', async () => {
+    // Guards against two endpoints that execute one stream for longer than the overlap.
+    it('is cancelled there after the overlap, even if the other endpoint neither accepts nor rejects the rest', async () => {
       await serve(2, firstThen(sendsFirst, (request, response, body) => {
-        const look = setInterval(() => {
-          if (closedEarly() === 0) return
-          clearInterval(look)
+        const timer = setInterval(() => {
+          if (countAborted() === 0) return
+          clearInterval(timer)
           sendsRest(request, response, body)
         }, 10)
       }))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
-    it('stays if it goes on while the other endpoint has not answered yet', async () => {
-      let goOn = (): void => {}
+    it('stays there if it continues before the other endpoint has responded', async () => {
+      let finish = (): void => {}
       await serve(2, firstThen((request, response, body) => {
         sendsFirst(request, response, body)
-        goOn = () => { response.end(streamEvent(2).slice(8) + streamEvent(3)) }
-      }, () => { goOn() }))
+        finish = () => { response.end(streamEvent(2).slice(8) + streamEvent(3)) }
+      }, () => { finish() }))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-      // The other one is told that it is not wanted.
-      await expect.poll(closedEarly).toBe(1)
+      // The standby attempt is cancelled.
+      await expect.poll(countAborted).toBe(1)
       expect(countReceived()).toBe(2)
     })
 
-    it('is not left for one that fails to go on with it', async () => {
+    it('stays there if the other endpoint fails to resume it', async () => {
       await serve(2, firstThen(pauses, (request, response) => {
         response.writeHead(500, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
         response.end('no')
@@ -135,7 +134,7 @@
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
-    it('goes on elsewhere if it dies while the other endpoint has not answered yet', async () => {
+    it('continues at the other endpoint if its connection is reset before that endpoint has responded', async () => {
       let die = (): void => {}
       await serve(2, firstThen((request, response, body) => {
         sendsFirst(request, response, body)
@@ -149,32 +148,32 @@
     })
   })
 
-  describe('a stream whose endpoint dies', () => {
-    it('waits for an endpoint that rejects the rest for a while', async () => {
+  describe('a stream whose endpoint resets the connection', () => {
+    it('waits for an endpoint that rejects the rest temporarily', async () => {
       let asked = 0
       await serve(2, firstThen(dies, (request, response, body) => {
         asked += 1
-        ;(asked <= REJECTED ? rejectNotExecuted : sendsRest)(request, response, body)
+        ;(asked <= REJECTIONS ? rejectNotExecuted : sendsRest)(request, response, body)
       }))
       expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
-    it('is cut once its caller would have left, and not asked for in a tight loop', async () => {
+    it('is aborted once its caller would have disconnected, without retries in a tight loop', async () => {
       await serve(3, firstThen(dies, rejectNotExecuted))
-      const outcome = await Promise.race([host.sendRequest('/resumable/1'), sleep(LONG_AFTER_MS, undefined)])
+      const outcome = await Promise.race([host.sendRequest('/resumable/1'), sleep(RESPONSE_TIMEOUT_MS, undefined)])
       expect(outcome).toMatchObject({ body: streamEvent(1), isWhole: false })
-      expect(countReceived()).toBeLessThanOrEqual(1 + MOST_ASKS)
+      expect(countReceived()).toBeLessThanOrEqual(1 + MAX_RETRIES)
     })
   })
 
   describe('a safe request', () => {
-    it('is not left for an endpoint that rejects it', async () => {
+    it('stays at its endpoint if another one rejects it', async () => {
       await serve(2, firstThen((request, response, body) => { setTimeout(() => { respondOk(request, response, body) }, 1500) }, rejectNotExecuted))
       expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
       expect(countReceived()).toBeGreaterThan(1)
     })
 
-    it('is asked for elsewhere while its endpoint hangs', async () => {
+    it('is sent to another endpoint while its endpoint hangs', async () => {
       await serve(2, firstThen(hangs, respondOk))
       expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
     })
--- a/apps/entry/src/lib/routed/requestedPause.test.ts
+++ b/apps/entry/src/lib/routed/requestedPause.test.ts
@@ -3,13 +3,13 @@
 
 const PAUSE_MS = 3000
 
-/** Time after a rejection in which what is under way may still arrive, in milliseconds. */
-const CROSSING_MS = 500
+/** Time after a rejection in which requests that were already sent may still arrive, in milliseconds. */
+const IN_FLIGHT_MS = 500
 
-/** Requests of one host that may reach an endpoint inside a pause all the same. */
-const MOST_INSIDE = 2
+/** Most requests of one host that may arrive at an endpoint during a pause. */
+const MAX_DURING_PAUSE = 2
 
-/** Endpoints that reject, of those that there are. */
+/** Indexes of the endpoints that reject requests. */
 const REJECTING = [0, 1, 2, 3]
 
 const SHAPES: readonly SimulationOptions[] = [
@@ -20,26 +20,26 @@
 let simulation: HostsSimulation | undefined
 afterEach(() => { simulation?.close() })
 
-/** Most requests of one host that came inside any pause that it was asked for; each rejection begins one. */
-function mostInsidePauses (arrivals: readonly Arrival[]): number {
+/** Returns the most requests of one host that arrived during any pause that it was asked for. Each rejection begins a pause. */
+function maxDuringPauses (arrivals: readonly Arrival[]): number {
   return Math.max(0, ...arrivals.map(({ host, at: from }) =>
-    arrivals.filter(({ host: other, at }) => other === host && at > from + CROSSING_MS && at < from + PAUSE_MS).length))
+    arrivals.filter(({ host: other, at }) => other === host && at > from + IN_FLIGHT_MS && at < from + PAUSE_MS).length))
 }
 
 describe('an endpoint that rejects requests and asks for a pause', () => {
   describe.each(SHAPES)('before $hosts hosts', shape => {
-    // Guards against hosts that send most to an endpoint which rejects at once, because it looks idle.
-    it('gets nothing more from a host that it has asked', () => {
+    // Guards against hosts that prefer an endpoint that rejects requests at once, because it looks idle.
+    it('gets nothing more from a host that it has asked to pause', () => {
       simulation = new HostsSimulation(shape)
       simulation.run(1000)
       const since = performance.now()
       for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, { rejectionPauseMs: PAUSE_MS })
       simulation.run(8000)
-      for (const endpoint of REJECTING) expect(mostInsidePauses(simulation.arrivals(endpoint, since))).toBeLessThanOrEqual(MOST_INSIDE)
+      for (const endpoint of REJECTING) expect(maxDuringPauses(simulation.arrivals(endpoint, since))).toBeLessThanOrEqual(MAX_DURING_PAUSE)
       expect(simulation.unplaced).toBe(0)
     })
 
-    it('gets as much as the others once it takes requests again', () => {
+    it('gets as many requests as the others once it accepts them again', () => {
       simulation = new HostsSimulation(shape)
       for (const endpoint of REJECTING) simulation.setBehaviour(endpoint, { rejectionPauseMs: 1000 })
       simulation.run(2000)
@@ -53,8 +53,8 @@
   })
 })
 
-describe('an endpoint that rejects requests without a word', () => {
-  // Guards against the same attraction where nothing is asked for.
+describe('an endpoint that rejects requests without asking for a pause', () => {
+  // Guards against the same preference if no pause is asked for.
   it.each(SHAPES)('gets far fewer than the others from $hosts hosts', shape => {
     simulation = new HostsSimulation(shape)
     simulation.run(1000)
--- a/apps/entry/src/lib/routed/silentEndpoint.test.ts
+++ b/apps/entry/src/lib/routed/silentEndpoint.test.ts
@@ -1,9 +1,8 @@
 /**
- * Seen: a stream was broken off in the middle because its endpoint had been silent for a second,
- * although the endpoint went on a moment later. How it came about: the attempt was given up
- * before it was known whether the stream may run elsewhere. With the budget for repeats used
- * up it may not, and then nothing was left of it. A silent endpoint alone is no reason to end an
- * answer.
+ * Guards against streams that are aborted because their endpoint was silent for a second, although it
+ * continues a moment later. The attempt was cancelled before it was known whether the stream may be
+ * resumed elsewhere, which it may not when the retry budget is used up. Silence alone is no reason to
+ * end a response.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
@@ -12,31 +11,31 @@
 import { PLAIN_HEADERS } from './harness/PlainCodec.js'
 import { RoutedHost } from './harness/RoutedHost.js'
 
-/** Longer than the silence after which a stream goes on elsewhere where it may, in milliseconds. */
+/** Pause in a stream, in milliseconds; longer than the silence after which failover begins. */
 const SILENT_MS = 2000
 
 const WHOLE = streamEvent(1) + streamEvent(2)
 
-/** Sends the second event after a silence. */
+/** Sends the second event after a pause. */
 const pauses: Behaviour = (request, response) => {
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
   response.write(streamEvent(1))
   setTimeout(() => { response.end(streamEvent(2)) }, SILENT_MS)
 }
 
-describe('a safe request whose endpoint has fallen silent', () => {
-  it('goes on elsewhere long before its time is over', async () => {
-    let seen = 0
-    /** The first one to get the request never answers. */
+describe('a safe request whose endpoint stops responding', () => {
+  it('is sent to another endpoint long before its deadline', async () => {
+    let received = 0
+    /** The first endpoint that receives the request never responds. */
     const firstHangs: Behaviour = (request, response, body) => {
-      seen += 1
-      if (seen > 1) respondOk(request, response, body)
+      received += 1
+      if (received > 1) respondOk(request, response, body)
     }
     const host = new RoutedHost([new FakeEndpoint('one', firstHangs), new FakeEndpoint('other', firstHangs)], { budget: { ratio: 0.2, slack: 20 } })
     await host.start()
-    // After its route's time it would have got a 504.
+    // Without failover, the route's timeout would lead to a 504.
     expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
-    expect(seen).toBe(2)
+    expect(received).toBe(2)
     await host.close()
   })
 })
@@ -48,8 +47,8 @@
   const ENDPOINTS = ['e0', 'e1', 'e2']
   const OTHER_REQUESTS = 12
 
-  // Guards against a second placement, beside the one that waits, when the endpoint falls silent after the failure.
-  it('is placed once more, though its endpoint falls silent before it is', async () => {
+  // Guards against a second placement while the first one waits, when the endpoint stops responding after the failure.
+  it('is placed only once more, although its endpoint stops responding before that', async () => {
     let sends = 0
     const behave: Behaviour = (request, response, body) => {
       if (request.url === '/unsafe/hangs') return
@@ -62,7 +61,7 @@
       withRecentLoad: place => { if (sends === 0) place(); else setTimeout(place, PLACING_MS) }
     })
     await host.start()
-    // Each endpoint has other work that it never answers.
+    // Each endpoint has other requests, to which it never responds.
     for (let asked = 0; asked < OTHER_REQUESTS; asked += 1) void host.sendRequest('/unsafe/hangs')
     await sleep(50)
     expect(await host.sendRequest('/safe/resets')).toMatchObject({ status: 200, isWhole: true })
@@ -71,7 +70,7 @@
   })
 })
 
-describe('a stream whose endpoint has fallen silent', () => {
+describe('a stream whose endpoint stops responding', () => {
   let host: RoutedHost
   let endpoints: FakeEndpoint[]
 
@@ -81,31 +80,31 @@
     await host.start()
   }
 
-  function runs (): number {
+  function countReceived (): number {
     return endpoints.reduce((sum, { receivedRequests }) => sum + receivedRequests.length, 0)
   }
 
   afterEach(async () => { await host.close() })
 
-  it('waits for it if the budget for repeats is used up', async () => {
+  it('waits for it if the retry budget is used up', async () => {
     await serve(3, { ratio: 0, slack: 0 })
-    // Each host starts with one repeat.
+    // Each host starts with a budget of one retry.
     await host.sendRequest('/resumable/1')
-    const before = runs()
+    const before = countReceived()
     expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-    expect(runs() - before).toBe(1)
+    expect(countReceived() - before).toBe(1)
   })
 
   it('waits for it if there is no other endpoint', async () => {
     await serve(1, { ratio: 0.2, slack: 20 })
     expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
-    expect(runs()).toBe(1)
+    expect(countReceived()).toBe(1)
   })
 
-  it('goes on elsewhere if it may', async () => {
+  it('continues at another endpoint if that is allowed', async () => {
     await serve(2, { ratio: 0.2, slack: 20 })
     const { isWhole } = await host.sendRequest('/resumable/1')
     expect(isWhole).toBe(true)
-    expect(runs()).toBe(2)
+    expect(countReceived()).toBe(2)
   })
 })
