--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -51,7 +51,7 @@
 
   /** @param attempt - attempt that was cancelled because its endpoint stopped responding */
   observeSilence (attempt: RoutedAttempt): void {
-    this.fleet.observe(attempt.choice.endpoint, 'unanswered')
+    this.fleet.recordOutcome(attempt.choice.endpoint, 'unanswered')
     this.#log(attempt, 'broken-stream', 'the endpoint stopped responding')
   }
 
--- a/apps/entry/src/lib/routed/EndpointLimits.test.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.test.ts
@@ -58,7 +58,7 @@
       limits.observeAnswer(endpoint, head(0.5), 0)
       for (const now of [0, 100]) endpoint.begin(0, 0, now)
       expect(limits.hold(endpoint, 200)).toMatchObject({ reason: 'rate-limited' })
-      const until = limits.firstRelease([plain, endpoint], 200)
+      const until = limits.firstReleaseAt([plain, endpoint], 200)
       expect(until).toBeGreaterThan(4000)
       expect(limits.hold(endpoint, until)).toBeUndefined()
       limits.observeAnswer(endpoint, head(undefined), 300)
--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -97,7 +97,7 @@
    * @param now - monotonic milliseconds
    * @returns when the first of them that is held back may get a request, in monotonic milliseconds; infinity if none is held back
    */
-  firstRelease (endpoints: readonly EndpointState[], now: number): number {
+  firstReleaseAt (endpoints: readonly EndpointState[], now: number): number {
     return Math.min(...endpoints.map(endpoint => this.hold(endpoint, now)?.until ?? Number.POSITIVE_INFINITY))
   }
 
--- a/apps/entry/src/lib/routed/PromptContext.test.ts
+++ b/apps/entry/src/lib/routed/PromptContext.test.ts
@@ -21,7 +21,7 @@
   const request = {
     id: 'r', arrivedAt: 0, route, service, customer: undefined, fields: { prompt: { model: 'm', promptTokens: 9000, outputTokens: 20, parts } }
   } as unknown as RoutedRequest
-  const prompt = PromptContext.of(request, { fleet, desiredVersion: () => 1, leftMsOn: () => Number.POSITIVE_INFINITY, storesUsable: () => true, storeClockMs: now => now })
+  const prompt = PromptContext.of(request, { fleet, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, areStoresUsable: () => true, storeClockMs: now => now })
   if (prompt === undefined) throw new Error('no prompt')
   return prompt
 }
--- a/apps/entry/src/lib/routed/PromptContext.ts
+++ b/apps/entry/src/lib/routed/PromptContext.ts
@@ -44,14 +44,14 @@
    *
    * @param requiredVersion - version of the weights under which the response has begun; undefined before that
    */
-  ask (requiredVersion: number | undefined): { readonly prompt: PromptAsk } {
+  requirements (requiredVersion: number | undefined): { readonly prompt: PromptAsk } {
     const { route, service, arrivedAt } = this.request
     return {
       prompt: {
         description: this.description,
         desiredVersion: this.ports.desiredVersion(this.description.model),
         leftToObjectiveMs: arrivedAt + route.targetLatencyMs - performance.now(),
-        leftMsOn: version => this.ports.leftMsOn(this.description.model, version),
+        leftMsOn: version => this.ports.remainingMsForVersion(this.description.model, version),
         requiredVersion,
         engine: this.ports.fleet.engineModel(service.name),
         memoryTokens: this.engine.cacheTokens,
@@ -134,7 +134,7 @@
   #plan (version: number): StorePlan {
     const present = this.#plans.get(version)
     if (present !== undefined) return present
-    const plan = this.ports.storesUsable(performance.now())
+    const plan = this.ports.areStoresUsable(performance.now())
       ? this.ports.fleet.storedParts.plan(this.scope(version), this.#shared, dataCentre => this.request.regionBound?.allows(dataCentre) !== false)
       : NO_STORES
     this.#plans.set(version, plan)
--- a/apps/entry/src/lib/routed/PromptPorts.ts
+++ b/apps/entry/src/lib/routed/PromptPorts.ts
@@ -7,9 +7,9 @@
   /** Version of the weights that a model's engines should run. */
   desiredVersion (model: string): number
   /** Milliseconds during which requests may still begin on weights of that version. */
-  leftMsOn (model: string, version: number): number
+  remainingMsForVersion (model: string, version: number): number
   /** Whether this host's knowledge of the stores is recent enough to use. */
-  storesUsable (now: number): boolean
+  areStoresUsable (now: number): boolean
   /** Time on the stores' clock, in milliseconds; undefined until it is known. */
   storeClockMs (now: number): number | undefined
 }
--- a/apps/entry/src/lib/routed/RequestPlacement.ts
+++ b/apps/entry/src/lib/routed/RequestPlacement.ts
@@ -47,7 +47,7 @@
   /** @returns the endpoint to send the request to, or why there is none */
   choose (): EndpointChoice | NoEndpointReason {
     const { service, regionBound } = this.request
-    return this.ports.fleet.choose(service.name, { excluded: this.tried.ids, regionBound, ...this.prompt?.ask(this.#requiredVersion) })
+    return this.ports.fleet.choose(service.name, { excluded: this.tried.ids, regionBound, ...this.prompt?.requirements(this.#requiredVersion) })
   }
 
   /** @param choice - endpoint that was chosen */
@@ -60,6 +60,6 @@
    * @returns earliest time at which an endpoint may be available, in monotonic milliseconds; infinity if it is not known
    */
   releasedAt (reason: NoEndpointReason): number {
-    return isHeldBack(reason) ? this.ports.fleet.firstRelease(this.request.service.name, this.tried.ids) : Number.POSITIVE_INFINITY
+    return isHeldBack(reason) ? this.ports.fleet.firstReleaseAt(this.request.service.name, this.tried.ids) : Number.POSITIVE_INFINITY
   }
 }
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -223,8 +223,8 @@
    * @param excluded - ids of endpoints that the request can't use
    * @returns when the first endpoint that is held back may get a request from this host, in monotonic milliseconds; infinity if none is held back
    */
-  firstRelease (service: string, excluded: ReadonlySet<string>): number {
-    return this.limits.firstRelease(this.#pool.ofService(service).filter(endpoint => !endpoint.isLeaving && !excluded.has(endpoint.id)), performance.now())
+  firstReleaseAt (service: string, excluded: ReadonlySet<string>): number {
+    return this.limits.firstReleaseAt(this.#pool.ofService(service).filter(endpoint => !endpoint.isLeaving && !excluded.has(endpoint.id)), performance.now())
   }
 
   /**
@@ -291,7 +291,7 @@
    * @param endpoint - endpoint that the request was sent to
    * @param outcome - how the request ended there
    */
-  observe (endpoint: EndpointState, outcome: 'success' | 'failure' | 'unreachable' | 'unanswered'): void {
+  recordOutcome (endpoint: EndpointState, outcome: 'success' | 'failure' | 'unreachable' | 'unanswered'): void {
     const peers = this.#pool.ofService(endpoint.listed.service).filter(peer => peer !== endpoint)
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -75,7 +75,7 @@
     })
     this.#retries = new RetryReservation(request, ports, this.#attempts, failure => { this.#logDecision('retry-budget-used-up', { failure }) })
     this.#failover = new SilenceFailover(ports.silenceChecks, {
-      isWanted: () => this.#wantsStandby(),
+      shouldOpenStandby: () => this.#shouldOpenStandby(),
       isSilent: () => this.#isEndpointSilent(),
       withRecentLoad: place => { ports.withRecentLoad(place) },
       open: () => this.#openStandby(),
@@ -176,13 +176,13 @@
 
   /** Waits if an endpoint that is held back is released in time. Otherwise refuses at once, with the time to retry, or aborts a stream that has begun. */
   #endWithoutEndpoint (reason: NoEndpointReason): void {
-    const release = this.#placement.releasedAt(reason)
+    const releaseAt = this.#placement.releasedAt(reason)
     if (this.#canResumeStream) {
-      if (!this.#waitToResume(Number.isFinite(release) ? release : 0)) this.#abort('no-endpoint', reason)
+      if (!this.#waitToResume(Number.isFinite(releaseAt) ? releaseAt : 0)) this.#abort('no-endpoint', reason)
       return
     }
-    if (this.#waits.waitForRelease(release, this.#deadline)) return
-    this.#refuse('no-endpoint', 503, `no endpoint of ${this.request.service.name}: ${reason}`, Number.isFinite(release) ? release - performance.now() : 0)
+    if (this.#waits.waitForRelease(releaseAt, this.#deadline)) return
+    this.#refuse('no-endpoint', 503, `no endpoint of ${this.request.service.name}: ${reason}`, Number.isFinite(releaseAt) ? releaseAt - performance.now() : 0)
   }
 
   /** Places the request with a new plan for the stores, because they may hold more parts by now. */
@@ -221,7 +221,7 @@
     const { fault } = this.#relay
     if (fault !== undefined) return this.#onFailure(attempt, fault.failure, fault.detail, head)
     const isFailure = head.status >= 500
-    this.ports.fleet.observe(endpoint, isFailure ? 'failure' : 'success')
+    this.ports.fleet.recordOutcome(endpoint, isFailure ? 'failure' : 'success')
     if (isFailure && !this.exchange.hasHead && (this.#switchToStandby() || this.#tryRetry('failed'))) return
     if (NOT_EXECUTED_STATUSES.has(head.status)) {
       // The endpoint did not state that the request was not executed, but the caller would conclude that from the status.
@@ -295,7 +295,7 @@
 
   // --- Failover ---
 
-  #wantsStandby (): boolean {
+  #shouldOpenStandby (): boolean {
     return !this.#isDone && this.#attempts.runs < this.request.route.attempts && this.#isEndpointSilent()
   }
 
@@ -361,7 +361,7 @@
     if (attempt === undefined) return
     const { endpoint } = attempt.choice
     if (outcome !== undefined) this.#failures.noteLost(attempt)
-    if (outcome !== undefined && !attempt.hasHead) this.ports.fleet.observe(endpoint, outcome)
+    if (outcome !== undefined && !attempt.hasHead) this.ports.fleet.recordOutcome(endpoint, outcome)
     attempt.cancel()
   }
 
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -202,7 +202,7 @@
     })
     const fields = this.ports.codec.readRequestHeaders(message.rawHeaders)
     const route = (): void => { this.#route(message, exchange, fields, arrivedAt) }
-    if (this.#isReadyToServe() || this.ports.stop.isStopping || !this.#startup.hold(exchange, fields.deadlineMs, arrivedAt, route)) {
+    if (this.#isReadyToServe() || this.ports.stop.isStopping || !this.#startup.enqueue(exchange, fields.deadlineMs, arrivedAt, route)) {
       route()
       return
     }
@@ -327,8 +327,8 @@
       firstEvent: this.#observeFirstEvent,
       silenceChecks: this.#silenceChecks,
       desiredVersion: model => this.ports.desiredVersion(model),
-      leftMsOn: (model, version) => this.ports.remainingMsForVersion(model, version),
-      storesUsable: now => this.ports.areStoresUsable(now),
+      remainingMsForVersion: (model, version) => this.ports.remainingMsForVersion(model, version),
+      areStoresUsable: now => this.ports.areStoresUsable(now),
       storeClockMs: now => this.ports.storeClockMs(now),
       withRecentLoad: place => { this.ports.withRecentLoad(place) }
     }
--- a/apps/entry/src/lib/routed/SilenceFailover.ts
+++ b/apps/entry/src/lib/routed/SilenceFailover.ts
@@ -20,7 +20,7 @@
 /** Callbacks to the task of the request. */
 export interface SilenceFailoverPorts {
   /** Whether the request may be sent to another endpoint, and its current one has stopped responding. */
-  isWanted (): boolean
+  shouldOpenStandby (): boolean
   /** Whether the current endpoint has stopped responding. */
   isSilent (): boolean
   /** Calls `place` once the load of the other hosts is known recently enough. */
@@ -38,7 +38,7 @@
   #overlapTimer: NodeJS.Timeout | undefined
   #isWatching = false
   readonly #check = (): void => {
-    if (this.#isWanted()) this.ports.withRecentLoad(() => { if (this.#isWanted()) this.#open() })
+    if (this.#shouldOpenStandby()) this.ports.withRecentLoad(() => { if (this.#shouldOpenStandby()) this.#openStandby() })
   }
 
   /**
@@ -93,11 +93,11 @@
     return replaces
   }
 
-  #isWanted (): boolean {
-    return this.#isWatching && this.#standby === undefined && this.ports.isWanted()
+  #shouldOpenStandby (): boolean {
+    return this.#isWatching && this.#standby === undefined && this.ports.shouldOpenStandby()
   }
 
-  #open (): void {
+  #openStandby (): void {
     const standby = this.ports.open()
     if (standby === undefined) return
     this.#standby = standby
--- a/apps/entry/src/lib/routed/StartupQueue.test.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.test.ts
@@ -15,7 +15,7 @@
   function queueWith (count: number): { readonly queue: StartupQueue, readonly released: number[] } {
     const queue = new StartupQueue(0)
     const released: number[] = []
-    for (let number = 1; number <= count; number += 1) queue.hold(exchange().caller, undefined, 100, () => { released.push(number) })
+    for (let number = 1; number <= count; number += 1) queue.enqueue(exchange().caller, undefined, 100, () => { released.push(number) })
     return { queue, released }
   }
 
@@ -43,7 +43,7 @@
     it('accepts and releases requests that arrive during a release', () => {
       const { queue, released } = queueWith(20)
       queue.release()
-      queue.hold(exchange().caller, undefined, 120, () => { released.push(21) })
+      queue.enqueue(exchange().caller, undefined, 120, () => { released.push(21) })
       vi.advanceTimersByTime(50)
       expect(released).toEqual([20, 19, 21, 18])
     })
@@ -61,7 +61,7 @@
   it('holds no request longer than half of its deadline', () => {
     const queue = new StartupQueue(0)
     let released = 0
-    queue.hold(exchange().caller, 1000, 100, () => { released += 1 })
+    queue.enqueue(exchange().caller, 1000, 100, () => { released += 1 })
     vi.advanceTimersByTime(499)
     expect(released).toBe(0)
     vi.advanceTimersByTime(1)
@@ -71,7 +71,7 @@
   it('removes a request whose caller has disconnected', () => {
     const queue = new StartupQueue(0)
     const { caller, leave } = exchange()
-    queue.hold(caller, undefined, 100, () => { throw new Error('released after its caller disconnected') })
+    queue.enqueue(caller, undefined, 100, () => { throw new Error('released after its caller disconnected') })
     leave()
     queue.release()
     expect(queue.length).toBe(0)
@@ -79,8 +79,8 @@
 
   it('holds no requests at a host that started long ago, and a limited number at one that has just started', () => {
     const queue = new StartupQueue(0)
-    expect(queue.hold(exchange().caller, undefined, 10_000, () => {})).toBe(false)
-    for (let request = 0; request < 1000; request += 1) expect(queue.hold(exchange().caller, undefined, 100, () => {})).toBe(true)
-    expect(queue.hold(exchange().caller, undefined, 100, () => {})).toBe(false)
+    expect(queue.enqueue(exchange().caller, undefined, 10_000, () => {})).toBe(false)
+    for (let request = 0; request < 1000; request += 1) expect(queue.enqueue(exchange().caller, undefined, 100, () => {})).toBe(true)
+    expect(queue.enqueue(exchange().caller, undefined, 100, () => {})).toBe(false)
   })
 })
--- a/apps/entry/src/lib/routed/StartupQueue.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.ts
@@ -57,7 +57,7 @@
    * @param resume - called once when the request is released or has waited long enough, unless the caller disconnects
    * @returns whether the request was queued
    */
-  hold (exchange: CallerExchange, deadlineMs: number | undefined, now: number, resume: () => void): boolean {
+  enqueue (exchange: CallerExchange, deadlineMs: number | undefined, now: number, resume: () => void): boolean {
     if (now - this.startedAt > MAX_HOST_AGE_MS || this.#waiting.size >= MAX_WAITING) return false
     const waitMs = Math.min(MAX_WAIT_MS, (deadlineMs ?? MAX_WAIT_MS) * MAX_WAIT_SHARE)
     const waiting: WaitingRequest = { resume, timer: setTimeout(() => { this.#resume(waiting) }, waitMs) }
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -171,7 +171,7 @@
 
   #end (pending: PendingResponse): void {
     pending.endpoint.end(0)
-    pending.host.fleet.observe(pending.endpoint, 'success')
+    pending.host.fleet.recordOutcome(pending.endpoint, 'success')
     pending.hasEnded = true
   }
 
--- a/apps/entry/src/lib/routed/learnFromFailure.ts
+++ b/apps/entry/src/lib/routed/learnFromFailure.ts
@@ -14,10 +14,10 @@
   const now = performance.now()
   switch (failure) {
     case 'not-connected':
-      fleet.observe(endpoint, 'unreachable')
+      fleet.recordOutcome(endpoint, 'unreachable')
       break
     case 'lost':
-      fleet.observe(endpoint, 'failure')
+      fleet.recordOutcome(endpoint, 'failure')
       break
     case 'rejected':
       endpoint.observeRejection(now)
