--- a/apps/entry/src/lib/routed/EndpointConnection.test.ts
+++ b/apps/entry/src/lib/routed/EndpointConnection.test.ts
@@ -15,10 +15,10 @@
 
   afterEach(() => { server?.close() })
 
-  async function answerWith (answer: (socket: Socket) => void): Promise<Outcome> {
+  async function respondWith (respond: (socket: Socket) => void): Promise<Outcome> {
     const listening = createServer(socket => {
       socket.on('error', () => {})
-      socket.once('data', () => { answer(socket) })
+      socket.once('data', () => { respond(socket) })
     })
     server = listening
     await new Promise<void>(resolve => { listening.listen(0, '127.0.0.1', resolve) })
@@ -28,7 +28,7 @@
     const kind = await new Promise<Outcome['kind']>(resolve => {
       connection.send({ method: 'GET', target: '/a', headers: ['host', 'h'], body: undefined }, {
         sending: () => {},
-        head: answered => { status = answered },
+        head: receivedStatus => { status = receivedStatus },
         data: chunk => {
           body.push(chunk)
           return true
@@ -43,12 +43,12 @@
 
   describe('a response without a length', () => {
     it('is complete if the connection ends in order', async () => {
-      const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\n\r\nwhole') })
+      const outcome = await respondWith(socket => { socket.end('HTTP/1.1 200 OK\r\n\r\nwhole') })
       expect(outcome).toEqual({ kind: 'complete', status: 200, body: 'whole' })
     })
 
     it('is not complete if the connection is reset after its bytes', async () => {
-      const outcome = await answerWith(socket => {
+      const outcome = await respondWith(socket => {
         socket.write('HTTP/1.1 200 OK\r\n\r\nhalf')
         void sleep(30).then(() => { socket.resetAndDestroy() })
       })
@@ -56,7 +56,7 @@
     })
 
     it('is not complete if the reset arrives together with its bytes', async () => {
-      const outcome = await answerWith(socket => {
+      const outcome = await respondWith(socket => {
         socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => { socket.resetAndDestroy() })
       })
       expect(outcome.kind).toBe('failed')
@@ -65,17 +65,17 @@
 
   describe('a response with a length', () => {
     it('is not complete if the connection ends inside it', async () => {
-      const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf') })
+      const outcome = await respondWith(socket => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf') })
       expect(outcome.kind).toBe('failed')
     })
 
     it('is not complete if the connection ends inside it, also with Connection: close', async () => {
-      const outcome = await answerWith(socket => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nhalf') })
+      const outcome = await respondWith(socket => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 9\r\n\r\nhalf') })
       expect(outcome.kind).toBe('failed')
     })
 
     it('is not complete if it is chunked and its last chunk is missing', async () => {
-      const outcome = await answerWith(socket => {
+      const outcome = await respondWith(socket => {
         socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n')
       })
       expect(outcome.kind).toBe('failed')
--- a/apps/entry/src/lib/routed/RoutedServer.test.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.test.ts
@@ -80,7 +80,7 @@
   }
 
   describe('forwarding', () => {
-    it('changes neither method, target and body nor the response', async () => {
+    it('preserves method, target, body and response', async () => {
       const [endpoint] = await serveBy(respondOk)
       const answer = await sendRequest('/unsafe/a%20b?x=1&y=', { method: 'POST', body: 'bytes' })
       expect(answer).toMatchObject({ status: 200, body: 'POST /unsafe/a%20b?x=1&y= bytes', isWhole: true })
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -45,7 +45,7 @@
 interface Host {
   readonly name: string
   readonly fleet: RoutedFleet
-  exchangedAt: number
+  loadExchangedAt: number
   sequence: number
 }
 
@@ -91,7 +91,7 @@
       const name = `10.0.${number >> 8}.${number & 255}:80`
       const fleet = new RoutedFleet('north', () => hosts, new Telemetry('test'), undefined, name)
       fleet.update(listed)
-      return { name, fleet, exchangedAt: Number.NEGATIVE_INFINITY, sequence: 0 }
+      return { name, fleet, loadExchangedAt: Number.NEGATIVE_INFINITY, sequence: 0 }
     })
   }
 
@@ -113,7 +113,7 @@
   run (milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += STEP_MS) {
       vi.advanceTimersByTime(STEP_MS)
-      this.#answer(performance.now())
+      this.#respond(performance.now())
       for (const host of this.#hosts) {
         if (Math.random() < this.#requestsPerSecond * STEP_MS / 1000) this.#place(host, performance.now())
       }
@@ -130,7 +130,7 @@
   }
 
   #place (host: Host, now: number): void {
-    this.#exchange(host, now)
+    this.#exchangeLoad(host, now)
     const choice = host.fleet.choose(SERVICE, { excluded: new Set() })
     if (typeof choice === 'string') {
       this.unplaced += 1
@@ -148,15 +148,15 @@
     return present
   }
 
-  #answer (now: number): void {
+  #respond (now: number): void {
     for (const pending of this.#pending) {
-      if (!pending.hasHead && now >= pending.sentAt + RESPONSE_HEAD_MS) this.#answerHead(pending, now)
+      if (!pending.hasHead && now >= pending.sentAt + RESPONSE_HEAD_MS) this.#respondHead(pending, now)
       if (!pending.hasEnded && now >= pending.sentAt + RESPONSE_END_MS) this.#end(pending)
     }
     this.#pending = this.#pending.filter(({ hasEnded }) => !hasEnded)
   }
 
-  #answerHead (pending: PendingResponse, now: number): void {
+  #respondHead (pending: PendingResponse, now: number): void {
     const { host, endpoint } = pending
     const head = headOf(this.#responseBehaviours.get(endpoint.id) ?? {})
     pending.hasHead = true
@@ -175,9 +175,9 @@
     pending.hasEnded = true
   }
 
-  #exchange (host: Host, now: number): void {
-    if (now - host.exchangedAt < LOAD_EXCHANGE_INTERVAL_MS) return
-    host.exchangedAt = now
+  #exchangeLoad (host: Host, now: number): void {
+    if (now - host.loadExchangedAt < LOAD_EXCHANGE_INTERVAL_MS) return
+    host.loadExchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
     host.fleet.otherHostsLoad.sent(host.sequence, own)
