--- a/apps/entry/src/lib/quarantine/CallQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.ts
@@ -53,4 +53,4 @@
 }
 
 /** For callers of the tasks that have no quarantine. */
-export const UNGUARDED: CallGuard = { refusal: () => undefined, noteLost: () => {}, noteWhole: () => {} }
+export const NO_QUARANTINE: CallGuard = { refusal: () => undefined, noteLost: () => {}, noteWhole: () => {} }
--- a/apps/entry/src/lib/quarantine/quarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/quarantine.test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
-import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import type { LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { ReportCrashesRequest } from '@eelgrassmux/rpc/methods/quarantineMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
@@ -16,7 +16,7 @@
 
 /** A host whose reports a test reads and whose entries it sets. */
 class QuarantinedHost {
-  readonly lost: LostRun[] = []
+  readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly table = new QuarantineTable()
   readonly endpoints: FakeEndpoint[]
@@ -24,7 +24,7 @@
 
   constructor (...behaviours: Behaviour[]) {
     this.endpoints = behaviours.map((behaviour, index) => new FakeEndpoint(`e${index}`, behaviour))
-    const reporter = { noteLost: (run: LostRun) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
+    const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     this.host = new RoutedHost(this.endpoints, { quarantine: new RequestQuarantine(this.table, reporter, new Telemetry('test')) })
   }
 
@@ -152,7 +152,7 @@
 })
 
 describe('CrashReporter', () => {
-  const run: LostRun = { fingerprint: 'a'.repeat(32), service: 's', endpoint: 'e1', ranMs: 5 }
+  const run: LostRequest = { fingerprint: 'a'.repeat(32), service: 's', endpoint: 'e1', ranMs: 5 }
   let reporter: CrashReporter | undefined
 
   afterEach(() => { reporter?.stop() })
--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -1,5 +1,5 @@
 /** Updates the state of endpoints and of the request after failed attempts. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { QuarantineGuard } from '../quarantine/QuarantineGuard.js'
 import type { ResponseTimes } from './ResponseTimes.js'
--- a/apps/entry/src/lib/routed/AttemptRecord.ts
+++ b/apps/entry/src/lib/routed/AttemptRecord.ts
@@ -1,5 +1,5 @@
 /** Counts how often a request was sent and may have been executed, and decides whether it may be retried. */
-import { nextStep, type AttemptFailure, type NextStep } from '@eelgrassmux/routing/attempts/nextStep'
+import { decideRetry, type AttemptFailure, type RetryDecision } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { Route } from '@eelgrassmux/schema/site/siteSchema'
 import { DispatchRecord } from '@eelgrassmux/schema/Refusal'
 
@@ -41,7 +41,7 @@
    * @param remainingMs - milliseconds until the deadline
    * @param hasBegun - whether the caller has received part of the response
    */
-  nextStep ({ kind, isResumable, attempts }: Route, failure: AttemptFailure, remainingMs: number, hasBegun: boolean): NextStep {
-    return nextStep({ kind, isResumable, failure, runs: this.#runs, sends: this.#sends, maximumRuns: attempts, remainingMs, hasBegun })
+  nextStep ({ kind, isResumable, attempts }: Route, failure: AttemptFailure, remainingMs: number, hasBegun: boolean): RetryDecision {
+    return decideRetry({ kind, isResumable, failure, runs: this.#runs, sends: this.#sends, maxRuns: attempts, remainingMs, hasPartialAnswer: hasBegun })
   }
 }
--- a/apps/entry/src/lib/routed/AttemptSender.ts
+++ b/apps/entry/src/lib/routed/AttemptSender.ts
@@ -1,5 +1,5 @@
 /** Sends a routed request to the endpoints chosen for it. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { CallerExchange } from './CallerExchange.js'
 import { endpointFields, type SendState } from './endpointFields.js'
 import type { PromptContext } from './PromptContext.js'
--- a/apps/entry/src/lib/routed/PlacementWaits.ts
+++ b/apps/entry/src/lib/routed/PlacementWaits.ts
@@ -1,5 +1,5 @@
 /** Delayed placement of a request that no endpoint can take at the moment, for lack of memory or because all are held back. */
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { RoutedRequest } from './RoutedRequest.js'
 
--- a/apps/entry/src/lib/routed/PromptContext.ts
+++ b/apps/entry/src/lib/routed/PromptContext.ts
@@ -1,5 +1,5 @@
 /** The prompt of one routed request: where its parts are cached, and which transfers engines and stores should make. */
-import type { EndpointChoice, PromptAsk } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, PromptQuery } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { cacheScope } from '@eelgrassmux/routing/prompts/cacheScope'
 import type { PromptDescription, PromptPart } from '@eelgrassmux/routing/prompts/promptDescription'
 import type { StorePlan } from '@eelgrassmux/routing/stores/StoredPartsIndex'
@@ -44,14 +44,14 @@
    *
    * @param requiredVersion - version of the weights under which the response has begun; undefined before that
    */
-  requirements (requiredVersion: number | undefined): { readonly prompt: PromptAsk } {
+  requirements (requiredVersion: number | undefined): { readonly prompt: PromptQuery } {
     const { route, service, arrivedAt } = this.request
     return {
       prompt: {
         description: this.description,
         desiredVersion: this.ports.desiredVersion(this.description.model),
-        leftToObjectiveMs: arrivedAt + route.targetLatencyMs - performance.now(),
-        leftMsOn: version => this.ports.remainingMsForVersion(this.description.model, version),
+        objectiveRemainingMs: arrivedAt + route.targetLatencyMs - performance.now(),
+        remainingMsOn: version => this.ports.remainingMsForVersion(this.description.model, version),
         requiredVersion,
         engine: this.ports.fleet.engineModel(service.name),
         memoryTokens: this.engine.cacheTokens,
@@ -88,7 +88,7 @@
     if (clockMs === undefined) return { fetches: [], saves, fetchUntilMs: undefined }
     // The time limit is the request's own deadline, also after it has waited: without the fetch, the
     // engine would read the whole prompt, its queue would grow, and all other fetches would be late as well.
-    const fetches = this.#eachPart(index => index < choice.reading.partsFromStores ? plan.fetches[index]?.address : undefined)
+    const fetches = this.#eachPart(index => index < choice.prefill.partsFromStores ? plan.fetches[index]?.address : undefined)
     return { fetches, saves, fetchUntilMs: clockMs + deadline - now }
   }
 
--- a/apps/entry/src/lib/routed/RequestPlacement.ts
+++ b/apps/entry/src/lib/routed/RequestPlacement.ts
@@ -1,5 +1,5 @@
 /** Chooses the next endpoint for a request, and decides whether to send the request there. */
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { admitRouted, type RoutedAdmission } from './admitRouted.js'
 import type { ResponseTimes } from './ResponseTimes.js'
 import { isHeldBack } from './PlacementWaits.js'
--- a/apps/entry/src/lib/routed/ResponseRelay.ts
+++ b/apps/entry/src/lib/routed/ResponseRelay.ts
@@ -1,5 +1,5 @@
 /** Forwards an endpoint's response to the caller: streams as the events arrive, other responses once they are complete. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import { EventCursor } from '@eelgrassmux/runs/EventCursor'
 import type { CallerExchange } from './CallerExchange.js'
 import type { ResponseHead } from './RoutedAttempt.js'
@@ -50,7 +50,7 @@
   get head (): ResponseHead | undefined { return this.#head }
   /** Why the current attempt's response, which has ended, does not complete the response to the caller. */
   get fault (): ResponseFault | undefined {
-    if (this.#cursor?.isInsideEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
+    if (this.#cursor?.hasPartialEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
     if (this.canResume && this.exchange.hasHead && this.#head?.status !== OK) return { failure: 'failed', detail: `status ${this.#head?.status ?? 0} in place of the rest of the stream` }
     return undefined
   }
@@ -91,7 +91,7 @@
   dropIncomplete (): void {
     this.#buffered = undefined
     this.#bufferedBytes = 0
-    this.#cursor?.dropIncomplete()
+    this.#cursor?.discardPartialEvent()
   }
 
   /** Ends the response as complete. */
--- a/apps/entry/src/lib/routed/RetryReservation.ts
+++ b/apps/entry/src/lib/routed/RetryReservation.ts
@@ -1,5 +1,5 @@
 /** Decides whether a request may be retried, within the limits of its route and the retry budget that all hosts share. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { AttemptRecord } from './AttemptRecord.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -1,6 +1,6 @@
 /** One attempt to send a routed request to an endpoint, from the connection to the end of the response. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { CancelRequest, EndpointConnection, EndpointRequest } from './EndpointConnection.js'
 import type { EndpointConnections } from './EndpointConnections.js'
 import type { ResponseFields, RequestCodec } from './RequestCodec.js'
@@ -62,8 +62,8 @@
 
   /** @param request - request to send */
   send (request: EndpointRequest): void {
-    this.choice.endpoint.begin(this.choice.reading.tokensToRead, this.choice.tokensHeld, performance.now())
-    this.fleet.storeLinks.begin(this.choice.reading.transfers)
+    this.choice.endpoint.beginRequest(this.choice.prefill.tokensToRead, this.choice.tokensHeld, performance.now())
+    this.fleet.storeLinks.beginTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('sent')
     this.#cancel = this.connection.send(request, {
       sending: () => {
@@ -89,7 +89,7 @@
   #end (): void {
     this.#hasEnded = true
     this.#endPromptReading()
-    this.choice.endpoint.end(this.choice.tokensHeld)
+    this.choice.endpoint.endRequest(this.choice.tokensHeld)
     this.fleet.noteWork('eased')
   }
 
@@ -97,8 +97,8 @@
   #endPromptReading (): void {
     if (!this.#isReadingPrompt) return
     this.#isReadingPrompt = false
-    this.choice.endpoint.firstEvent(this.choice.reading.tokensToRead)
-    this.fleet.storeLinks.end(this.choice.reading.transfers)
+    this.choice.endpoint.recordFirstEvent(this.choice.prefill.tokensToRead)
+    this.fleet.storeLinks.endTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('eased')
   }
 
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -1,18 +1,18 @@
 /** The endpoints of routed requests, with the state and the connections that this host keeps for each. */
 import { chooseEndpoint } from '@eelgrassmux/routing/endpoints/chooseEndpoint'
-import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
-import { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
-import type { EndpointAsk, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
+import { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
+import type { EndpointQuery, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { EngineModel } from '@eelgrassmux/routing/endpoints/EngineModel'
 import { isUnresponsive } from '@eelgrassmux/routing/endpoints/sharedObservations'
 import { EndpointPool } from '@eelgrassmux/routing/endpoints/EndpointPool'
 import type { Slowness } from '@eelgrassmux/routing/endpoints/Slowness'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { EjectionWatch, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionWatch'
-import type { HostWork, OthersWork } from '@eelgrassmux/routing/load/OthersWork'
+import { EjectionTracker, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionTracker'
+import type { HostLoad, PeerLoad } from '@eelgrassmux/routing/load/PeerLoad'
 import { composeMechanisms, type RoutingMechanisms } from '@eelgrassmux/routing/mechanisms/mechanisms'
-import { PromptMemory } from '@eelgrassmux/routing/prompts/PromptMemory'
-import type { LinkChange } from '@eelgrassmux/routing/stores/LinkSpeeds'
+import { PromptResidencyTracker } from '@eelgrassmux/routing/prompts/PromptResidencyTracker'
+import type { LinkSpeedChange } from '@eelgrassmux/routing/stores/LinkSpeeds'
 import type { StoreLinks } from '@eelgrassmux/routing/stores/StoreLinks'
 import { StoredPartsIndex } from '@eelgrassmux/routing/stores/StoredPartsIndex'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -49,16 +49,16 @@
 /** Follows the endpoint list, chooses endpoints for requests, and keeps connections to them. */
 export class RoutedFleet {
   readonly #pool: EndpointPool
-  readonly promptMemory = new PromptMemory()
+  readonly promptMemory = new PromptResidencyTracker()
   readonly limits: EndpointLimits
-  readonly otherHostsLoad: OthersWork
+  readonly otherHostsLoad: PeerLoad
   readonly storedParts = new StoredPartsIndex()
   readonly storeLinks: StoreLinks
   readonly #connections = new Map<string, EndpointConnections>()
   readonly #routeSlowness = new Map<string, Slowness>()
   readonly #engineModels = new Map<string, EngineModel>()
   readonly #openedConnections: LabelledCounter
-  readonly #ejections = new EjectionWatch()
+  readonly #ejections = new EjectionTracker()
   readonly #observeEstimateError: (milliseconds: number) => void
   #workListener: (change: WorkChange) => void = () => {}
   #ejectionsCheckedAt = Number.NEGATIVE_INFINITY
@@ -77,10 +77,10 @@
     readonly mechanisms: RoutingMechanisms = composeMechanisms(),
     host = ''
   ) {
-    this.#pool = new EndpointPool(mechanisms.slowness)
-    this.limits = new EndpointLimits(new ColdAllowance(host, liveHosts), new RateShare(host, liveHosts), () => this.#pool.all, telemetry)
-    this.otherHostsLoad = mechanisms.others
-    this.storeLinks = mechanisms.storeLinks(liveHosts)
+    this.#pool = new EndpointPool(mechanisms.createSlownessEstimator)
+    this.limits = new EndpointLimits(new ColdEndpointLimiter(host, liveHosts), new SharedRateLimiter(host, liveHosts), () => this.#pool.all, telemetry)
+    this.otherHostsLoad = mechanisms.peerLoad
+    this.storeLinks = mechanisms.createStoreLinks(liveHosts)
     this.#openedConnections = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
     this.#observeEstimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS_SECONDS)
     telemetry.gauge('endpoints_known', 'Endpoints that the platform lists', () => this.#pool.all.length)
@@ -99,7 +99,7 @@
   routeSlowness (route: string): Slowness {
     const present = this.#routeSlowness.get(route)
     if (present !== undefined) return present
-    const fresh = this.mechanisms.slowness()
+    const fresh = this.mechanisms.createSlownessEstimator()
     this.#routeSlowness.set(route, fresh)
     return fresh
   }
@@ -111,7 +111,7 @@
   engineModel (service: string): EngineModel {
     const present = this.#engineModels.get(service)
     if (present !== undefined) return present
-    const fresh = this.mechanisms.engineModel()
+    const fresh = this.mechanisms.createEngineModel()
     this.#engineModels.set(service, fresh)
     return fresh
   }
@@ -149,12 +149,12 @@
   /** Applies what other hosts have reported since the last call. Call this after each load exchange. */
   applyObservations (): void {
     const now = performance.now()
-    for (const change of this.storeLinks.observeOthers(this.otherHostsLoad.links, now)) this.#logLink(change)
+    for (const change of this.storeLinks.observePeers(this.otherHostsLoad.links, now)) this.#logLink(change)
     this.#applyStatedLimits(now)
     if (now - this.#ejectionsCheckedAt < EJECTION_CHECK_INTERVAL_MS) return
     this.#ejectionsCheckedAt = now
     for (const service of this.#pool.services) {
-      for (const change of this.#ejections.look(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
+      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
     }
   }
 
@@ -167,7 +167,7 @@
     }
   }
 
-  #logLink ({ link, isSlow, slowerBy, samples }: LinkChange): void {
+  #logLink ({ link, isSlow, slowerBy, samples }: LinkSpeedChange): void {
     this.telemetry.stateChanged(isSlow ? 'store-link-slow' : 'store-link-sound', {
       link, slowerBy: Number(slowerBy.toFixed(2)), samples: Number(samples.toFixed(1))
     })
@@ -203,7 +203,7 @@
    * @param ask - requirements of the request
    * @returns the chosen endpoint, or why there is none
    */
-  choose (service: string, ask: Pick<EndpointAsk, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
+  choose (service: string, ask: Pick<EndpointQuery, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
     const others = this.otherHostsLoad.isRecent(now) ? this.otherHostsLoad : undefined
     const hasConnection = (endpoint: EndpointState): boolean => this.#connections.get(endpoint.incarnation)?.hasIdle === true
@@ -213,7 +213,7 @@
       others,
       hasConnection,
       evacuated: this.limits.evacuated,
-      holdBack: endpoint => this.limits.hold(endpoint, now)?.reason,
+      holdBackReason: endpoint => this.limits.hold(endpoint, now)?.reason,
       homeEndpoint: this.mechanisms.homeEndpoint
     }, this.promptMemory, now, Math.random())
   }
@@ -233,7 +233,7 @@
    */
   isSilent (endpoint: EndpointState): boolean {
     const now = performance.now()
-    return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.at(endpoint.incarnation), now))
+    return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.forEndpoint(endpoint.incarnation), now))
   }
 
   /** @param listener - called on each change of this host's load on endpoints */
@@ -247,15 +247,15 @@
   }
 
   /** @returns this host's load on links, and on each endpoint with load or with observations to report */
-  ownWork (): HostWork {
+  ownWork (): HostLoad {
     const now = performance.now()
-    const work = this.#pool.all.filter(endpoint => endpoint.hasWork(now))
+    const work = this.#pool.all.filter(endpoint => endpoint.hasAnythingToReport(now))
       .map(endpoint => ({ endpoint: endpoint.incarnation, ...endpoint.work(now) }))
       .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= MIN_REPORTED_OUTCOMES)
-    return { work, links: this.storeLinks.ownWork(now), ...this.#ownLimits(now) }
+    return { work, links: this.storeLinks.localLoad(now), ...this.#ownLimits(now) }
   }
 
-  #ownLimits (now: number): Pick<HostWork, 'limits'> {
+  #ownLimits (now: number): Pick<HostLoad, 'limits'> {
     const limits = this.#pool.all.flatMap(endpoint => {
       const statement = endpoint.rateLimit.statement(now)
       return statement === undefined ? [] : [{ endpoint: endpoint.incarnation, ...statement }]
@@ -296,7 +296,7 @@
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
     // An idle connection to an endpoint that is no longer reachable would lose one more request.
-    if (endpoint.health.isOutOfReach(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
+    if (endpoint.health.isUnreachable(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
     this.telemetry.stateChanged('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
     })
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -3,8 +3,8 @@
  * at another endpoint where that is allowed. The bodies of request and response are
  * not inspected, except for the event ids of a resumable stream.
  */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { refuse, type RefusalReason } from '@eelgrassmux/schema/Refusal'
 import type { DecisionEvent, DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { stopDecisions } from '@eelgrassmux/telemetry/events/stopDecisions'
--- a/apps/entry/src/lib/routed/RoutedServer.test.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.test.ts
@@ -5,7 +5,7 @@
 import { EarlyListener } from '@eelgrassmux/daemon/EarlyListener'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { PlannedStop } from '../PlannedStop.js'
+import { GracefulShutdown } from '../GracefulShutdown.js'
 import { respondOk, FakeEndpoint, rejectNotExecuted, resetConnection, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
 import { emptyQuarantine } from './harness/emptyQuarantine.js'
 import { PLAIN_HEADERS, PlainCodec } from './harness/PlainCodec.js'
@@ -32,7 +32,7 @@
     const work = new WorkGate()
     fleet = new RoutedFleet('n', () => 1, telemetry)
     server = new RoutedServer({
-      fleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
+      fleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
     })
     port = await server.listen('127.0.0.1', 0)
     server.configure(TEST_SITE)
@@ -297,7 +297,7 @@
       const work = new WorkGate()
       freshFleet = new RoutedFleet('n', () => 1, telemetry)
       fresh = new RoutedServer({
-        fleet: freshFleet, codec: new PlainCodec(), work, stop: new PlannedStop(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
+        fleet: freshFleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: emptyQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
       }, performance.now())
     })
 
@@ -318,8 +318,8 @@
       fresh.releaseWaiting()
       await sleep(20)
       expect(countReceived(endpoints)).toBe(0)
-      freshFleet.otherHostsLoad.sent(1, { work: [], links: [] })
-      freshFleet.otherHostsLoad.answered({ sequence: 1, work: [], links: [] }, performance.now())
+      freshFleet.otherHostsLoad.recordOwnReport(1, { work: [], links: [] })
+      freshFleet.otherHostsLoad.recordTotals({ sequence: 1, work: [], links: [] }, performance.now())
       fresh.releaseWaiting()
       expect((await Promise.all(answers)).map(answer => answer.status)).toEqual([200, 200, 200])
       expect(endpoints[0]?.receivedRequests.map(received => received.body)).toEqual(expect.arrayContaining(['bytes', 'bytes']))
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -16,7 +16,7 @@
 import { DispatchRecord, refuse, type RefusalReason } from '@eelgrassmux/schema/Refusal'
 import type { Route, Site, SiteCustomer } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js'
 import { CallerExchange } from './CallerExchange.js'
 import type { CallerFields, RequestCodec } from './RequestCodec.js'
@@ -32,7 +32,7 @@
   readonly fleet: RoutedFleet
   readonly codec: RequestCodec
   readonly work: WorkGate
-  readonly stop: PlannedStop
+  readonly stop: GracefulShutdown
   readonly telemetry: Telemetry
   readonly quarantine: RequestQuarantine
   readonly budget: RetryBudgetTerms
@@ -279,7 +279,7 @@
     exchange: CallerExchange, fields: CallerFields, index: SiteIndex, route: Route, customer: SiteCustomer | undefined,
     body: Buffer | undefined, arrivedAt: number
   ): void {
-    const service = index.services.get(index.drawService(route, Math.random()))
+    const service = index.services.get(index.selectService(route, Math.random()))
     if (service === undefined) {
       this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, RETRY_AFTER_SECONDS)
       return
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -4,7 +4,7 @@
  * Hosts exchange their load as in production, as encoded load reports to the host that computes the totals.
  */
 import { vi } from 'vitest'
-import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
+import { LoadAggregator, type AggregatedLoad } from '@eelgrassmux/routing/load/LoadAggregator'
 import { decodeLoadReport, decodeLoadTotals, encodeLoadReport, encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { LoadTotals } from '@eelgrassmux/routing/load/loadReport'
@@ -66,12 +66,12 @@
 /** Simulated hosts, endpoints, and the requests between them. */
 export class HostsSimulation {
   readonly #hosts: readonly Host[]
-  readonly #board = new LoadBoard()
+  readonly #board = new LoadAggregator()
   readonly #arrivals = new Map<string, Arrival[]>()
   readonly #responseBehaviours = new Map<string, ResponseBehaviour>()
   readonly #requestsPerSecond: number
   #pending: PendingResponse[] = []
-  #readTotals: { readonly totals: Totals, readonly read: LoadTotals } | undefined
+  #readTotals: { readonly totals: AggregatedLoad, readonly read: LoadTotals } | undefined
   /** Requests for which no endpoint was available. */
   unplaced = 0
   /** Requests that an endpoint rejected. */
@@ -137,7 +137,7 @@
       return
     }
     const { endpoint } = choice
-    endpoint.begin(0, 0, now)
+    endpoint.beginRequest(0, 0, now)
     this.#arrivalsOf(endpoint.id).push({ host: host.name, at: now })
     this.#pending.push({ host, endpoint, sentAt: now, hasHead: false, hasEnded: false })
   }
@@ -164,13 +164,13 @@
     host.fleet.limits.observeAnswer(endpoint, head, now)
     if (!head.fields.isNotExecuted) return
     learnFromFailure(host.fleet, endpoint, 'rejected', head)
-    endpoint.end(0)
+    endpoint.endRequest(0)
     pending.hasEnded = true
     this.rejected += 1
   }
 
   #end (pending: PendingResponse): void {
-    pending.endpoint.end(0)
+    pending.endpoint.endRequest(0)
     pending.host.fleet.recordOutcome(pending.endpoint, 'success')
     pending.hasEnded = true
   }
@@ -180,14 +180,14 @@
     host.loadExchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
-    host.fleet.otherHostsLoad.sent(host.sequence, own)
+    host.fleet.otherHostsLoad.recordOwnReport(host.sequence, own)
     this.#board.observe(decodeLoadReport(encodeLoadReport({ host: host.name, sequence: host.sequence, ...own })), now)
     const totals = this.#board.totals(now)
     const sequence = totals.sequences.get(host.name)
     if (sequence === undefined) return
     // The totals are decoded once for all hosts; only the sequence differs.
     if (this.#readTotals?.totals !== totals) this.#readTotals = { totals, read: decodeLoadTotals(frameLoadTotals(0, encodeLoadTotals(totals))) }
-    host.fleet.otherHostsLoad.answered({ ...this.#readTotals.read, sequence }, now)
+    host.fleet.otherHostsLoad.recordTotals({ ...this.#readTotals.read, sequence }, now)
     host.fleet.applyObservations()
   }
 }
--- a/apps/entry/src/lib/routed/harness/PlainCodec.ts
+++ b/apps/entry/src/lib/routed/harness/PlainCodec.ts
@@ -1,6 +1,6 @@
 /** Header names for the product's own tests. */
 import { endToEndHeaders } from '../headers.js'
-import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
+import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { ResponseFields, CallerFields, EndpointFields, RequestCodec } from '../RequestCodec.js'
 
 /** Header names, in lower case. */
@@ -32,7 +32,7 @@
       version: undefined,
       requestsPerSecond: rateLimit === undefined ? undefined : Number(rateLimit),
       isLeaving: valueOf(headers, PLAIN_HEADERS.leaving) === '1',
-      retryAfterMs: readRetryAfter(valueOf(headers, PLAIN_HEADERS.retryAfter), Date.now())
+      retryAfterMs: parseRetryAfter(valueOf(headers, PLAIN_HEADERS.retryAfter), Date.now())
     }
   }
 }
--- a/apps/entry/src/lib/routed/harness/RoutedHost.ts
+++ b/apps/entry/src/lib/routed/harness/RoutedHost.ts
@@ -4,7 +4,7 @@
 import type { RetryBudgetTerms } from '@eelgrassmux/routing/attempts/RetryAllowance'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { PlannedStop } from '../../PlannedStop.js'
+import { GracefulShutdown } from '../../GracefulShutdown.js'
 import type { RequestQuarantine } from '../../quarantine/RequestQuarantine.js'
 import { RoutedFleet } from '../RoutedFleet.js'
 import { RoutedServer } from '../RoutedServer.js'
@@ -46,7 +46,7 @@
 /** One host and its endpoints. */
 export class RoutedHost {
   readonly telemetry = new Telemetry('test')
-  readonly stop: PlannedStop
+  readonly stop: GracefulShutdown
   readonly server: RoutedServer
   port = 0
   readonly #fleet = new RoutedFleet('n', () => 1, this.telemetry)
@@ -60,7 +60,7 @@
     const { graceMs = 60_000, budget = { ratio: 0.2, slack: 20 }, site = TEST_SITE, startedAt = performance.now() - DEFAULT_HOST_AGE_MS, quarantine = emptyQuarantine(), withRecentLoad = place => { place() } } = options
     const work = new WorkGate()
     this.#site = site
-    this.stop = new PlannedStop(work, { balancerLagMs: BALANCER_LAG_MS, graceMs }, this.telemetry)
+    this.stop = new GracefulShutdown(work, { balancerLagMs: BALANCER_LAG_MS, graceMs }, this.telemetry)
     this.server = new RoutedServer({
       fleet: this.#fleet,
       codec: new PlainCodec(),
--- a/apps/entry/src/lib/routed/learnFromFailure.ts
+++ b/apps/entry/src/lib/routed/learnFromFailure.ts
@@ -1,5 +1,5 @@
 /** Updates the state of an endpoint after a failed attempt. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { ResponseHead } from './RoutedAttempt.js'
--- a/apps/entry/src/lib/routed/learnFromFirstEvent.ts
+++ b/apps/entry/src/lib/routed/learnFromFirstEvent.ts
@@ -1,5 +1,5 @@
 /** Updates the timing models of the endpoint, the route and the store link with the time to a first event. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { RoutedAttempt } from './RoutedAttempt.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { RoutedRequest } from './RoutedRequest.js'
@@ -18,7 +18,7 @@
 export function learnFromFirstEvent (fleet: RoutedFleet, { route, service }: RoutedRequest, { choice, startedAt }: RoutedAttempt): void {
   const now = performance.now()
   const actualMs = now - startedAt
-  const { endpoint, reading, workMs, estimatedMs, memoryWaitMs } = choice
+  const { endpoint, prefill: reading, workMs, estimatedMs, memoryWaitMs } = choice
   fleet.recordEstimateError(estimatedMs, actualMs)
   learnLinkSpeed(fleet, choice, actualMs, now)
   if (reading.fetchMs > workMs * MAX_FETCH_SHARE) return
@@ -28,7 +28,7 @@
 }
 
 /** Updates the speed of the store link. The engine's own share of the time, corrected by the slowness that it showed without fetches, is not attributed to the link. */
-function learnLinkSpeed (fleet: RoutedFleet, { endpoint, reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
+function learnLinkSpeed (fleet: RoutedFleet, { endpoint, prefill: reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
   const { slowest, fetchMs } = reading
   if (slowest === undefined) return
   const { transfer: { store, dataCentre }, doublings } = slowest
--- a/apps/entry/src/lib/routed/retryAfterSecondsFor.ts
+++ b/apps/entry/src/lib/routed/retryAfterSecondsFor.ts
@@ -1,5 +1,5 @@
 /** When the caller of a refused request should retry. */
-import { returnAfterMs } from '@eelgrassmux/routing/admission/returnAfter'
+import { retryAfterMs } from '@eelgrassmux/routing/admission/retryAfter'
 import type { RefusalReason } from '@eelgrassmux/schema/Refusal'
 
 /** Longest Retry-After of a stopping host, in milliseconds. The random value spreads the retries of callers that are refused at the same moment. */
@@ -17,6 +17,6 @@
   // No host accepts the request earlier, however little time the caller has left.
   if (reason === 'request-quarantined') return Math.ceil(expectedFreeInMs / MILLISECONDS_PER_SECOND)
   // Other hosts have capacity now, so the caller may retry there almost at once.
-  const returnMs = reason === 'draining' ? Math.random() * MAX_DRAINING_RETRY_MS : returnAfterMs(expectedFreeInMs, remainingMs, Math.random())
+  const returnMs = reason === 'draining' ? Math.random() * MAX_DRAINING_RETRY_MS : retryAfterMs(expectedFreeInMs, remainingMs, Math.random())
   return returnMs / MILLISECONDS_PER_SECOND
 }
--- a/apps/soak/src/lib/SoakCodec.ts
+++ b/apps/soak/src/lib/SoakCodec.ts
@@ -1,7 +1,7 @@
 /** Reads and writes the soak's headers on an entry host. */
 import type { ResponseFields, CallerFields, EndpointFields, RequestCodec } from '@eelgrassmux/entry/routed/RequestCodec'
 import { endToEndHeaders } from '@eelgrassmux/entry/routed/headers'
-import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
+import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { PromptDescription } from '@eelgrassmux/routing/prompts/promptDescription'
 import { HEADER, headerValue } from './soakHeaders.js'
 
@@ -52,7 +52,7 @@
   return {
     requestsPerSecond: readNumber(headerValue(headers, HEADER.rateLimit)),
     isLeaving: headerValue(headers, HEADER.leaving) === '1',
-    retryAfterMs: readRetryAfter(headerValue(headers, HEADER.retryAfter), Date.now())
+    retryAfterMs: parseRetryAfter(headerValue(headers, HEADER.retryAfter), Date.now())
   }
 }
 
