--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -1,4 +1,4 @@
-/** What operators, services and endpoints themselves forbid of endpoints: data centres that are evacuated, rates that are not to be exceeded. */
+/** Limits on new requests to endpoints, set by operators, services and the endpoints themselves: evacuated data centres, rate limits and pauses. */
 import type { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
 import type { HoldBackReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
@@ -6,35 +6,35 @@
 import type { RateLimitStatement } from '@eelgrassmux/routing/endpoints/StatedRateLimit'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { AnswerHead } from './RoutedAttempt.js'
+import type { ResponseHead } from './RoutedAttempt.js'
 
-/** Time in which sends to an endpoint count as lately where its limit is logged, in milliseconds. */
-const LATELY_MS = 4000
+/** Window of the number of recent sends that is logged with a limit, in milliseconds. */
+const RECENT_SENDS_WINDOW_MS = 4000
 
-/** Status of an answer that may come from another instance at the endpoint's address. */
+/** Status of a response that may come from another instance at the endpoint's address. */
 const MISDIRECTED = 421
 
 /** Status of a rejection that may ask for a pause. */
 const UNAVAILABLE = 503
 
-/** That an endpoint is held back from this host. */
+/** Why and until when this host may not send requests to an endpoint. */
 export interface EndpointHold {
   readonly reason: HoldBackReason
-  /** Monotonic milliseconds before which it gets nothing from this host. */
+  /** Earliest time at which the endpoint may get a request from this host, in monotonic milliseconds. */
   readonly until: number
 }
 
-/** Follows the site, the operators' orders and what endpoints ask for. */
+/** Tracks the limits from the site configuration, operators' evacuations and the responses of endpoints. */
 export class EndpointLimits {
   readonly #coldRates = new Map<string, number>()
   #evacuated: ReadonlySet<string> = new Set()
-  readonly #sentDespiteLimit: LabelledCounter
-  readonly #sentDespitePause: LabelledCounter
+  readonly #sendsDespiteLimit: LabelledCounter
+  readonly #sendsDespitePause: LabelledCounter
 
   /**
-   * @param coldAllowance - this host's part of what cold endpoints take
-   * @param rateShare - this host's part of rates that endpoints name
-   * @param endpoints - all endpoints, as of now
+   * @param coldAllowance - this host's share of the requests that cold endpoints accept
+   * @param rateShare - this host's share of the rate limits that endpoints state
+   * @param endpoints - returns all known endpoints
    * @param telemetry - log and metrics
    */
   constructor (
@@ -45,16 +45,16 @@
   ) {
     telemetry.gauge('endpoints_cold', 'Endpoints that take few requests a second for now, as far as is known', () => this.#countCold(performance.now()))
     telemetry.gauge('endpoints_rate_limited', 'Endpoints that name a rate of requests which they take from all hosts together', () => this.#countRateLimited())
-    this.#sentDespiteLimit = telemetry.labelledCounter('rate_limited_sends_total', 'Requests sent to endpoints that name a rate, by service', 'service')
+    this.#sendsDespiteLimit = telemetry.labelledCounter('rate_limited_sends_total', 'Requests sent to endpoints that name a rate, by service', 'service')
     telemetry.gauge('endpoints_asked_to_pause', 'Endpoints that rejected a request and want nothing from this host for now', () => this.#countPausing(performance.now()))
-    this.#sentDespitePause = telemetry.labelledCounter('sends_despite_requested_pause_total', 'Requests sent to endpoints that want nothing for now, by service', 'service')
+    this.#sendsDespitePause = telemetry.labelledCounter('sends_despite_requested_pause_total', 'Requests sent to endpoints that want nothing for now, by service', 'service')
     telemetry.gauge('data_centres_evacuated', 'Data centres whose endpoints get no new work', () => this.#evacuated.size)
   }
 
-  /** Data centres whose endpoints get no new work. */
+  /** Data centres whose endpoints get no new requests. */
   get evacuated (): ReadonlySet<string> { return this.#evacuated }
 
-  /** @param site - that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.#coldRates.clear()
     for (const service of site.services) {
@@ -63,7 +63,7 @@
   }
 
   /**
-   * @param evacuated - all data centres that are evacuated from now on
+   * @param evacuated - complete set of data centres that are evacuated from now on
    * @param now - monotonic milliseconds
    */
   evacuate (evacuated: ReadonlySet<string>, now: number): void {
@@ -71,7 +71,7 @@
     this.#evacuated = evacuated
     for (const dataCentre of changed) {
       const endpoints = this.endpoints().filter(endpoint => endpoint.listed.dataCentre === dataCentre)
-      // They may start anew meanwhile, and the list lags.
+      // Endpoints may restart during an evacuation, and the endpoint list shows it late.
       for (const endpoint of endpoints) endpoint.markUnavailable(now)
       const underWay = endpoints.reduce((sum, endpoint) => sum + endpoint.inFlight, 0)
       this.telemetry.stateChanged('evacuation-in-force', { dataCentre, isEvacuated: evacuated.has(dataCentre), endpoints: endpoints.length, underWay })
@@ -79,12 +79,12 @@
   }
 
   /**
-   * @param endpoint - that a request might go to
+   * @param endpoint - endpoint that a request might be sent to
    * @param now - monotonic milliseconds
-   * @returns why this host may not send it one now, and until when at least; undefined if it may
+   * @returns why this host may not send it a request now, and until when at least; undefined if it may
    */
   hold (endpoint: EndpointState, now: number): EndpointHold | undefined {
-    // Nobody can tell how soon it is warm.
+    // It is not known when a cold endpoint will be warm, so no later time is returned.
     if (!this.#admitsCold(endpoint, now)) return { reason: 'cold', until: now }
     const pauseUntil = endpoint.requestedPause.pausedUntil(endpoint.sends.newest(1), now)
     if (pauseUntil !== undefined) return { reason: 'asked-to-pause', until: pauseUntil }
@@ -93,35 +93,35 @@
   }
 
   /**
-   * @param endpoints - that a request may use
+   * @param endpoints - endpoints that a request may use
    * @param now - monotonic milliseconds
-   * @returns when the first of them that is held back may get a request; infinity if there is none
+   * @returns when the first of them that is held back may get a request, in monotonic milliseconds; infinity if none is held back
    */
-  firstRelease (endpoints: readonly EndpointState[], now: number): number {
+  firstReleaseAt (endpoints: readonly EndpointState[], now: number): number {
     return Math.min(...endpoints.map(endpoint => this.hold(endpoint, now)?.until ?? Number.POSITIVE_INFINITY))
   }
 
   /**
-   * Takes what the head of an answer asks of hosts.
+   * Applies the limits that the head of a response states.
    *
-   * @param endpoint - that answers
-   * @param head - of the answer
+   * @param endpoint - endpoint that responded
+   * @param head - head of the response
    * @param now - monotonic milliseconds
    */
-  observeAnswer (endpoint: EndpointState, { status, fields: { instance, isLeaving, requestsPerSecond, retryAfterMs } }: AnswerHead, now: number): void {
-    // Another instance at its address speaks for itself.
+  observeAnswer (endpoint: EndpointState, { status, fields: { instance, isLeaving, requestsPerSecond, retryAfterMs } }: ResponseHead, now: number): void {
+    // The response may come from another instance at the same address, and then says nothing about this endpoint.
     if (instance === undefined ? status === MISDIRECTED : instance !== endpoint.id) return
-    if (isLeaving) this.#takeLeaving(endpoint)
+    if (isLeaving) this.#markLeaving(endpoint)
     if (endpoint.rateLimit.observeAnswer(requestsPerSecond, now)) this.#logRateLimit(endpoint, now)
     if (status !== UNAVAILABLE) endpoint.requestedPause.recordAccepted(now)
-    else if (retryAfterMs !== undefined) this.#takePause(endpoint, retryAfterMs, now)
+    else if (retryAfterMs !== undefined) this.#recordPause(endpoint, retryAfterMs, now)
   }
 
   /**
-   * Takes what another host has read in answers of an endpoint.
+   * Applies a rate limit that another host has read from a response.
    *
-   * @param endpoint - that has said so
-   * @param statement - as told
+   * @param endpoint - endpoint that stated the limit
+   * @param statement - limit as the other host reported it
    * @param now - monotonic milliseconds
    */
   observeStatement (endpoint: EndpointState, statement: RateLimitStatement, now: number): void {
@@ -129,30 +129,32 @@
   }
 
   /**
-   * @param endpoint - that a request is being sent to
+   * Counts a send in the metrics if the endpoint has stated a limit.
+   *
+   * @param endpoint - endpoint that a request is being sent to
    * @param now - monotonic milliseconds
    */
-  noteSend (endpoint: EndpointState, now: number): void {
-    if (endpoint.requestedPause.isActive(now)) this.#sentDespitePause.count(endpoint.listed.service)
-    if (endpoint.rateLimit.requestsPerSecond !== undefined) this.#sentDespiteLimit.count(endpoint.listed.service)
+  countSend (endpoint: EndpointState, now: number): void {
+    if (endpoint.requestedPause.isActive(now)) this.#sendsDespitePause.count(endpoint.listed.service)
+    if (endpoint.rateLimit.requestsPerSecond !== undefined) this.#sendsDespiteLimit.count(endpoint.listed.service)
   }
 
-  #takeLeaving (endpoint: EndpointState): void {
+  #markLeaving (endpoint: EndpointState): void {
     if (endpoint.isLeaving) return
     endpoint.markLeaving()
     this.telemetry.stateChanged('endpoint-leaving', { endpoint: endpoint.id, address: endpoint.listed.address, underWay: endpoint.inFlight })
   }
 
-  #takePause (endpoint: EndpointState, pauseMs: number, now: number): void {
+  #recordPause (endpoint: EndpointState, pauseMs: number, now: number): void {
     if (!endpoint.requestedPause.extend(pauseMs, now)) return
     this.telemetry.stateChanged('endpoint-asked-to-pause', {
-      endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - LATELY_MS)
+      endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - RECENT_SENDS_WINDOW_MS)
     })
   }
 
   #logRateLimit (endpoint: EndpointState, now: number): void {
     const { requestsPerSecond } = endpoint.rateLimit
-    const fields = { endpoint: endpoint.id, address: endpoint.listed.address, sentLately: endpoint.sends.countSince(now - LATELY_MS) }
+    const fields = { endpoint: endpoint.id, address: endpoint.listed.address, sentLately: endpoint.sends.countSince(now - RECENT_SENDS_WINDOW_MS) }
     if (requestsPerSecond === undefined) this.telemetry.stateChanged('endpoint-rate-limit-lifted', fields)
     else this.telemetry.stateChanged('endpoint-rate-limited', { ...fields, requestsPerSecond })
   }
--- /dev/null
+++ b/apps/entry/src/lib/routed/ResponseRelay.ts
@@ -0,0 +1,123 @@
+/** Forwards an endpoint's response to the caller: streams as the events arrive, other responses once they are complete. */
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
+import { EventCursor } from '@eelgrassmux/runs/EventCursor'
+import type { CallerExchange } from './CallerExchange.js'
+import type { ResponseHead } from './RoutedAttempt.js'
+
+/** Responses other than streams are buffered up to this size, in bytes, so that the request can be retried if the response breaks off. */
+const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
+
+const OK = 200
+
+/** Lowest status that counts as a failure of the endpoint. */
+const FIRST_SERVER_ERROR_STATUS = 500
+
+/** The kind of response that is expected. */
+export interface RelayKind {
+  readonly isStream: boolean
+  /** Whether a broken stream may be resumed at another endpoint. */
+  readonly isResumable: boolean
+  /** Id of the event after which the caller asked to resume. */
+  readonly lastEventId: number | undefined
+}
+
+/** Why a response that has ended can't be forwarded. */
+export interface ResponseFault {
+  readonly failure: AttemptFailure
+  readonly detail: string
+}
+
+/** The response to one request, over all its attempts. */
+export class ResponseRelay {
+  readonly #cursor: EventCursor | undefined
+  #head: ResponseHead | undefined
+  #resume: () => void = () => {}
+  #buffered: Buffer[] | undefined
+  #bufferedBytes = 0
+
+  /**
+   * @param exchange - connection to the caller
+   * @param kind - kind of response that is expected
+   */
+  constructor (private readonly exchange: CallerExchange, private readonly kind: RelayKind) {
+    if (kind.isStream && kind.isResumable) this.#cursor = new EventCursor(kind.lastEventId)
+  }
+
+  /** Whether another attempt may continue the stream after what was forwarded. */
+  get canResume (): boolean { return this.#cursor !== undefined }
+  /** Id of the event after which the next attempt has to continue. */
+  get lastEventId (): number | undefined { return this.#cursor?.lastId ?? this.kind.lastEventId }
+  get head (): ResponseHead | undefined { return this.#head }
+  /** Why the current attempt's response, which has ended, does not complete the response to the caller. */
+  get fault (): ResponseFault | undefined {
+    if (this.#cursor?.hasPartialEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
+    if (this.canResume && this.exchange.hasHead && this.#head?.status !== OK) return { failure: 'failed', detail: `status ${this.#head?.status ?? 0} in place of the rest of the stream` }
+    return undefined
+  }
+
+  /**
+   * @param head - head of another attempt's response
+   * @returns whether that response could be forwarded after what the caller already has
+   */
+  canContinueWith ({ status }: ResponseHead): boolean {
+    return this.canResume && this.exchange.hasHead ? status === OK : status < FIRST_SERVER_ERROR_STATUS
+  }
+
+  /**
+   * Begins the response of an attempt.
+   *
+   * @param head - head of a response whose request was executed
+   * @param resume - resumes reading after {@link ResponseRelay.data} returned false
+   */
+  begin (head: ResponseHead, resume: () => void): void {
+    this.#head = head
+    this.#resume = resume
+    // A failure is buffered, because the request may be retried. What an earlier attempt left in the buffer is not part of this response.
+    this.#buffered = !this.kind.isStream || head.status !== OK ? [] : undefined
+    this.#bufferedBytes = 0
+  }
+
+  /**
+   * @param chunk - next bytes of the attempt's response
+   * @returns false to pause reading
+   */
+  data (chunk: Buffer): boolean {
+    if (this.#buffered !== undefined) return this.#buffer(this.#buffered, chunk)
+    const bytes = this.#cursor === undefined ? chunk : this.#cursor.push(chunk)
+    return bytes.length === 0 || this.#forward(bytes)
+  }
+
+  /** Discards what was received from an attempt and not forwarded. */
+  dropIncomplete (): void {
+    this.#buffered = undefined
+    this.#bufferedBytes = 0
+    this.#cursor?.discardPartialEvent()
+  }
+
+  /** Ends the response as complete. */
+  complete (): void {
+    const head = this.#head
+    if (head === undefined) return
+    if (this.#buffered !== undefined) {
+      this.exchange.sendWhole(head.status, head.headers, Buffer.concat(this.#buffered))
+      return
+    }
+    if (!this.exchange.hasHead) this.exchange.writeHead(head.status, head.headers)
+    this.exchange.end()
+  }
+
+  #buffer (held: Buffer[], chunk: Buffer): boolean {
+    held.push(chunk)
+    this.#bufferedBytes += chunk.length
+    if (this.#bufferedBytes <= MAX_BUFFERED_RESPONSE_BYTES) return true
+    this.#buffered = undefined
+    return this.#forward(Buffer.concat(held))
+  }
+
+  #forward (bytes: Buffer): boolean {
+    if (!this.exchange.hasHead && this.#head !== undefined) this.exchange.writeHead(this.#head.status, this.#head.headers)
+    if (this.exchange.write(bytes)) return true
+    this.exchange.onceDrained(() => { this.#resume() })
+    return false
+  }
+}
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -1,48 +1,48 @@
-/** One send of a routed request to one endpoint, from its connection to the end of the answer. */
+/** One attempt to send a routed request to an endpoint, from the connection to the end of the response. */
 import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { CancelRequest, EndpointConnection, EndpointRequest } from './EndpointConnection.js'
 import type { EndpointConnections } from './EndpointConnections.js'
-import type { AnswerFields, RequestCodec } from './RequestCodec.js'
+import type { ResponseFields, RequestCodec } from './RequestCodec.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 
-/** An answer's head, read. */
-export interface AnswerHead {
+/** Head of a response, with the fields that were read from its headers. */
+export interface ResponseHead {
   readonly status: number
   readonly headers: readonly string[]
-  readonly fields: AnswerFields
+  readonly fields: ResponseFields
 }
 
-/** Told of the answer; after `failed` or `complete` nothing more comes. */
+/** Receives the response of an attempt; `failed` or `complete` is the last call. */
 export interface AttemptListener {
-  /** The first byte may leave from now on. */
+  /** Called before the first byte may be sent. */
   sending (): void
-  head (attempt: RoutedAttempt, head: AnswerHead, resume: () => void): void
+  head (attempt: RoutedAttempt, head: ResponseHead, resume: () => void): void
   /** @returns false to pause until `resume` */
   data (attempt: RoutedAttempt, chunk: Buffer): boolean
   complete (attempt: RoutedAttempt): void
-  failed (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: AnswerHead | undefined): void
+  failed (attempt: RoutedAttempt, failure: AttemptFailure, detail: string, head: ResponseHead | undefined): void
 }
 
 const MISDIRECTED = 421
 
-/** Sends once; its connection is kept only after a whole answer that belongs to the request. */
+/** Sends a request once. The connection is reused only after a complete response that belongs to the request. */
 export class RoutedAttempt {
   #cancel: CancelRequest = () => {}
-  #head: AnswerHead | undefined
+  #head: ResponseHead | undefined
   #wasSent = false
-  #hasCrashed = false
-  #isReading = true
+  #hasEnded = false
+  #isReadingPrompt = true
   readonly startedAt = performance.now()
 
   /**
-   * @param choice - where it goes
-   * @param requestId - id that the answer must bear
+   * @param choice - endpoint that was chosen
+   * @param requestId - request id that the response must carry, if it carries any
    * @param connections - this host's connections to that endpoint
-   * @param connection - the one to use
-   * @param fleet - where the work that it causes is counted
-   * @param codec - reads the answer's headers
-   * @param listener - told of the answer
+   * @param connection - connection to use
+   * @param fleet - counts the load of the attempt
+   * @param codec - reads the response headers
+   * @param listener - receives the response
    */
   constructor (
     readonly choice: EndpointChoice,
@@ -54,13 +54,13 @@
     private readonly listener: AttemptListener
   ) {}
 
-  /** Whether the first byte may have left. */
+  /** Whether the first byte may have been sent. */
   get wasSent (): boolean { return this.#wasSent }
-  /** Milliseconds since it was made. */
+  /** Milliseconds since the attempt was created. */
   get ageMs (): number { return performance.now() - this.startedAt }
   get hasHead (): boolean { return this.#head !== undefined }
 
-  /** @param request - what to send */
+  /** @param request - request to send */
   send (request: EndpointRequest): void {
     this.choice.endpoint.beginRequest(this.choice.prefill.tokensToRead, this.choice.tokensHeld, performance.now())
     this.fleet.storeLinks.beginTransfers(this.choice.prefill.transfers)
@@ -77,37 +77,37 @@
     })
   }
 
-  /** Ends the attempt; the endpoint notices by the closed connection, and the listener hears nothing more. */
+  /** Ends the attempt without calling the listener. The endpoint learns of it because the connection closes. */
   cancel (): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.#end()
     this.connection.close()
     this.#cancel()
   }
 
-  /** The endpoint's work ends here, as far as this host counts it. */
+  /** Removes the attempt from the endpoint's load. */
   #end (): void {
-    this.#hasCrashed = true
-    this.#endReading()
+    this.#hasEnded = true
+    this.#endPromptReading()
     this.choice.endpoint.endRequest(this.choice.tokensHeld)
     this.fleet.noteWork('eased')
   }
 
-  /** With the first event, the prompt has been fetched and read. */
-  #endReading (): void {
-    if (!this.#isReading) return
-    this.#isReading = false
+  /** Removes the prompt from the endpoint's load; the first bytes of the body show that it has been fetched and read. */
+  #endPromptReading (): void {
+    if (!this.#isReadingPrompt) return
+    this.#isReadingPrompt = false
     this.choice.endpoint.recordFirstEvent(this.choice.prefill.tokensToRead)
     this.fleet.storeLinks.endTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('eased')
   }
 
   #onHead (status: number, headers: string[], resume: () => void): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.choice.endpoint.observeBytes(performance.now())
-    const fields = this.codec.readAnswer(status, headers)
+    const fields = this.codec.readResponseHeaders(status, headers)
     if (fields.requestId !== undefined && fields.requestId !== this.requestId) {
-      // An extra answer to an earlier request: what follows on this connection can't be trusted.
+      // This is a surplus response to an earlier request, so nothing that follows on this connection can be trusted.
       this.#fail('lost', `the answer bears the id ${fields.requestId}`)
       return
     }
@@ -116,14 +116,14 @@
   }
 
   #onData (chunk: Buffer): boolean {
-    if (this.#hasCrashed || this.#head === undefined) return true
-    this.#endReading()
+    if (this.#hasEnded || this.#head === undefined) return true
+    this.#endPromptReading()
     this.choice.endpoint.observeBytes(performance.now())
     return this.#head.fields.isNotExecuted || this.listener.data(this, chunk)
   }
 
   #onComplete (): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     const head = this.#head
     if (head === undefined) {
       this.#fail('lost', 'the answer ended without a head')
@@ -139,7 +139,7 @@
   }
 
   #fail (failure: AttemptFailure, detail: string): void {
-    if (this.#hasCrashed) return
+    if (this.#hasEnded) return
     this.#end()
     this.connection.close()
     this.listener.failed(this, failure, detail, this.#head)
--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -11,7 +11,7 @@
   id: 'e', service: 'pool', address: '10.0.0.1:1', dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: [], startedAtMs
 })
 
-/** A fleet whose one endpoint has started at the given times, one after the other. */
+/** Returns a fleet whose only endpoint has started at each of the given times, and the endpoint's incarnations. */
 function fleetAfter (...starts: number[]): { fleet: RoutedFleet, incarnations: EndpointState[] } {
   const fleet = new RoutedFleet('north', () => 1, new Telemetry('test'))
   const incarnations = starts.flatMap(startedAtMs => {
@@ -22,24 +22,24 @@
 }
 
 describe('RoutedFleet', () => {
-  describe('when an endpoint has started again under its id', () => {
-    it('keeps no connection, no prompt and no word of other hosts from the former incarnation', () => {
+  describe('when an endpoint has restarted under its id', () => {
+    it('keeps no connections, prompts or reports of other hosts from the former incarnation', () => {
       const { fleet, incarnations: [former] } = fleetAfter(1000)
       if (former === undefined) throw new Error('no endpoint')
       const connections = fleet.connectionsTo(former)
       const now = performance.now()
-      fleet.memory.recordSend('v1', PARTS, former.incarnation, now)
-      fleet.others.recordOwnReport(1, { work: [], links: [] })
-      fleet.others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
+      fleet.promptMemory.recordSend('v1', PARTS, former.incarnation, now)
+      fleet.otherHostsLoad.recordOwnReport(1, { work: [], links: [] })
+      fleet.otherHostsLoad.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
       fleet.update([listed(2000)])
       const [present] = fleet.endpointsOf('pool')
       if (present === undefined) throw new Error('no endpoint')
       expect(fleet.connectionsTo(present)).not.toBe(connections)
-      expect(fleet.memory.holders('v1', PARTS, now).tokensAt(present.incarnation)).toBe(0)
-      expect(fleet.others.forEndpoint(present.incarnation)).toEqual(NO_ENDPOINT_LOAD)
+      expect(fleet.promptMemory.holders('v1', PARTS, now).tokensAt(present.incarnation)).toBe(0)
+      expect(fleet.otherHostsLoad.forEndpoint(present.incarnation)).toEqual(NO_ENDPOINT_LOAD)
     })
 
-    it('tells of its own work at the present incarnation only', () => {
+    it('reports its own load at the current incarnation only', () => {
       const { fleet, incarnations: [former, present] } = fleetAfter(1000, 2000)
       former?.beginRequest(10, 10, 0)
       expect(fleet.ownWork()).toEqual({ work: [], links: [] })
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -1,4 +1,4 @@
-/** Endpoints of routed requests: what is known of each, and this host's connections to it. */
+/** The endpoints of routed requests, with the state and the connections that this host keeps for each. */
 import { chooseEndpoint } from '@eelgrassmux/routing/endpoints/chooseEndpoint'
 import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
 import { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
@@ -21,54 +21,54 @@
 import { EndpointLimits } from './EndpointLimits.js'
 import { EndpointConnections } from './EndpointConnections.js'
 
-/** Connections that a host may have at an endpoint that states no bound. */
-const CONNECTIONS_WITHOUT_BOUND = 64
+/** Most connections of this host to one endpoint of a service that states no limit. */
+const DEFAULT_MAX_CONNECTIONS = 64
 
-/** Fewest connections of a host to an endpoint, however many hosts share its bound. */
-const LEAST_CONNECTIONS = 2
+/** Lowest connection limit of a host per endpoint, however many hosts share the service's limit. */
+const MIN_CONNECTIONS = 2
 
-/** In seconds: a tenth to several times of what first events take. */
-const ESTIMATE_ERROR_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
+/** Bucket bounds from a tenth of a usual first event time to several times of it. */
+const ESTIMATE_ERROR_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6]
 
-/** Outcomes of late that are worth telling other hosts. */
-const LEAST_REPORTED_OUTCOMES = 0.5
+/** Fewest recent outcomes at an endpoint that are worth reporting to other hosts; the count decays, so it is not an integer. */
+const MIN_REPORTED_OUTCOMES = 0.5
 
-/** Share of an endpoint's connections that hosts plan with; the rest covers hosts that are just leaving or starting. */
-const PLANNED_SHARE = 0.9
+/** Share of an endpoint's connection limit that the live hosts divide among themselves; the rest covers hosts that are just stopping or starting. */
+const PLANNED_CONNECTION_SHARE = 0.9
 
-/** Interval between looks at what turns this host away from endpoints, in milliseconds; they are for the log alone. */
-const EJECTION_LOOK_MS = 250
+/** Interval at which ejected endpoints are determined, in milliseconds. The result is only logged and counted. */
+const EJECTION_CHECK_INTERVAL_MS = 250
 
-/** How this host's work at endpoints changed. */
+/** How this host's load on endpoints changed. */
 export type WorkChange =
-  /** There is more: hosts that place requests now have to know. */
+  /** The load grew; other hosts need to know before they place requests. */
   | 'sent'
-  /** There is less. */
+  /** The load shrank. */
   | 'eased'
 
-/** Follows the list, chooses endpoints and keeps connections to them. */
+/** Follows the endpoint list, chooses endpoints for requests, and keeps connections to them. */
 export class RoutedFleet {
   readonly #pool: EndpointPool
-  readonly memory = new PromptResidencyTracker()
+  readonly promptMemory = new PromptResidencyTracker()
   readonly limits: EndpointLimits
-  readonly others: PeerLoad
+  readonly otherHostsLoad: PeerLoad
   readonly storedParts = new StoredPartsIndex()
   readonly storeLinks: StoreLinks
   readonly #connections = new Map<string, EndpointConnections>()
-  readonly #routes = new Map<string, Slowness>()
-  readonly #engines = new Map<string, EngineModel>()
-  readonly #opened: LabelledCounter
+  readonly #routeSlowness = new Map<string, Slowness>()
+  readonly #engineModels = new Map<string, EngineModel>()
+  readonly #openedConnections: LabelledCounter
   readonly #ejections = new EjectionTracker()
-  readonly #estimateError: (milliseconds: number) => void
+  readonly #observeEstimateError: (milliseconds: number) => void
   #workListener: (change: WorkChange) => void = () => {}
-  #ejectionsLookedAt = Number.NEGATIVE_INFINITY
+  #ejectionsCheckedAt = Number.NEGATIVE_INFINITY
 
   /**
-   * @param dataCentre - where this host stands
-   * @param liveHosts - entry hosts that may be alive, as of now
+   * @param dataCentre - data centre of this host
+   * @param liveHosts - returns how many entry hosts may be alive now
    * @param telemetry - log and metrics
-   * @param mechanisms - that decide where requests go
-   * @param host - name of this host, unlike those of all others
+   * @param mechanisms - routing mechanisms to use
+   * @param host - unique name of this host
    */
   constructor (
     private readonly dataCentre: string,
@@ -79,10 +79,10 @@
   ) {
     this.#pool = new EndpointPool(mechanisms.createSlownessEstimator)
     this.limits = new EndpointLimits(new ColdEndpointLimiter(host, liveHosts), new SharedRateLimiter(host, liveHosts), () => this.#pool.all, telemetry)
-    this.others = mechanisms.peerLoad
+    this.otherHostsLoad = mechanisms.peerLoad
     this.storeLinks = mechanisms.createStoreLinks(liveHosts)
-    this.#opened = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
-    this.#estimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS)
+    this.#openedConnections = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
+    this.#observeEstimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS_SECONDS)
     telemetry.gauge('endpoints_known', 'Endpoints that the platform lists', () => this.#pool.all.length)
     telemetry.gauge('stored_parts', 'Prompt parts that stores are known to hold', () => this.storedParts.size)
     telemetry.gauge('endpoints_ejected', 'Endpoints without new work because of what all hosts have seen', () => this.#ejections.size)
@@ -94,44 +94,44 @@
 
   /**
    * @param route - route name
-   * @returns how much slower its first events are than estimated
+   * @returns how much slower the route's first events are than estimated
    */
   routeSlowness (route: string): Slowness {
-    const present = this.#routes.get(route)
+    const present = this.#routeSlowness.get(route)
     if (present !== undefined) return present
     const fresh = this.mechanisms.createSlownessEstimator()
-    this.#routes.set(route, fresh)
+    this.#routeSlowness.set(route, fresh)
     return fresh
   }
 
   /**
-   * @param service - name of a service of engines
-   * @returns what its engines take
+   * @param service - name of a service with engines
+   * @returns the timing model of its engines
    */
   engineModel (service: string): EngineModel {
-    const present = this.#engines.get(service)
+    const present = this.#engineModels.get(service)
     if (present !== undefined) return present
     const fresh = this.mechanisms.createEngineModel()
-    this.#engines.set(service, fresh)
+    this.#engineModels.set(service, fresh)
     return fresh
   }
 
   /**
-   * Counts how far an estimate was off.
+   * Records the error of an estimate in a histogram.
    *
-   * @param estimatedMs - when the endpoint was chosen
-   * @param actualMs - until the first event
+   * @param estimatedMs - time to the first event, as estimated when the endpoint was chosen
+   * @param actualMs - actual time to the first event
    */
-  noteEstimate (estimatedMs: number, actualMs: number): void {
-    this.#estimateError(Math.abs(actualMs - estimatedMs))
+  recordEstimateError (estimatedMs: number, actualMs: number): void {
+    this.#observeEstimateError(Math.abs(actualMs - estimatedMs))
   }
 
-  /** Whether the work of other hosts is known, so that estimates may decide about refusals. */
-  get isLoadKnown (): boolean { return this.others.isRecent(performance.now()) }
+  /** Whether the load of the other hosts is known recently enough to refuse requests by estimate. */
+  get isLoadKnown (): boolean { return this.otherHostsLoad.isRecent(performance.now()) }
   /** Whether any endpoint is known. */
-  get isKnown (): boolean { return this.#pool.all.length > 0 }
+  get hasEndpoints (): boolean { return this.#pool.all.length > 0 }
 
-  /** @param listed - the platform's list as last read */
+  /** @param listed - the platform's endpoint list, as last read */
   update (listed: readonly ListedEndpoint[]): void {
     for (const gone of this.#pool.update(listed)) {
       this.#connections.get(gone.incarnation)?.closeIdle()
@@ -140,27 +140,27 @@
     }
   }
 
-  /** @param site - that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.limits.configure(site)
     this.storedParts.configure(site.services.filter(service => service.type === 'store'))
   }
 
-  /** Notes what other hosts have told since the last time; call when it was heard. */
-  noteObservations (): void {
+  /** Applies what other hosts have reported since the last call. Call this after each load exchange. */
+  applyObservations (): void {
     const now = performance.now()
-    for (const change of this.storeLinks.observePeers(this.others.links, now)) this.#logLink(change)
-    this.#noteLimits(now)
-    if (now - this.#ejectionsLookedAt < EJECTION_LOOK_MS) return
-    this.#ejectionsLookedAt = now
+    for (const change of this.storeLinks.observePeers(this.otherHostsLoad.links, now)) this.#logLink(change)
+    this.#applyStatedLimits(now)
+    if (now - this.#ejectionsCheckedAt < EJECTION_CHECK_INTERVAL_MS) return
+    this.#ejectionsCheckedAt = now
     for (const service of this.#pool.services) {
-      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.others, now)) this.#logEjection(change)
+      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
     }
   }
 
-  #noteLimits (now: number): void {
-    if (this.others.limits.length === 0) return
-    const stated = new Map(this.others.limits.map(limit => [limit.endpoint, limit]))
+  #applyStatedLimits (now: number): void {
+    if (this.otherHostsLoad.limits.length === 0) return
+    const stated = new Map(this.otherHostsLoad.limits.map(limit => [limit.endpoint, limit]))
     for (const endpoint of this.#pool.all) {
       const statement = stated.get(endpoint.incarnation)
       if (statement !== undefined) this.limits.observeStatement(endpoint, statement, now)
@@ -190,7 +190,7 @@
 
   /**
    * @param service - service name
-   * @returns its endpoints
+   * @returns the service's endpoints
    */
   endpointsOf (service: string): readonly EndpointState[] {
     return this.#pool.ofService(service)
@@ -200,11 +200,12 @@
    * Chooses an endpoint of a service.
    *
    * @param service - service name
-   * @param ask - what is asked
+   * @param ask - requirements of the request
+   * @returns the chosen endpoint, or why there is none
    */
   choose (service: string, ask: Pick<EndpointQuery, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
-    const others = this.others.isRecent(now) ? this.others : undefined
+    const others = this.otherHostsLoad.isRecent(now) ? this.otherHostsLoad : undefined
     const hasConnection = (endpoint: EndpointState): boolean => this.#connections.get(endpoint.incarnation)?.hasIdle === true
     return chooseEndpoint(this.#pool.ofService(service), {
       ...ask,
@@ -214,43 +215,43 @@
       evacuated: this.limits.evacuated,
       holdBackReason: endpoint => this.limits.hold(endpoint, now)?.reason,
       homeEndpoint: this.mechanisms.homeEndpoint
-    }, this.memory, now, Math.random())
+    }, this.promptMemory, now, Math.random())
   }
 
   /**
    * @param service - service name
-   * @param excluded - endpoints that can't be used again
-   * @returns when the first endpoint that is held back may get a request of this host, in monotonic milliseconds
+   * @param excluded - ids of endpoints that the request can't use
+   * @returns when the first endpoint that is held back may get a request from this host, in monotonic milliseconds; infinity if none is held back
    */
-  firstRelease (service: string, excluded: ReadonlySet<string>): number {
-    return this.limits.firstRelease(this.#pool.ofService(service).filter(endpoint => !endpoint.isLeaving && !excluded.has(endpoint.id)), performance.now())
+  firstReleaseAt (service: string, excluded: ReadonlySet<string>): number {
+    return this.limits.firstReleaseAt(this.#pool.ofService(service).filter(endpoint => !endpoint.isLeaving && !excluded.has(endpoint.id)), performance.now())
   }
 
   /**
-   * @param endpoint - with work of this host
-   * @returns whether it has fallen silent towards everybody, as far as is known
+   * @param endpoint - endpoint with pending requests of this host
+   * @returns whether it is known to have stopped responding to all hosts
    */
   isSilent (endpoint: EndpointState): boolean {
     const now = performance.now()
-    return endpoint.isSilent(now) || (this.others.isRecent(now) && isUnresponsive(endpoint, this.others.forEndpoint(endpoint.incarnation), now))
+    return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.forEndpoint(endpoint.incarnation), now))
   }
 
-  /** @param listener - told of each change of this host's work at endpoints */
-  onWork (listener: (change: WorkChange) => void): void {
+  /** @param listener - called on each change of this host's load on endpoints */
+  onWorkChange (listener: (change: WorkChange) => void): void {
     this.#workListener = listener
   }
 
-  /** @param change - how work at endpoints changed */
+  /** @param change - how this host's load on endpoints changed */
   noteWork (change: WorkChange): void {
     this.#workListener(change)
   }
 
-  /** @returns this host's work at each endpoint that has any, or of which there is something to tell, and on links */
+  /** @returns this host's load on links, and on each endpoint with load or with observations to report */
   ownWork (): HostLoad {
     const now = performance.now()
     const work = this.#pool.all.filter(endpoint => endpoint.hasAnythingToReport(now))
       .map(endpoint => ({ endpoint: endpoint.incarnation, ...endpoint.work(now) }))
-      .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= LEAST_REPORTED_OUTCOMES)
+      .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= MIN_REPORTED_OUTCOMES)
     return { work, links: this.storeLinks.localLoad(now), ...this.#ownLimits(now) }
   }
 
@@ -263,38 +264,38 @@
   }
 
   /**
-   * @param endpoint - a chosen endpoint
+   * @param endpoint - endpoint that was chosen
    * @returns this host's connections to it
    */
   connectionsTo (endpoint: EndpointState): EndpointConnections {
     const present = this.#connections.get(endpoint.incarnation)
     if (present !== undefined) return present
     const { address, service } = endpoint.listed
-    const connections = new EndpointConnections(address, () => { this.#opened.count(service) })
+    const connections = new EndpointConnections(address, () => { this.#openedConnections.count(service) })
     this.#connections.set(endpoint.incarnation, connections)
     return connections
   }
 
   /**
-   * @param connectionsPerEndpoint - bound of the service over all callers; 0 if it states none
-   * @returns this host's part of it
+   * @param connectionsPerEndpoint - the service's limit over all hosts; 0 if it states none
+   * @returns this host's share of the limit
    */
   connectionLimit (connectionsPerEndpoint: number): number {
-    if (connectionsPerEndpoint === 0) return CONNECTIONS_WITHOUT_BOUND
-    return Math.max(LEAST_CONNECTIONS, Math.floor(connectionsPerEndpoint * PLANNED_SHARE / this.liveHosts()))
+    if (connectionsPerEndpoint === 0) return DEFAULT_MAX_CONNECTIONS
+    return Math.max(MIN_CONNECTIONS, Math.floor(connectionsPerEndpoint * PLANNED_CONNECTION_SHARE / this.liveHosts()))
   }
 
   /**
-   * Takes the outcome of a request for what it says of the endpoint.
+   * Updates the health of an endpoint with the outcome of a request.
    *
-   * @param endpoint - where it was sent
-   * @param outcome - how it ended there
+   * @param endpoint - endpoint that the request was sent to
+   * @param outcome - how the request ended there
    */
-  observe (endpoint: EndpointState, outcome: 'success' | 'failure' | 'unreachable' | 'unanswered'): void {
+  recordOutcome (endpoint: EndpointState, outcome: 'success' | 'failure' | 'unreachable' | 'unanswered'): void {
     const peers = this.#pool.ofService(endpoint.listed.service).filter(peer => peer !== endpoint)
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
-    // A connection to a host that is gone without a word would take one more request with it.
+    // An idle connection to an endpoint that is no longer reachable would lose one more request.
     if (endpoint.health.isUnreachable(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
     this.telemetry.stateChanged('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -1,8 +1,9 @@
 /**
- * The HTTP server for routed requests: who asks, which route, and within which bounds.
+ * The HTTP server for routed requests. It authenticates the caller, finds the route, and
+ * enforces the site's size limits.
  *
- * Node's own server and not h3: bytes go from socket to socket as buffers, and a
- * connection has to be closed, kept or broken off exactly as the answer asks.
+ * Uses Node's HTTP server rather than h3, because bytes are passed between sockets as buffers,
+ * and each connection has to be closed, kept or aborted exactly as the response requires.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -22,11 +23,11 @@
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { RoutedPorts } from './RoutedRequest.js'
 import { RoutedRequestTask } from './RoutedRequestTask.js'
-import { SharedLooks } from './SharedLooks.js'
-import { SILENCE_LOOK_MS } from './SilenceFailover.js'
+import { SharedInterval } from './SharedInterval.js'
+import { SILENCE_CHECK_INTERVAL_MS } from './SilenceFailover.js'
 import { StartupQueue } from './StartupQueue.js'
 
-/** What the server needs from around it. */
+/** Dependencies of the server. */
 export interface RoutedServerPorts {
   readonly fleet: RoutedFleet
   readonly codec: RequestCodec
@@ -39,57 +40,57 @@
   readonly regions: ReadonlyMap<string, string>
   liveHosts (): number
   desiredVersion (model: string): number
-  /** Milliseconds within which a request may begin on weights of that version. */
-  leftMsOn (model: string, version: number): number
-  /** Whether this host may act on the site it knows. */
-  mayAct (): boolean
-  /** Whether what this host knows of stores may be acted on. */
-  storesUsable (now: number): boolean
-  /** The stores' clock in milliseconds, once it is known. */
+  /** Milliseconds during which requests may still begin on weights of that version. */
+  remainingMsForVersion (model: string, version: number): number
+  /** Whether this host may serve requests under the site configuration that it has. */
+  isSiteUsable (): boolean
+  /** Whether this host's knowledge of the stores is recent enough to use. */
+  areStoresUsable (now: number): boolean
+  /** Time on the stores' clock, in milliseconds; undefined until it is known. */
   storeClockMs (now: number): number | undefined
-  /** Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked. */
-  beforePlacing (place: () => void): void
-  /** Whether this process did not get to its sockets for a while. */
+  /** Calls `place` at once if the load of the other hosts is known recently enough, otherwise after requesting it. */
+  withRecentLoad (place: () => void): void
+  /** Whether the event loop of this process was blocked for a while, so that its sockets were not read. */
   isLagging (): boolean
 }
 
-/** Headers that Node reads at most, in bytes; the site's own limit is checked after that and lies below. */
-const HARD_HEADER_LIMIT_BYTES = 64 * 1024
+/** Largest headers that Node accepts, in bytes. The site's own limit is lower and is checked afterwards. */
+const MAX_HEADER_BYTES = 64 * 1024
 
-/** Connections that wait to be accepted. */
-const CALLER_BACKLOG = 4096
+/** Length of the listen backlog, in connections. */
+const ACCEPT_BACKLOG = 4096
 
-/** Interval at which Node looks for callers that take too long, in milliseconds. */
-const SLOW_CALLER_LOOK_MS = 1000
+/** Interval at which Node checks connections for header timeouts, in milliseconds. */
+const CONNECTION_CHECK_INTERVAL_MS = 1000
 
-/** Longest wait for answers that are being written when the server closes, in milliseconds: refusals of the last moment, which nothing else waits for. */
-const CLOSE_WAIT_MS = 100
+/** Time that {@link RoutedServer.close} gives to responses still being written, in milliseconds. These are late refusals, which no other step of the shutdown waits for. */
+const CLOSE_TIMEOUT_MS = 100
 
-/** Pause after which a caller should ask another host again, in seconds. */
-const ASK_AGAIN_SECONDS = 0.3
+/** Retry-After of refusals after which the caller should try another host, in seconds. */
+const RETRY_AFTER_SECONDS = 0.3
 
-const FIRST_EVENT_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 5, 10]
+const FIRST_EVENT_BUCKETS_SECONDS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 5, 10]
 
 /** Serves routed requests until drained. */
 export class RoutedServer {
   readonly #server: Server
-  /** What requests need from around them, by service. */
+  /** Dependencies of requests, by service. */
   readonly #requestPorts = new Map<string, RoutedPorts>()
   readonly #refusals: LabelledCounter
   readonly #retries: LabelledCounter
   readonly #requests: LabelledCounter
-  readonly #firstEvent: (milliseconds: number) => void
+  readonly #observeFirstEvent: (milliseconds: number) => void
   readonly #startup: StartupQueue
   readonly #durations = new RouteDurations()
-  readonly #silenceLooks = new SharedLooks(SILENCE_LOOK_MS)
+  readonly #silenceChecks = new SharedInterval(SILENCE_CHECK_INTERVAL_MS)
   #index: SiteIndex | undefined
   #lastRequestAt = 0
-  /** Requests that were read and not answered yet; the task only once there is one. */
-  readonly #underWay = new Map<CallerExchange, RoutedRequestTask | undefined>()
+  /** Requests without a complete response; the task is undefined until the request has been routed. */
+  readonly #pendingRequests = new Map<CallerExchange, RoutedRequestTask | undefined>()
 
   /**
-   * @param ports - surroundings
-   * @param startedAt - monotonic milliseconds at which this host started; 0 is the start of the process
+   * @param ports - dependencies
+   * @param startedAt - when this host started, in monotonic milliseconds; 0 is the start of the process
    */
   constructor (private readonly ports: RoutedServerPorts, startedAt = 0) {
     const { telemetry } = ports
@@ -98,8 +99,8 @@
     this.#refusals = telemetry.labelledCounter('routed_refusals_total', 'Refusals of routed requests by reason')
     this.#retries = telemetry.labelledCounter('routed_retries_total', 'Further attempts of routed requests by reason')
     this.#requests = telemetry.labelledCounter('routed_requests_total', 'Routed requests by route kind', 'kind')
-    this.#firstEvent = telemetry.durationHistogram('routed_first_event_seconds', 'Time to the first event of a routed stream', FIRST_EVENT_BUCKETS)
-    this.#server = createServer({ maxHeaderSize: HARD_HEADER_LIMIT_BYTES, connectionsCheckingInterval: SLOW_CALLER_LOOK_MS, keepAlive: true })
+    this.#observeFirstEvent = telemetry.durationHistogram('routed_first_event_seconds', 'Time to the first event of a routed stream', FIRST_EVENT_BUCKETS_SECONDS)
+    this.#server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS, keepAlive: true })
     this.#server.requestTimeout = 0
     this.#server.on('request', (request, response) => { this.#accept(request, response) })
     this.#server.on('checkContinue', (request, response: ServerResponse) => {
@@ -109,12 +110,12 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
-   * @param host - IP number
-   * @param port - port, 0 for a free one
-   * @param early - a port that is open already; closed if it is another one
-   * @returns the port
+   * @param host - IP address
+   * @param port - port, or 0 for any free port
+   * @param early - listener that was opened during startup; it is taken over if its address matches, otherwise closed
+   * @returns the port that the server listens on
    */
   async listen (host: string, port: number, early?: EarlyListener): Promise<number> {
     if (early?.isFor(host, port) === true) {
@@ -123,53 +124,53 @@
       early?.close()
       await new Promise<void>((resolve, reject) => {
         this.#server.once('error', reject)
-        this.#server.listen({ host, port, backlog: CALLER_BACKLOG }, resolve)
+        this.#server.listen({ host, port, backlog: ACCEPT_BACKLOG }, resolve)
       })
     }
     return (this.#server.address() as AddressInfo).port
   }
 
-  /** @param site - site that is now in force */
+  /** @param site - site configuration to apply */
   configure (site: Site): void {
     this.#index = new SiteIndex(site)
     this.#server.headersTimeout = site.limits.headerTimeoutMs
     this.#server.keepAliveTimeout = site.limits.idleTimeoutMs
   }
 
-  /** Lets requests go that waited for what this host has learnt. */
+  /** Releases requests that waited for the site, if this host now knows enough to serve them or is stopping. */
   releaseWaiting (): void {
     if (this.ports.stop.isStopping) this.#startup.releaseAll()
-    else if (this.#mayServe()) this.#startup.release()
+    else if (this.#isReadyToServe()) this.#startup.release()
   }
 
-  /** Whether a site is known. */
+  /** Whether a site configuration has been applied. */
   get isConfigured (): boolean { return this.#index !== undefined }
 
-  /** Closes connections on which no request is under way, so that callers move to other hosts. */
+  /** Closes connections without a pending request, so that callers reconnect to other hosts. */
   closeIdleConnections (): void {
     this.#server.closeIdleConnections()
   }
 
-  /** Monotonic milliseconds at which the last request arrived. */
+  /** When the last request arrived, in monotonic milliseconds. */
   get lastRequestAt (): number { return this.#lastRequestAt }
 
-  /** Logs what is under way, so that work that is cut later can be told by its ids. */
+  /** Logs the pending requests, so that requests which the stop aborts later can be identified. */
   logUnderWay (): void {
-    for (const task of this.#underWay.values()) task?.logStop('awaited-by-stop', { sinceSignalMs: Math.round(this.ports.stop.sinceSignalMs) })
+    for (const task of this.#pendingRequests.values()) task?.logStop('awaited-by-stop', { sinceSignalMs: Math.round(this.ports.stop.sinceSignalMs) })
   }
 
-  /** Ends what is under way because the process is about to be killed. */
+  /** Ends all pending requests because the process is about to be killed. */
   cutUnderWay (): void {
-    for (const [exchange, task] of [...this.#underWay]) {
+    for (const [exchange, task] of [...this.#pendingRequests]) {
       if (task !== undefined) task.endForStop(this.ports.stop.sinceSignalMs)
       else if (!exchange.hasEnded) this.#refuseDraining(exchange)
     }
   }
 
-  /** Closes; what is still being written has a moment to leave the process. */
+  /** Closes the server. Responses that are still being written get {@link CLOSE_TIMEOUT_MS}. */
   async close (): Promise<void> {
     await new Promise<void>(resolve => {
-      const overdue = setTimeout(() => { this.#server.closeAllConnections() }, CLOSE_WAIT_MS)
+      const overdue = setTimeout(() => { this.#server.closeAllConnections() }, CLOSE_TIMEOUT_MS)
       this.#server.close(() => {
         clearTimeout(overdue)
         resolve()
@@ -177,43 +178,43 @@
     })
   }
 
-  /** Whether this host knows what it needs to serve. The others' work is part of it: all hosts release what waits at the same moment. */
-  #mayServe (): boolean {
+  /** Whether this host knows enough to serve requests. That includes the load of the other hosts, because after a common start all hosts release their waiting requests at the same moment. */
+  #isReadyToServe (): boolean {
     const { fleet } = this.ports
-    return this.#index !== undefined && this.ports.mayAct() && fleet.isKnown && fleet.isLoadKnown
+    return this.#index !== undefined && this.ports.isSiteUsable() && fleet.hasEndpoints && fleet.isLoadKnown
   }
 
   #accept (message: IncomingMessage, response: ServerResponse): void {
     const arrivedAt = performance.now()
     this.#lastRequestAt = arrivedAt
     const exchange = new CallerExchange(message, response, () => this.ports.stop.isStopping)
-    // It was sent before its caller knew, and the connection closes without it.
-    if (exchange.isTooLate) return
+    // The caller sent this request before it saw that the connection is closing; it can't be answered.
+    if (exchange.isAfterLastResponse) return
     const ticket = this.ports.work.tryBegin()
     if (ticket === undefined) {
       this.#refuseDraining(exchange)
       return
     }
-    this.#underWay.set(exchange, undefined)
+    this.#pendingRequests.set(exchange, undefined)
     exchange.onClosed(() => {
-      this.#underWay.delete(exchange)
+      this.#pendingRequests.delete(exchange)
       ticket.end()
     })
-    const fields = this.ports.codec.readCaller(message.rawHeaders)
+    const fields = this.ports.codec.readRequestHeaders(message.rawHeaders)
     const route = (): void => { this.#route(message, exchange, fields, arrivedAt) }
-    if (this.#mayServe() || this.ports.stop.isStopping || !this.#startup.hold(exchange, fields.deadlineMs, arrivedAt, route)) {
+    if (this.#isReadyToServe() || this.ports.stop.isStopping || !this.#startup.enqueue(exchange, fields.deadlineMs, arrivedAt, route)) {
       route()
       return
     }
     this.ports.telemetry.decided('waits-for-site', fields.requestId ?? '', {
-      siteVersion: this.#index?.site.version ?? -1, areEndpointsKnown: this.ports.fleet.isKnown, isLoadKnown: this.ports.fleet.isLoadKnown, waiting: this.#startup.length
+      siteVersion: this.#index?.site.version ?? -1, areEndpointsKnown: this.ports.fleet.hasEndpoints, isLoadKnown: this.ports.fleet.isLoadKnown, waiting: this.#startup.length
     })
   }
 
   #route (message: IncomingMessage, exchange: CallerExchange, fields: CallerFields, arrivedAt: number): void {
     const index = this.#index
-    if (index === undefined || !this.ports.mayAct()) {
-      this.#refuse(exchange, fields, 'configuration-stale', 503, 'this host does not know the site yet', ASK_AGAIN_SECONDS)
+    if (index === undefined || !this.ports.isSiteUsable()) {
+      this.#refuse(exchange, fields, 'configuration-stale', 503, 'this host does not know the site yet', RETRY_AFTER_SECONDS)
       return
     }
     if (headerBytes(message) > index.site.limits.headerBytes) {
@@ -231,24 +232,25 @@
       return
     }
     this.#readBody(message, exchange, fields, index, body => {
-      this.#unlessGone(exchange, fields, () => { this.#start(exchange, fields, index, route, customer, body, arrivedAt) })
+      this.#unlessAbandoned(exchange, fields, () => { this.#start(exchange, fields, index, route, customer, body, arrivedAt) })
     })
   }
 
   /**
-   * A host that was held up reads a request long after it was sent, and its caller's
-   * leaving in the turn after that. It looks before it sends the request on.
+   * Calls `start` unless the caller has disconnected. After a blocked event loop, a request
+   * is read long after it was sent, and the caller's disconnect only in the following turn,
+   * so the check waits for that turn.
    */
-  #unlessGone (exchange: CallerExchange, fields: CallerFields, start: () => void): void {
+  #unlessAbandoned (exchange: CallerExchange, fields: CallerFields, start: () => void): void {
     if (!this.ports.isLagging()) {
       start()
       return
     }
-    const look = (): void => {
+    const check = (): void => {
       if (exchange.isAbandoned) this.ports.telemetry.decided('caller-left', fields.requestId ?? '', { run: 'not-run', isLagging: true })
       else start()
     }
-    setImmediate(() => { setImmediate(look) })
+    setImmediate(() => { setImmediate(check) })
   }
 
   #readBody (message: IncomingMessage, exchange: CallerExchange, fields: CallerFields, index: SiteIndex, onBody: (body: Buffer | undefined) => void): void {
@@ -279,7 +281,7 @@
   ): void {
     const service = index.services.get(index.selectService(route, Math.random()))
     if (service === undefined) {
-      this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, ASK_AGAIN_SECONDS)
+      this.#refuse(exchange, fields, 'no-endpoint', 503, `route ${route.name} leads to no service`, RETRY_AFTER_SECONDS)
       return
     }
     const ports = this.#portsOf(service.name)
@@ -289,13 +291,13 @@
     const regionBound = regionBoundOf(route, customer, this.ports.regions)
     const request = { id, route, service, customer, regionBound, fields, body, arrivedAt, siteVersion: index.site.version }
     const task = new RoutedRequestTask(request, exchange, ports)
-    this.#underWay.set(exchange, task)
+    this.#pendingRequests.set(exchange, task)
     task.start()
   }
 
   #refuseDraining (exchange: CallerExchange): void {
-    const fields = this.ports.codec.readCaller(exchange.request.rawHeaders)
-    this.#refuse(exchange, fields, 'draining', 503, 'this host is stopping; ask another', ASK_AGAIN_SECONDS)
+    const fields = this.ports.codec.readRequestHeaders(exchange.request.rawHeaders)
+    this.#refuse(exchange, fields, 'draining', 503, 'this host is stopping; ask another', RETRY_AFTER_SECONDS)
   }
 
   #refuse (
@@ -322,13 +324,13 @@
       durations: this.#durations,
       retries: this.#retries,
       refusals: this.#refusals,
-      firstEvent: this.#firstEvent,
-      silenceLooks: this.#silenceLooks,
+      firstEvent: this.#observeFirstEvent,
+      silenceChecks: this.#silenceChecks,
       desiredVersion: model => this.ports.desiredVersion(model),
-      leftMsOn: (model, version) => this.ports.leftMsOn(model, version),
-      storesUsable: now => this.ports.storesUsable(now),
+      remainingMsForVersion: (model, version) => this.ports.remainingMsForVersion(model, version),
+      areStoresUsable: now => this.ports.areStoresUsable(now),
       storeClockMs: now => this.ports.storeClockMs(now),
-      beforePlacing: place => { this.ports.beforePlacing(place) }
+      withRecentLoad: place => { this.ports.withRecentLoad(place) }
     }
     this.#requestPorts.set(service, ports)
     return ports
--- a/apps/entry/src/lib/routed/SharedLooks.test.ts
+++ b/apps/entry/src/lib/routed/SharedInterval.test.ts
@@ -1,14 +1,14 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { SharedLooks } from './SharedLooks.js'
+import { SharedInterval } from './SharedInterval.js'
 
 const INTERVAL_MS = 200
 
-describe('SharedLooks', () => {
+describe('SharedInterval', () => {
   beforeEach(() => { vi.useFakeTimers() })
   afterEach(() => { vi.useRealTimers() })
 
-  it('calls everybody by one timer', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+  it('calls all callbacks by one timer', () => {
+    const looks = new SharedInterval(INTERVAL_MS)
     const called = [0, 0, 0]
     called.forEach((_, index) => {
       looks.join(() => { called[index] = (called[index] ?? 0) + 1 })
@@ -19,8 +19,8 @@
     expect(called).toEqual([3, 3, 3])
   })
 
-  it('has no timer while nobody has joined, and can be joined again', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+  it('has no timer while there are no callbacks, and starts again with the next one', () => {
+    const looks = new SharedInterval(INTERVAL_MS)
     let called = 0
     const look = (): void => { called += 1 }
     looks.join(look)
@@ -31,8 +31,8 @@
     expect(called).toBe(1)
   })
 
-  it('goes on if somebody leaves during a look, and does not call who has left', () => {
-    const looks = new SharedLooks(INTERVAL_MS)
+  it('continues if a callback is removed during a call, and does not call it again', () => {
+    const looks = new SharedInterval(INTERVAL_MS)
     const called: string[] = []
     const first = (): void => {
       called.push('first')
--- a/apps/entry/src/lib/routed/StartupQueue.ts
+++ b/apps/entry/src/lib/routed/StartupQueue.ts
@@ -1,96 +1,96 @@
 /**
- * Requests that arrive before this host knows the site.
+ * Queue for requests that arrive before this host knows the site configuration.
  *
- * Answers the load in which all hosts start at once: every caller's connection
- * breaks, and all come back within the second in which the hosts learn the site
- * again. A refusal would use up the few attempts that a caller has, although the
- * site is tenths of a second away. Only a host that has just started makes
- * requests wait; one that does not learn the site refuses them.
+ * The queue handles a common restart of all hosts: all connections of callers break, and all
+ * callers reconnect within the second in which the hosts receive the configuration again.
+ * A refusal would use up one of a caller's few attempts, although the configuration
+ * arrives tenths of a second later. Only a host that has just started queues requests.
+ * If the configuration does not arrive, the host refuses them.
  *
- * All hosts learn the site at the same moment. Let go all at once, what waited would fill
- * the engines' memory with requests that are late already, and those that arrive next
- * would be late or refused for it (46 long requests in the five seconds after a return of 8
- * hosts before 13 engines). So the newest go first, and the others step by step, at a pace at
- * which hosts hear of each other's sends.
+ * All hosts receive the configuration at the same moment. If they released all requests at once,
+ * those would fill the engines' memory although they are late already, and the requests that arrive
+ * next would be late or refused (46 long requests in the 5 s after a restart of 8 hosts with 13
+ * engines). Therefore the newest requests are released first and the others in steps, at the
+ * interval at which hosts report their load to each other.
  */
 import type { CallerExchange } from './CallerExchange.js'
 
-/** Age of a host up to which its requests wait, in milliseconds: measured returns of all hosts took 1.3 s. */
-const STARTUP_MS = 3000
+/** Time after its start during which a host queues requests, in milliseconds; restarts of all hosts took 1.3 s. */
+const MAX_HOST_AGE_MS = 3000
 
-/** Longest wait of one request, in milliseconds: a return that takes longer than the measured ones by half. */
-const LONGEST_WAIT_MS = 2000
+/** Longest wait of one request, in milliseconds; covers a restart of all hosts that takes half as long again as 1.3 s. */
+const MAX_WAIT_MS = 2000
 
-/** Share of the caller's time that may be spent waiting, so that the rest is enough for an answer. */
-const WAITING_SHARE = 0.5
+/** Largest share of the caller's deadline that a request may wait, so that the rest is enough for a response. */
+const MAX_WAIT_SHARE = 0.5
 
-/** Time between steps in which requests are let go, in milliseconds: hosts report their work so often. */
-const STEP_MS = 50
+/** Interval between the steps of a release, in milliseconds; the interval at which hosts report their load. */
+const RELEASE_STEP_MS = 50
 
-/** Steps in which all are let go: late requests are worth little more for half a second less. */
-const STEPS = 10
+/** Number of steps of a release, which takes half a second in total; requests that are late already gain little from a faster release. */
+const RELEASE_STEPS = 10
 
-/** Most requests that wait; a few seconds of a busy host's arrivals. */
-const MOST_WAITING = 1000
+/** Most requests in the queue; a busy host receives them in a few seconds. */
+const MAX_WAITING = 1000
 
-interface Waiting {
-  readonly go: () => void
+interface WaitingRequest {
+  readonly resume: () => void
   readonly timer: NodeJS.Timeout
 }
 
-/** Holds requests until they are released or their time is up. */
+/** Holds requests until they are released or have waited long enough. */
 export class StartupQueue {
-  readonly #waiting = new Set<Waiting>()
-  #release: NodeJS.Timeout | undefined
+  readonly #waiting = new Set<WaitingRequest>()
+  #releaseTimer: NodeJS.Timeout | undefined
 
-  /** @param startedAt - monotonic milliseconds at which the process began */
+  /** @param startedAt - when the process started, in monotonic milliseconds */
   constructor (private readonly startedAt = 0) {}
 
   get length (): number { return this.#waiting.size }
 
   /**
-   * Holds a request if there is reason to.
+   * Queues a request if this host has just started and the queue is not full.
    *
-   * @param exchange - the caller's side
-   * @param deadlineMs - milliseconds that the caller waits, if it says so
+   * @param exchange - connection to the caller
+   * @param deadlineMs - milliseconds that the caller waits, if it states a limit
    * @param now - monotonic milliseconds
-   * @param go - called once when the request is released, or has waited long enough; not if its caller leaves
-   * @returns whether the request waits
+   * @param resume - called once when the request is released or has waited long enough, unless the caller disconnects
+   * @returns whether the request was queued
    */
-  hold (exchange: CallerExchange, deadlineMs: number | undefined, now: number, go: () => void): boolean {
-    if (now - this.startedAt > STARTUP_MS || this.#waiting.size >= MOST_WAITING) return false
-    const waitMs = Math.min(LONGEST_WAIT_MS, (deadlineMs ?? LONGEST_WAIT_MS) * WAITING_SHARE)
-    const waiting: Waiting = { go, timer: setTimeout(() => { this.#let(waiting) }, waitMs) }
+  enqueue (exchange: CallerExchange, deadlineMs: number | undefined, now: number, resume: () => void): boolean {
+    if (now - this.startedAt > MAX_HOST_AGE_MS || this.#waiting.size >= MAX_WAITING) return false
+    const waitMs = Math.min(MAX_WAIT_MS, (deadlineMs ?? MAX_WAIT_MS) * MAX_WAIT_SHARE)
+    const waiting: WaitingRequest = { resume, timer: setTimeout(() => { this.#resume(waiting) }, waitMs) }
     this.#waiting.add(waiting)
-    exchange.onLeave(() => { this.#forget(waiting) })
+    exchange.onCallerLeft(() => { this.#remove(waiting) })
     return true
   }
 
-  /** Begins to let requests go, the newest first: those can still be on time. */
+  /** Begins to release requests in steps, the newest first, because those can still be answered in time. */
   release (): void {
-    if (this.#release !== undefined) return
-    this.#step(Math.ceil(this.#waiting.size / STEPS))
+    if (this.#releaseTimer !== undefined) return
+    this.#releaseStep(Math.ceil(this.#waiting.size / RELEASE_STEPS))
   }
 
-  /** Lets all go that wait. */
+  /** Releases all requests at once. */
   releaseAll (): void {
-    clearTimeout(this.#release)
-    this.#release = undefined
-    for (const waiting of [...this.#waiting]) this.#let(waiting)
+    clearTimeout(this.#releaseTimer)
+    this.#releaseTimer = undefined
+    for (const waiting of [...this.#waiting]) this.#resume(waiting)
   }
 
-  #step (count: number): void {
-    this.#release = undefined
+  #releaseStep (count: number): void {
+    this.#releaseTimer = undefined
     if (this.#waiting.size === 0) return
-    for (const waiting of [...this.#waiting].reverse().slice(0, count)) this.#let(waiting)
-    this.#release = setTimeout(() => { this.#step(count) }, STEP_MS)
+    for (const waiting of [...this.#waiting].reverse().slice(0, count)) this.#resume(waiting)
+    this.#releaseTimer = setTimeout(() => { this.#releaseStep(count) }, RELEASE_STEP_MS)
   }
 
-  #let (waiting: Waiting): void {
-    if (this.#forget(waiting)) waiting.go()
+  #resume (waiting: WaitingRequest): void {
+    if (this.#remove(waiting)) waiting.resume()
   }
 
-  #forget (waiting: Waiting): boolean {
+  #remove (waiting: WaitingRequest): boolean {
     clearTimeout(waiting.timer)
     return this.#waiting.delete(waiting)
   }
--- a/apps/entry/src/lib/routed/harness/EndpointStandin.ts
+++ b/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
@@ -1,17 +1,17 @@
-/** An endpoint that answers as a test wants. */
+/** An endpoint whose behaviour is set by a test. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { PLAIN_HEADERS } from './PlainCodec.js'
 
-/** What an endpoint does with a request that it has read. */
+/** Handles a request after its body has been read. */
 export type Behaviour = (request: IncomingMessage, response: ServerResponse, body: string) => void
 
-/** The endpoint. */
-export class EndpointStandin {
-  readonly seen: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
-  closedEarly = 0
-  readonly #seenWaiters: Array<() => void> = []
+/** An HTTP server that records its requests and handles them with a given behaviour. */
+export class FakeEndpoint {
+  readonly receivedRequests: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
+  abortedResponses = 0
+  readonly #requestWaiters: Array<() => void> = []
   readonly #responses = new Set<ServerResponse>()
   #server: Server | undefined
 
@@ -20,14 +20,14 @@
   async listen (): Promise<ListedEndpoint> {
     const server = createServer((request, response) => {
       const chunks: Buffer[] = []
-      response.on('close', () => { if (!response.writableEnded) this.closedEarly += 1 })
+      response.on('close', () => { if (!response.writableEnded) this.abortedResponses += 1 })
       request.on('data', (chunk: Buffer) => { chunks.push(chunk) })
       request.on('end', () => {
         const body = Buffer.concat(chunks).toString()
-        this.seen.push({ method: request.method ?? '', target: request.url ?? '', body, headers: request.headers })
+        this.receivedRequests.push({ method: request.method ?? '', target: request.url ?? '', body, headers: request.headers })
         this.#responses.add(response)
         this.behaviour(request, response, body)
-        for (const wake of this.#seenWaiters.splice(0)) wake()
+        for (const wake of this.#requestWaiters.splice(0)) wake()
       })
     })
     this.#server = server
@@ -36,13 +36,13 @@
     return { id: this.id, service: 'app', address, dataCentre: 'n', slots: 4, isLeaving: false, isBusy: false, models: [] }
   }
 
-  /** Resolves when the next request has come. */
-  async whenSeen (): Promise<void> {
-    await new Promise<void>(resolve => { this.#seenWaiters.push(resolve) })
+  /** Resolves when the next request has been received. */
+  async nextRequest (): Promise<void> {
+    await new Promise<void>(resolve => { this.#requestWaiters.push(resolve) })
   }
 
-  /** Ends all answers that have begun. */
-  finishStreams (): void {
+  /** Ends all responses that have begun. */
+  endResponses (): void {
     for (const response of this.#responses) {
       if (response.headersSent) response.end()
     }
@@ -54,20 +54,20 @@
   }
 }
 
-/** One numbered event of a stream. */
+/** Returns a stream event with an id. */
 export const streamEvent = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`
 
-/** Answers with what was asked. */
-export const answerOk: Behaviour = (request, response, body) => {
+/** Responds with a summary of the request. */
+export const respondOk: Behaviour = (request, response, body) => {
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '', 'x-stamp': 's1' })
   response.end(`${request.method ?? ''} ${request.url ?? ''} ${body}`)
 }
 
-/** Says that it did not run the request. */
-export const rejectNotRun: Behaviour = (_request, response) => {
+/** Rejects the request, stating that it was not executed. */
+export const rejectNotExecuted: Behaviour = (_request, response) => {
   response.writeHead(503, { [PLAIN_HEADERS.notRun]: '1' })
   response.end()
 }
 
-/** Breaks the connection off. */
+/** Resets the connection. */
 export const resetConnection: Behaviour = request => { request.socket.resetAndDestroy() }
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -1,7 +1,7 @@
 /**
- * Several hosts that choose among the same endpoints, on a virtual clock and without network, for tests.
+ * Simulation of several hosts that share endpoints, on a virtual clock and without a network, for tests.
  *
- * Hosts exchange their work as in service: through the bytes of load reports, with the host that adds up.
+ * Hosts exchange their load as in production, as encoded load reports to the host that computes the totals.
  */
 import { vi } from 'vitest'
 import { LoadAggregator, type AggregatedLoad } from '@eelgrassmux/routing/load/LoadAggregator'
@@ -10,34 +10,34 @@
 import type { LoadTotals } from '@eelgrassmux/routing/load/loadReport'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { AnswerHead } from '../RoutedAttempt.js'
-import type { AnswerFields } from '../RequestCodec.js'
+import type { ResponseHead } from '../RoutedAttempt.js'
+import type { ResponseFields } from '../RequestCodec.js'
 import { learnFromFailure } from '../learnFromFailure.js'
 import { RoutedFleet } from '../RoutedFleet.js'
 
 /** Step of the virtual clock, in milliseconds. */
 const STEP_MS = 5
 
-/** Time from a send to the head of its answer, and to the end of it, in milliseconds. */
-const HEAD_MS = 60
-const WHOLE_MS = 150
+/** Time from a send to the head and to the end of the response, in milliseconds. */
+const RESPONSE_HEAD_MS = 60
+const RESPONSE_END_MS = 150
 
-/** Age up to which a host places requests on the others' work without asking anew, in milliseconds. */
-const EXCHANGE_MS = 25
+/** Age from which a host requests the load of the other hosts again before it places a request, in milliseconds. */
+const LOAD_EXCHANGE_INTERVAL_MS = 25
 
 const SERVICE = 'pool'
 
-/** What an endpoint says in its answers; they are whole unless it says otherwise. */
-export interface Statement extends Partial<Pick<AnswerFields, 'requestsPerSecond'>> {
-  /** It rejects what comes and wants nothing more from that host for so long; 0 if it asks for no pause. */
-  readonly rejectsForMs?: number
+/** How an endpoint responds; by default it accepts all requests and states no limit. */
+export interface ResponseBehaviour extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
+  /** If set, the endpoint rejects all requests and asks the host for a pause of this length, in milliseconds; 0 if it asks for no pause. */
+  readonly rejectionPauseMs?: number
 }
 
-/** What a simulation consists of. */
-export interface HostsShape {
+/** Options of a simulation. */
+export interface SimulationOptions {
   readonly hosts: number
   readonly endpoints: number
-  /** That come to each host. */
+  /** Requests that each host receives per second. */
   readonly requestsPerSecond: number
   readonly seed: number
 }
@@ -45,17 +45,17 @@
 interface Host {
   readonly name: string
   readonly fleet: RoutedFleet
-  exchangedAt: number
+  loadExchangedAt: number
   sequence: number
 }
 
-/** One request at an endpoint. */
+/** A request that arrived at an endpoint. */
 export interface Arrival {
   readonly host: string
   readonly at: number
 }
 
-interface PendingAnswer {
+interface PendingResponse {
   readonly host: Host
   readonly endpoint: EndpointState
   readonly sentAt: number
@@ -63,26 +63,26 @@
   hasEnded: boolean
 }
 
-/** Hosts, endpoints and the requests between them. */
+/** Simulated hosts, endpoints, and the requests between them. */
 export class HostsSimulation {
   readonly #hosts: readonly Host[]
   readonly #board = new LoadAggregator()
   readonly #arrivals = new Map<string, Arrival[]>()
-  readonly #statements = new Map<string, Statement>()
+  readonly #responseBehaviours = new Map<string, ResponseBehaviour>()
   readonly #requestsPerSecond: number
-  #pending: PendingAnswer[] = []
+  #pending: PendingResponse[] = []
   #readTotals: { readonly totals: AggregatedLoad, readonly read: LoadTotals } | undefined
-  /** Requests for which no endpoint was to be had. */
+  /** Requests for which no endpoint was available. */
   unplaced = 0
-  /** Requests that an endpoint has rejected. */
+  /** Requests that an endpoint rejected. */
   rejected = 0
 
   /**
-   * Takes the clock of this process over; call {@link HostsSimulation.close} at the end.
+   * Replaces the clock and the random numbers of this process until {@link HostsSimulation.close} is called.
    *
-   * @param shape - what it consists of
+   * @param options - size, load and random seed of the simulation
    */
-  constructor ({ hosts, endpoints, requestsPerSecond, seed }: HostsShape) {
+  constructor ({ hosts, endpoints, requestsPerSecond, seed }: SimulationOptions) {
     vi.useFakeTimers({ toFake: ['performance'] })
     vi.spyOn(Math, 'random').mockImplementation(seededRandom(seed))
     this.#requestsPerSecond = requestsPerSecond
@@ -91,29 +91,29 @@
       const name = `10.0.${number >> 8}.${number & 255}:80`
       const fleet = new RoutedFleet('north', () => hosts, new Telemetry('test'), undefined, name)
       fleet.update(listed)
-      return { name, fleet, exchangedAt: Number.NEGATIVE_INFINITY, sequence: 0 }
+      return { name, fleet, loadExchangedAt: Number.NEGATIVE_INFINITY, sequence: 0 }
     })
   }
 
-  /** Gives the clock back. */
+  /** Restores the clock and the random numbers. */
   close (): void {
     vi.useRealTimers()
     vi.restoreAllMocks()
   }
 
   /**
-   * @param endpoint - number of an endpoint
-   * @param statement - what its answers say from now on
+   * @param endpoint - index of an endpoint
+   * @param behaviour - how it responds from now on
    */
-  state (endpoint: number, statement: Statement): void {
-    this.#statements.set(listedEndpoint(endpoint).id, statement)
+  setBehaviour (endpoint: number, behaviour: ResponseBehaviour): void {
+    this.#responseBehaviours.set(listedEndpoint(endpoint).id, behaviour)
   }
 
-  /** @param milliseconds - of the virtual clock in which requests come */
+  /** @param milliseconds - time on the virtual clock during which requests arrive */
   run (milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += STEP_MS) {
       vi.advanceTimersByTime(STEP_MS)
-      this.#answer(performance.now())
+      this.#respond(performance.now())
       for (const host of this.#hosts) {
         if (Math.random() < this.#requestsPerSecond * STEP_MS / 1000) this.#place(host, performance.now())
       }
@@ -121,16 +121,16 @@
   }
 
   /**
-   * @param endpoint - number of an endpoint
-   * @param since - monotonic milliseconds
-   * @returns requests that reached it since then
+   * @param endpoint - index of an endpoint
+   * @param since - start of the period, in monotonic milliseconds
+   * @returns requests that arrived at the endpoint since then
    */
   arrivals (endpoint: number, since = 0): readonly Arrival[] {
     return this.#arrivalsOf(listedEndpoint(endpoint).id).filter(({ at }) => at >= since)
   }
 
   #place (host: Host, now: number): void {
-    this.#exchange(host, now)
+    this.#exchangeLoad(host, now)
     const choice = host.fleet.choose(SERVICE, { excluded: new Set() })
     if (typeof choice === 'string') {
       this.unplaced += 1
@@ -148,17 +148,17 @@
     return present
   }
 
-  #answer (now: number): void {
+  #respond (now: number): void {
     for (const pending of this.#pending) {
-      if (!pending.hasHead && now >= pending.sentAt + HEAD_MS) this.#answerHead(pending, now)
-      if (!pending.hasEnded && now >= pending.sentAt + WHOLE_MS) this.#end(pending)
+      if (!pending.hasHead && now >= pending.sentAt + RESPONSE_HEAD_MS) this.#respondHead(pending, now)
+      if (!pending.hasEnded && now >= pending.sentAt + RESPONSE_END_MS) this.#end(pending)
     }
     this.#pending = this.#pending.filter(({ hasEnded }) => !hasEnded)
   }
 
-  #answerHead (pending: PendingAnswer, now: number): void {
+  #respondHead (pending: PendingResponse, now: number): void {
     const { host, endpoint } = pending
-    const head = headOf(this.#statements.get(endpoint.id) ?? {})
+    const head = headOf(this.#responseBehaviours.get(endpoint.id) ?? {})
     pending.hasHead = true
     endpoint.observeBytes(now)
     host.fleet.limits.observeAnswer(endpoint, head, now)
@@ -169,26 +169,26 @@
     this.rejected += 1
   }
 
-  #end (pending: PendingAnswer): void {
+  #end (pending: PendingResponse): void {
     pending.endpoint.endRequest(0)
-    pending.host.fleet.observe(pending.endpoint, 'success')
+    pending.host.fleet.recordOutcome(pending.endpoint, 'success')
     pending.hasEnded = true
   }
 
-  #exchange (host: Host, now: number): void {
-    if (now - host.exchangedAt < EXCHANGE_MS) return
-    host.exchangedAt = now
+  #exchangeLoad (host: Host, now: number): void {
+    if (now - host.loadExchangedAt < LOAD_EXCHANGE_INTERVAL_MS) return
+    host.loadExchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
-    host.fleet.others.recordOwnReport(host.sequence, own)
+    host.fleet.otherHostsLoad.recordOwnReport(host.sequence, own)
     this.#board.observe(decodeLoadReport(encodeLoadReport({ host: host.name, sequence: host.sequence, ...own })), now)
     const totals = this.#board.totals(now)
     const sequence = totals.sequences.get(host.name)
     if (sequence === undefined) return
-    // Read once for all hosts, whatever their sequence.
+    // The totals are decoded once for all hosts; only the sequence differs.
     if (this.#readTotals?.totals !== totals) this.#readTotals = { totals, read: decodeLoadTotals(frameLoadTotals(0, encodeLoadTotals(totals))) }
-    host.fleet.others.recordTotals({ ...this.#readTotals.read, sequence }, now)
-    host.fleet.noteObservations()
+    host.fleet.otherHostsLoad.recordTotals({ ...this.#readTotals.read, sequence }, now)
+    host.fleet.applyObservations()
   }
 }
 
@@ -196,7 +196,7 @@
   return { id: `e-${number}`, service: SERVICE, address: `10.1.0.${number}:80`, dataCentre: 'north', slots: 48, isLeaving: false, isBusy: false, models: [] }
 }
 
-function headOf ({ requestsPerSecond, rejectsForMs }: Statement): AnswerHead {
+function headOf ({ requestsPerSecond, rejectionPauseMs: rejectsForMs }: ResponseBehaviour): ResponseHead {
   const isNotExecuted = rejectsForMs !== undefined
   return {
     status: isNotExecuted ? 503 : 200,
@@ -205,7 +205,7 @@
   }
 }
 
-/** Numbers in [0, 1) by a linear congruential generator. */
+/** Returns a linear congruential generator of numbers in [0, 1). */
 function seededRandom (seed: number): () => number {
   let state = seed >>> 0
   return () => {
