--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -83,7 +83,7 @@
   const mechanisms = composeMechanisms(new Set(settings.leaveOut))
   const liveHosts = (): number => link.liveEntries
   const fleet = new RoutedFleet(settings.dataCentre, liveHosts, telemetry, mechanisms, address)
-  const stored = link.followStores({
+  const stored = link.followStoredParts({
     reset: () => { fleet.storedParts.clear() },
     apply: change => { fleet.storedParts.apply(change) }
   })
@@ -118,10 +118,10 @@
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
     mayAct,
     // Parts that nobody vouches for may have been freed meanwhile.
-    storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
+    storesUsable: now => mechanisms.usesStores && stored.isLeaseValid(now),
     storeClockMs: now => stored.storeClockMs(now),
     beforePlacing: place => { loads.beforePlacing(place) },
-    isLagging: () => link.lagMs > LAGGING_MS
+    isLagging: () => link.eventLoopLagMs > LAGGING_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
   const port = await server.listen(settings.host, settings.port, platform.early)
   const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
@@ -135,7 +135,7 @@
     fleet.configure(site)
     telemetry.stateChanged('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
   }
-  link.onLeader(() => { crashReporter.leaderChanged() })
+  link.onLeaderChange(() => { crashReporter.leaderChanged() })
   link.onChange(() => {
     olderWeights.observe(link.weights, performance.now())
     quarantine.logChanges(link.viewRevision, performance.now())
--- a/packages/state/src/lib/SiteRegister.test.ts
+++ b/packages/state/src/lib/SiteRegister.test.ts
@@ -15,14 +15,14 @@
     const register = new SiteRegister()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(3, 'three'))).toEqual({ result: { kind: 'site-accepted', version: 5 }, hasChanged: false })
-    expect(register.put?.site.version).toBe(5)
+    expect(register.current?.site.version).toBe(5)
   })
 
   it('never takes other content under the version that it holds', () => {
     const register = new SiteRegister()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(5, 'other')).hasChanged).toBe(false)
-    expect(Buffer.from(register.put?.source ?? []).toString()).toBe('five')
+    expect(Buffer.from(register.current?.source ?? []).toString()).toBe('five')
   })
 
   it('lets named weights only rise', () => {
@@ -47,7 +47,7 @@
     state.apply({ stampedAt: 0, command: { kind: 'name-weights', model: 'm', version: 2 } })
     const restored = new StateMachine()
     restored.restore(state.image())
-    expect(restored.sites.put?.site.version).toBe(5)
+    expect(restored.sites.current?.site.version).toBe(5)
     expect(restored.sites.weights).toEqual([{ model: 'm', version: 2 }])
     expect(restored.viewRevision).toBe(state.viewRevision)
   })
--- a/packages/state/src/lib/SiteRegister.ts
+++ b/packages/state/src/lib/SiteRegister.ts
@@ -1,6 +1,6 @@
 /** The part of the agreed state that is put whole under rising versions: the site, named weights, who gives orders. */
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import type { CommandResult, NameWeightsCommand, NamedWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
+import type { CommandResult, NameWeightsCommand, DesiredWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
 
 /** A site in force, with the document that its operator wrote. */
 export interface PutSite {
@@ -15,11 +15,11 @@
   #weights = new Map<string, number>()
   #orderHolder: OrderHolder | undefined
 
-  get put (): PutSite | undefined { return this.#put }
+  get current (): PutSite | undefined { return this.#put }
   get orderHolder (): OrderHolder | undefined { return this.#orderHolder }
 
   /** Weight version that each model should run. */
-  get weights (): NamedWeights[] {
+  get weights (): DesiredWeights[] {
     return [...this.#weights].map(([model, version]) => ({ model, version }))
   }
 
