--- a/packages/consensus/src/lib/Elections.ts
+++ b/packages/consensus/src/lib/Elections.ts
@@ -6,7 +6,7 @@
 /** Votes and asks for votes. A pre-vote comes first, so that a replica that could not win disturbs nobody. */
 export class Elections {
   #votes = new Set<string>()
-  #voteRequestDue = 0
+  #nextVoteRequestAt = 0
   /** Whether the leader asked this replica to stand, so that voters need not wait for its silence. */
   #isTransfer = false
 
@@ -24,7 +24,7 @@
   tick (now: number): void {
     const { state } = this
     if (now >= state.electionDeadline && state.isVoter(state.self.id)) this.#startPreVote(now)
-    else if (state.role !== 'follower' && now >= this.#voteRequestDue) this.#requestVotes(now)
+    else if (state.role !== 'follower' && now >= this.#nextVoteRequestAt) this.#requestVotes(now)
   }
 
   /**
@@ -33,9 +33,9 @@
    * @param message - any message
    * @param now - monotonic milliseconds
    */
-  mustIgnore (message: RaftMessage, now: number): boolean {
+  shouldIgnore (message: RaftMessage, now: number): boolean {
     if (message.kind !== 'vote-request' || message.transfer) return false
-    if (this.state.role === 'leader') return !this.replication.lostQuorum(now)
+    if (this.state.role === 'leader') return !this.replication.hasLostQuorum(now)
     return now < this.state.lastLeaderContact + this.state.settings.electionTimeoutMs
   }
 
@@ -44,7 +44,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  standForTransfer (now: number): void {
+  startTransferElection (now: number): void {
     this.#startElection(now, true)
   }
 
@@ -55,11 +55,11 @@
   onVoteRequest (request: VoteRequest, now: number): void {
     const { state } = this
     const { lastTerm, lastIndex } = state.log
-    const upToDate = request.lastTerm > lastTerm || (request.lastTerm === lastTerm && request.lastIndex >= lastIndex)
-    const free = request.preVote
+    const isLogUpToDate = request.lastTerm > lastTerm || (request.lastTerm === lastTerm && request.lastIndex >= lastIndex)
+    const isVoteAvailable = request.preVote
       ? request.term > state.term
       : request.term === state.term && (state.votedFor === undefined || state.votedFor === request.from)
-    const granted = free && upToDate && state.role !== 'leader'
+    const granted = isVoteAvailable && isLogUpToDate && state.role !== 'leader'
     if (granted && !request.preVote) {
       state.setVote(state.term, request.from)
       state.electionDeadline = now + state.electionDelay()
@@ -85,7 +85,7 @@
     this.#votes.add(response.from)
     if (!this.#hasQuorum()) return
     if (response.preVote) this.#startElection(now, false)
-    else this.replication.begin(now)
+    else this.replication.becomeLeader(now)
   }
 
   #startPreVote (now: number): void {
@@ -110,7 +110,7 @@
     this.#votes = new Set([state.self.id])
     state.electionDeadline = now + state.electionDelay()
     if (this.#hasQuorum()) {
-      this.replication.begin(now)
+      this.replication.becomeLeader(now)
       return
     }
     this.#isTransfer = transfer
@@ -120,7 +120,7 @@
   /** Repeated with each heartbeat: after a restart of all replicas, first messages find no listener and are lost. */
   #requestVotes (now: number): void {
     const { state } = this
-    this.#voteRequestDue = now + state.settings.heartbeatMs
+    this.#nextVoteRequestAt = now + state.settings.heartbeatMs
     const { lastIndex, lastTerm } = state.log
     const preVote = state.role === 'pre-candidate'
     const term = preVote ? state.term + 1 : state.term
--- a/packages/consensus/src/lib/FollowerReplication.ts
+++ b/packages/consensus/src/lib/FollowerReplication.ts
@@ -16,19 +16,19 @@
     const { state } = this
     const { log } = state
     if (request.term < state.term) {
-      this.#answer(request.from, false, log.lastIndex, request.sentAt)
+      this.#respond(request.from, false, log.lastIndex, request.sentAt)
       return
     }
     this.#followLeader(request.from, now)
     if (!this.#matchesLog(request)) {
-      const hint = Math.min(log.lastIndex, Math.max(request.previousIndex - 1, 0))
-      this.#answer(request.from, false, Math.max(hint, state.commitIndex), request.sentAt)
+      const lastPossibleMatch = Math.min(log.lastIndex, Math.max(request.previousIndex - 1, 0))
+      this.#respond(request.from, false, Math.max(lastPossibleMatch, state.commitIndex), request.sentAt)
       return
     }
-    for (const entry of request.entries) this.#takeEntry(entry)
+    for (const entry of request.entries) this.#storeEntry(entry)
     const matchIndex = Math.max(request.previousIndex + request.entries.length, log.snapshotIndex)
     state.commitTo(Math.min(request.commitIndex, matchIndex))
-    this.#answer(request.from, true, matchIndex, request.sentAt)
+    this.#respond(request.from, true, matchIndex, request.sentAt)
   }
 
   /**
@@ -40,7 +40,7 @@
     this.#followLeader(request.from, now)
     const { snapshot } = request
     if (snapshot.index > this.state.commitIndex) this.state.install(snapshot)
-    this.#answer(request.from, true, snapshot.index, request.sentAt)
+    this.#respond(request.from, true, snapshot.index, request.sentAt)
   }
 
   #matchesLog (request: AppendRequest): boolean {
@@ -49,12 +49,12 @@
     return log.termAt(request.previousIndex) === request.previousTerm
   }
 
-  #takeEntry (entry: LogEntry): void {
+  #storeEntry (entry: LogEntry): void {
     const { log } = this.state
     if (entry.index <= log.snapshotIndex) return
-    const presentTerm = log.termAt(entry.index)
-    if (presentTerm === entry.term) return
-    if (presentTerm !== undefined) this.state.truncate(entry.index)
+    const existingTerm = log.termAt(entry.index)
+    if (existingTerm === entry.term) return
+    if (existingTerm !== undefined) this.state.truncate(entry.index)
     this.state.append(entry)
   }
 
@@ -65,7 +65,7 @@
     state.becomeFollower(leader, now)
   }
 
-  #answer (to: string, success: boolean, matchIndex: number, sentAt: number): void {
+  #respond (to: string, success: boolean, matchIndex: number, sentAt: number): void {
     const { self, term } = this.state
     this.state.sendTo(to, { kind: 'append-response', from: self.id, term, success, matchIndex, sentAt })
   }
--- a/packages/consensus/src/lib/LeaderReplication.ts
+++ b/packages/consensus/src/lib/LeaderReplication.ts
@@ -11,7 +11,7 @@
   #progress = new PeerProgressTable(1)
   #termStartIndex = 0
   #leaderSince = 0
-  #heartbeatDue = 0
+  #nextHeartbeatAt = 0
   #transferDeadline = 0
 
   /** @param state - shared state of the replica */
@@ -31,18 +31,18 @@
    * @param now - monotonic milliseconds
    * @returns milliseconds of silence; counted from the first message to the peer if it was never heard
    */
-  silentFor (id: string, now: number): number {
+  silenceMs (id: string, now: number): number {
     if (id === this.state.self.id) return 0
-    const { contactAt, firstSentAt } = this.#progress.of(id)
-    return now - Math.max(contactAt, firstSentAt ?? now)
+    const { lastContactAt, firstSentAt } = this.#progress.progressOf(id)
+    return now - Math.max(lastContactAt, firstSentAt ?? now)
   }
 
   /**
    * @param now - monotonic milliseconds
    * @returns the time at which a quorum last followed this leader, as of the sending
    */
-  quorumContact (now: number): number {
-    return this.#progress.quorumContact(this.state.log.latestMembership().voters, this.state.self.id, now)
+  quorumContactAt (now: number): number {
+    return this.#progress.quorumContactAt(this.state.log.latestMembership().voters, this.state.self.id, now)
   }
 
   /**
@@ -50,8 +50,8 @@
    *
    * @param now - monotonic milliseconds
    */
-  lostQuorum (now: number): boolean {
-    return now >= Math.max(this.quorumContact(now), this.#leaderSince) + this.state.settings.electionTimeoutMs
+  hasLostQuorum (now: number): boolean {
+    return now >= Math.max(this.quorumContactAt(now), this.#leaderSince) + this.state.settings.electionTimeoutMs
   }
 
   /**
@@ -59,7 +59,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  begin (now: number): void {
+  becomeLeader (now: number): void {
     const { state } = this
     state.role = 'leader'
     state.leader = state.self.id
@@ -78,12 +78,12 @@
    */
   tick (now: number): void {
     if (this.state.transferTarget !== undefined && now >= this.#transferDeadline) this.state.transferTarget = undefined
-    if (this.lostQuorum(now)) {
+    if (this.hasLostQuorum(now)) {
       this.state.becomeFollower(undefined, now)
       return
     }
-    if (now < this.#heartbeatDue) return
-    this.#heartbeatDue = now + this.state.settings.heartbeatMs
+    if (now < this.#nextHeartbeatAt) return
+    this.#nextHeartbeatAt = now + this.state.settings.heartbeatMs
     this.broadcast(now)
   }
 
@@ -122,7 +122,7 @@
     state.transferTarget = target.id
     this.#transferDeadline = now + state.settings.electionTimeoutMs
     this.#sendAppend(target, now)
-    this.#maybeSendTimeoutNow()
+    this.#sendTimeoutNowIfCaughtUp()
   }
 
   /**
@@ -134,8 +134,8 @@
     if (state.role !== 'leader' || response.term !== state.term) return
     const replica = state.replicas.find(candidate => candidate.id === response.from)
     if (replica === undefined) return
-    const progress = this.#progress.of(replica.id)
-    progress.contactAt = Math.max(progress.contactAt, response.sentAt)
+    const progress = this.#progress.progressOf(replica.id)
+    progress.lastContactAt = Math.max(progress.lastContactAt, response.sentAt)
     if (!response.success) {
       progress.nextIndex = Math.max(progress.matchIndex + 1, Math.min(progress.nextIndex - 1, response.matchIndex + 1))
       progress.snapshotSentAt = Number.NEGATIVE_INFINITY
@@ -145,13 +145,13 @@
     progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex)
     progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1)
     this.#advanceCommit()
-    this.#maybeSendTimeoutNow()
+    this.#sendTimeoutNowIfCaughtUp()
     if (progress.nextIndex <= state.log.lastIndex) this.#sendAppend(replica, now)
   }
 
   #sendAppend (replica: Replica, now: number): void {
     const { log, settings, self, term, commitIndex } = this.state
-    const progress = this.#progress.of(replica.id)
+    const progress = this.#progress.progressOf(replica.id)
     progress.firstSentAt ??= now
     const previousIndex = progress.nextIndex - 1
     const previousTerm = log.termAt(previousIndex)
@@ -170,12 +170,12 @@
 
   #advanceCommit (): void {
     const { log, self, commitIndex, term } = this.state
-    const agreed = this.#progress.agreedIndex(log.latestMembership().voters, self.id, log.lastIndex)
+    const majorityIndex = this.#progress.majorityMatchIndex(log.latestMembership().voters, self.id, log.lastIndex)
     // Only entries of the own term commit by counting; earlier ones commit with them.
-    if (agreed > commitIndex && log.termAt(agreed) === term) this.state.commitTo(agreed)
+    if (majorityIndex > commitIndex && log.termAt(majorityIndex) === term) this.state.commitTo(majorityIndex)
   }
 
-  #maybeSendTimeoutNow (): void {
+  #sendTimeoutNowIfCaughtUp (): void {
     const { log, self, term, transferTarget } = this.state
     const target = log.latestMembership().voters.find(voter => voter.id === transferTarget)
     if (target === undefined || this.matchIndex(target.id) !== log.lastIndex) return
--- a/packages/consensus/src/lib/MembershipChanges.ts
+++ b/packages/consensus/src/lib/MembershipChanges.ts
@@ -25,7 +25,7 @@
     const { voters, learners } = this.state.log.latestMembership()
     if (voters.some(voter => voter.id === replica.id)) return succeed(this.state.takeEffects())
     const others = learners.filter(learner => learner.id !== replica.id)
-    return this.#change({ voters, learners: [...others, replica] }, now)
+    return this.#appendChange({ voters, learners: [...others, replica] }, now)
   }
 
   /**
@@ -44,7 +44,7 @@
     const lag = state.log.lastIndex - this.replication.matchIndex(id)
     if (lag > state.settings.promotionLag) return fail({ kind: 'learner-lags', lag })
     const rest = learners.filter(candidate => candidate.id !== id)
-    return this.#change({ voters: [...voters, learner], learners: rest }, now)
+    return this.#appendChange({ voters: [...voters, learner], learners: rest }, now)
   }
 
   /**
@@ -57,21 +57,21 @@
     const { state } = this
     if (state.role !== 'leader') return fail(state.notLeader())
     if (id === state.self.id) return fail({ kind: 'is-leader', id })
-    if (this.#isInProgress()) return fail({ kind: 'change-in-progress' })
+    if (this.#isChangeInProgress()) return fail({ kind: 'change-in-progress' })
     const { voters, learners } = state.log.latestMembership()
     if (!state.replicas.some(replica => replica.id === id)) return fail({ kind: 'unknown-replica', id })
     const without = (replicas: Replica[]): Replica[] => replicas.filter(replica => replica.id !== id)
-    return this.#change({ voters: without(voters), learners: without(learners) }, now)
+    return this.#appendChange({ voters: without(voters), learners: without(learners) }, now)
   }
 
-  #change (membership: Membership, now: number): Result<RaftEffects, RaftError> {
+  #appendChange (membership: Membership, now: number): Result<RaftEffects, RaftError> {
     const { state } = this
-    if (this.#isInProgress()) return fail({ kind: 'change-in-progress' })
+    if (this.#isChangeInProgress()) return fail({ kind: 'change-in-progress' })
     this.replication.appendOwn({ kind: 'membership', index: state.log.lastIndex + 1, term: state.term, membership }, now)
     return succeed(state.takeEffects())
   }
 
-  #isInProgress (): boolean {
+  #isChangeInProgress (): boolean {
     return !this.replication.hasCommittedInTerm || this.state.isMembershipPending
   }
 }
--- a/packages/consensus/src/lib/PeerProgressTable.ts
+++ b/packages/consensus/src/lib/PeerProgressTable.ts
@@ -8,7 +8,7 @@
   /** Last entry known to be on its disk. */
   matchIndex: number
   /** Leader's clock when the newest acknowledged message was sent. */
-  contactAt: number
+  lastContactAt: number
   snapshotSentAt: number
   /** Leader's clock when it first sent to this peer; silence counts from then. */
   firstSentAt: number | undefined
@@ -25,18 +25,18 @@
    * @param id - peer
    * @returns its progress, to be updated in place
    */
-  of (id: string): PeerProgress {
-    const present = this.#peers.get(id)
-    if (present !== undefined) return present
-    const fresh = {
+  progressOf (id: string): PeerProgress {
+    const existing = this.#peers.get(id)
+    if (existing !== undefined) return existing
+    const created = {
       nextIndex: this.firstIndex,
       matchIndex: 0,
-      contactAt: Number.NEGATIVE_INFINITY,
+      lastContactAt: Number.NEGATIVE_INFINITY,
       snapshotSentAt: Number.NEGATIVE_INFINITY,
       firstSentAt: undefined
     }
-    this.#peers.set(id, fresh)
-    return fresh
+    this.#peers.set(id, created)
+    return created
   }
 
   /**
@@ -54,7 +54,7 @@
    * @param self - the leader's id
    * @param ownIndex - the leader's last entry
    */
-  agreedIndex (voters: readonly Replica[], self: string, ownIndex: number): number {
+  majorityMatchIndex (voters: readonly Replica[], self: string, ownIndex: number): number {
     return majorityValue(voters.map(voter => voter.id === self ? ownIndex : this.matchIndex(voter.id)))
   }
 
@@ -65,8 +65,8 @@
    * @param self - the leader's id
    * @param now - monotonic milliseconds
    */
-  quorumContact (voters: readonly Replica[], self: string, now: number): number {
-    return majorityValue(voters.map(voter => voter.id === self ? now : this.of(voter.id).contactAt))
+  quorumContactAt (voters: readonly Replica[], self: string, now: number): number {
+    return majorityValue(voters.map(voter => voter.id === self ? now : this.progressOf(voter.id).lastContactAt))
   }
 }
 
--- a/packages/consensus/src/lib/RaftCore.test.ts
+++ b/packages/consensus/src/lib/RaftCore.test.ts
@@ -7,21 +7,21 @@
 
 const replicas: Replica[] = ['a', 'b', 'c'].map(id => ({ id, address: id }))
 const EMPTY: PersistentState = { term: 0, votedFor: undefined, snapshot: undefined, entries: [] }
-const FOUNDED: PersistentState = {
+const BOOTSTRAPPED: PersistentState = {
   ...EMPTY, term: 1, entries: [{ kind: 'membership', index: 1, term: 1, membership: { voters: replicas, learners: [] } }]
 }
 
-function core (id: string, persisted = FOUNDED): RaftCore {
+function core (id: string, persisted = BOOTSTRAPPED): RaftCore {
   return new RaftCore({ id, address: id }, persisted, DEFAULT_RAFT_SETTINGS, () => 0.5, 0)
 }
 
 /** Delivers messages between cores until there are none. */
-class Group {
+class TestGroup {
   readonly cores = new Map(['a', 'b', 'c'].map(id => [id, core(id)]))
   readonly committed = new Map<string, number[]>()
   now = 0
 
-  constructor (readonly cut = new Set<string>()) {}
+  constructor (readonly disconnected = new Set<string>()) {}
 
   get (id: string): RaftCore {
     const found = this.cores.get(id)
@@ -33,7 +33,7 @@
     const indexes = this.committed.get(from) ?? []
     this.committed.set(from, [...indexes, ...effects.committed.map(entry => entry.index)])
     for (const { to, message } of effects.messages) {
-      if (this.cut.has(from) || this.cut.has(to.id)) continue
+      if (this.disconnected.has(from) || this.disconnected.has(to.id)) continue
       const target = this.cores.get(to.id)
       if (target !== undefined) this.deliver(to.id, target.receive(message, this.now))
     }
@@ -49,7 +49,7 @@
     expect(this.get(id).role).toBe('leader')
   }
 
-  change (id: string, result: Result<RaftEffects, RaftError>): void {
+  applyChange (id: string, result: Result<RaftEffects, RaftError>): void {
     if (!result.ok) throw new Error(result.error.kind)
     this.deliver(id, result.value)
   }
@@ -58,17 +58,17 @@
 describe('RaftCore', () => {
   describe('election', () => {
     it('elects one leader, which commits an entry of its term', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
       expect(group.get('a').commitIndex).toBe(2)
       expect(group.get('b').leader?.id).toBe('a')
     })
 
     it('does not disturb a live leader: voters that hear it ignore a returning replica', () => {
-      const group = new Group(new Set(['c']))
+      const group = new TestGroup(new Set(['c']))
       group.elect('a')
       const term = group.get('a').term
-      group.cut.clear()
+      group.disconnected.clear()
       group.tick('a', 60)
       group.now += 10
       const vote: RaftMessage = { kind: 'vote-request', from: 'c', term: term + 5, preVote: false, lastIndex: 99, lastTerm: 99, transfer: false }
@@ -92,10 +92,10 @@
 
     it('asks again with each heartbeat for votes that were lost, and not only after another timeout', () => {
       const { electionTimeoutMs, heartbeatMs } = DEFAULT_RAFT_SETTINGS
-      const group = new Group(new Set(['a']))
+      const group = new TestGroup(new Set(['a']))
       group.tick('a', electionTimeoutMs * 1.5)
       expect(group.get('a').role).toBe('pre-candidate')
-      group.cut.clear()
+      group.disconnected.clear()
       group.tick('a', heartbeatMs - 1)
       expect(group.get('a').role).toBe('pre-candidate')
       group.tick('a', 1)
@@ -108,18 +108,18 @@
       asking.receive({ kind: 'vote-response', from: 'b', term: 1, preVote: true, granted: true, askedTerm: 2 }, 1000)
       expect(asking.role).toBe('candidate')
       expect(asking.tick(1000 + DEFAULT_RAFT_SETTINGS.heartbeatMs).messages.map(({ to }) => to.id)).toEqual(['b', 'c'])
-      const preCandidate = core('a', { ...FOUNDED, entries: [{ kind: 'membership', index: 1, term: 1, membership: { voters: [...replicas, { id: 'd', address: 'd' }], learners: [] } }] })
+      const preCandidate = core('a', { ...BOOTSTRAPPED, entries: [{ kind: 'membership', index: 1, term: 1, membership: { voters: [...replicas, { id: 'd', address: 'd' }], learners: [] } }] })
       preCandidate.tick(1000)
       preCandidate.receive({ kind: 'vote-response', from: 'b', term: 1, preVote: true, granted: true, askedTerm: 2 }, 1000)
       expect(preCandidate.tick(1000 + DEFAULT_RAFT_SETTINGS.heartbeatMs).messages.map(({ to }) => to.id)).toEqual(['c', 'd'])
     })
 
     it('steps down without a quorum, and its lease ends before another can be elected', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
       group.tick('a', 60)
       const contact = group.now
-      group.cut.add('a')
+      group.disconnected.add('a')
       expect(group.get('a').holdsLease(contact + DEFAULT_RAFT_SETTINGS.leaseMs - 1)).toBe(true)
       expect(group.get('a').holdsLease(contact + DEFAULT_RAFT_SETTINGS.leaseMs)).toBe(false)
       group.tick('a', DEFAULT_RAFT_SETTINGS.electionTimeoutMs)
@@ -128,7 +128,7 @@
     })
 
     it('has no lease before a quorum has followed it in this term', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
       const leader = core('a')
       leader.tick(1000)
@@ -141,28 +141,28 @@
 
   describe('replication', () => {
     it('commits by a quorum and overwrites what never was', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
-      group.cut.add('a')
+      group.disconnected.add('a')
       const lost = group.get('a').propose(new Uint8Array([1]), group.now)
       if (!lost.ok) throw new Error('not proposed')
       group.deliver('a', lost.value.effects)
       expect(group.get('a').commitIndex).toBe(2)
       group.elect('b')
-      group.cut.clear()
+      group.disconnected.clear()
       group.tick('b', 60)
       expect(group.get('a').entryAt(3)).toMatchObject({ kind: 'empty', term: group.get('b').term })
     })
 
     it('brings a replica up to date by a snapshot once the log is compacted', () => {
-      const group = new Group(new Set(['c']))
+      const group = new TestGroup(new Set(['c']))
       group.elect('a')
-      for (let turn = 0; turn < 5; turn += 1) {
-        const proposed = group.get('a').propose(new Uint8Array([turn]), group.now)
+      for (let count = 0; count < 5; count += 1) {
+        const proposed = group.get('a').propose(new Uint8Array([count]), group.now)
         if (proposed.ok) group.deliver('a', proposed.value.effects)
       }
       group.deliver('a', group.get('a').compact(group.get('a').commitIndex, new Uint8Array([42])))
-      group.cut.clear()
+      group.disconnected.clear()
       group.tick('a', 60)
       group.tick('a', 60)
       expect(group.get('c').snapshot?.state).toEqual(new Uint8Array([42]))
@@ -171,25 +171,25 @@
   })
 
   describe('forming', () => {
-    const needsThree = (id: string, persisted = EMPTY): RaftCore =>
+    const coreNeedingThreeVoters = (id: string, persisted = EMPTY): RaftCore =>
       new RaftCore({ id, address: id }, persisted, { ...DEFAULT_RAFT_SETTINGS, minimumVoters: 3 }, () => 0.5, 0)
 
     /** A founder with two hosts that have not joined. */
-    function founded (): Group {
-      const group = new Group()
-      for (const id of ['a', 'b', 'c']) group.cores.set(id, needsThree(id))
+    function bootstrapGroup (): TestGroup {
+      const group = new TestGroup()
+      for (const id of ['a', 'b', 'c']) group.cores.set(id, coreNeedingThreeVoters(id))
       group.deliver('a', group.get('a').bootstrap(group.now))
       group.elect('a')
       return group
     }
 
-    function join (group: Group, id: string): void {
-      group.change('a', group.get('a').addLearner({ id, address: id }, group.now))
+    function join (group: TestGroup, id: string): void {
+      group.applyChange('a', group.get('a').addLearner({ id, address: id }, group.now))
       group.tick('a', 60)
-      group.change('a', group.get('a').promote(id, group.now))
+      group.applyChange('a', group.get('a').promote(id, group.now))
     }
 
-    function propose (group: Group, id = 'a'): string {
+    function propose (group: TestGroup, id = 'a'): string {
       const proposed = group.get(id).propose(new Uint8Array([1]), group.now)
       if (!proposed.ok) return proposed.error.kind
       group.deliver(id, proposed.value.effects)
@@ -197,24 +197,24 @@
     }
 
     it('appends no command before enough voters are committed; learners do not count', () => {
-      const group = founded()
+      const group = bootstrapGroup()
       expect(propose(group)).toBe('forming')
       join(group, 'b')
-      group.change('a', group.get('a').addLearner({ id: 'c', address: 'c' }, group.now))
+      group.applyChange('a', group.get('a').addLearner({ id: 'c', address: 'c' }, group.now))
       expect(group.get('a').formation).toMatchObject({ isFormed: false, voters: 2, needed: 3 })
       expect(propose(group)).toBe('forming')
       group.tick('a', 60)
-      group.change('a', group.get('a').promote('c', group.now))
+      group.applyChange('a', group.get('a').promote('c', group.now))
       expect(propose(group)).toBe('taken')
     })
 
     it('does not count a voter whose promotion is not committed', () => {
-      const group = founded()
+      const group = bootstrapGroup()
       join(group, 'b')
-      group.change('a', group.get('a').addLearner({ id: 'c', address: 'c' }, group.now))
+      group.applyChange('a', group.get('a').addLearner({ id: 'c', address: 'c' }, group.now))
       group.tick('a', 60)
-      group.cut.add('b').add('c')
-      group.change('a', group.get('a').promote('c', group.now))
+      group.disconnected.add('b').add('c')
+      group.applyChange('a', group.get('a').promote('c', group.now))
       expect(group.get('a').membership.voters).toHaveLength(3)
       const { lastIndex } = group.get('a')
       expect(propose(group)).toBe('forming')
@@ -222,10 +222,10 @@
     })
 
     it('stays formed while a repair leaves fewer voters, also under another leader', () => {
-      const group = founded()
+      const group = bootstrapGroup()
       join(group, 'b')
       join(group, 'c')
-      group.change('a', group.get('a').remove('c', group.now))
+      group.applyChange('a', group.get('a').remove('c', group.now))
       expect(propose(group)).toBe('taken')
       group.tick('a', 60)
       group.cores.delete('c')
@@ -237,15 +237,15 @@
     it('is known again after a restart, from the log or a snapshot', () => {
       const membership = { voters: replicas.slice(0, 1), learners: [] }
       const command = { kind: 'command' as const, index: 2, term: 1, command: new Uint8Array([1]) }
-      const fromLog = needsThree('a', { ...EMPTY, term: 1, entries: [{ kind: 'membership', index: 1, term: 1, membership }, command] })
+      const fromLog = coreNeedingThreeVoters('a', { ...EMPTY, term: 1, entries: [{ kind: 'membership', index: 1, term: 1, membership }, command] })
       fromLog.tick(1000)
       expect(fromLog.formation.isFormed).toBe(true)
-      const fromSnapshot = needsThree('a', { ...EMPTY, term: 1, snapshot: { index: 9, term: 1, membership, state: new Uint8Array() } })
+      const fromSnapshot = coreNeedingThreeVoters('a', { ...EMPTY, term: 1, snapshot: { index: 9, term: 1, membership, state: new Uint8Array() } })
       expect(fromSnapshot.formation).toEqual({ isFormed: true, membershipIndex: 9, voters: 1, needed: 3 })
     })
 
     it('makes no snapshot of a group that is not formed', () => {
-      const founder = founded().get('a')
+      const founder = bootstrapGroup().get('a')
       expect(founder.compact(founder.commitIndex, new Uint8Array()).writes).toEqual([])
       expect(founder.snapshot).toBeUndefined()
     })
@@ -253,44 +253,44 @@
 
   describe('membership', () => {
     it('lets a learner vote only after it holds nearly all of the log', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
-      for (let turn = 0; turn < 40; turn += 1) {
-        const proposed = group.get('a').propose(new Uint8Array([turn]), group.now)
+      for (let count = 0; count < 40; count += 1) {
+        const proposed = group.get('a').propose(new Uint8Array([count]), group.now)
         if (proposed.ok) group.deliver('a', proposed.value.effects)
       }
       const leader = group.get('a')
-      group.change('a', leader.addLearner({ id: 'd', address: 'd' }, group.now))
+      group.applyChange('a', leader.addLearner({ id: 'd', address: 'd' }, group.now))
       expect(leader.promote('d', group.now)).toMatchObject({ ok: false, error: { kind: 'learner-lags' } })
       group.cores.set('d', core('d', EMPTY))
       group.tick('a', 60)
       group.tick('a', 60)
-      group.change('a', leader.promote('d', group.now))
+      group.applyChange('a', leader.promote('d', group.now))
       expect(leader.membership.voters.map(voter => voter.id)).toEqual(['a', 'b', 'c', 'd'])
     })
 
     it('makes one change at a time, and none before its first commit', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
-      group.cut.add('b').add('c')
-      group.change('a', group.get('a').remove('c', group.now))
+      group.disconnected.add('b').add('c')
+      group.applyChange('a', group.get('a').remove('c', group.now))
       expect(group.get('a').remove('b', group.now)).toMatchObject({ ok: false, error: { kind: 'change-in-progress' } })
     })
 
     it('answers for the membership on the leader only, and only once it is committed', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
       const follower = group.get('b')
       expect(follower.addLearner({ id: 'c', address: 'c' }, group.now)).toMatchObject({ ok: false, error: { kind: 'not-leader', leader: { id: 'a' } } })
       expect(follower.remove('gone', group.now)).toMatchObject({ ok: false, error: { kind: 'not-leader' } })
       expect(group.get('a').remove('gone', group.now)).toMatchObject({ ok: false, error: { kind: 'unknown-replica' } })
-      group.cut.add('b').add('c')
-      group.change('a', group.get('a').remove('c', group.now))
+      group.disconnected.add('b').add('c')
+      group.applyChange('a', group.get('a').remove('c', group.now))
       expect(group.get('a').remove('c', group.now)).toMatchObject({ ok: false, error: { kind: 'change-in-progress' } })
     })
 
     it('hands leadership over for a planned stop, without waiting for a timeout', () => {
-      const group = new Group()
+      const group = new TestGroup()
       group.elect('a')
       group.deliver('a', group.get('a').transferLeadership(group.now))
       expect(group.get('a').role).toBe('follower')
--- a/packages/consensus/src/lib/RaftCore.ts
+++ b/packages/consensus/src/lib/RaftCore.ts
@@ -22,7 +22,7 @@
 export class RaftCore {
   readonly #state: RaftState
   readonly #replication: LeaderReplication
-  readonly #following: FollowerReplication
+  readonly #follower: FollowerReplication
   readonly #elections: Elections
   readonly #membership: MembershipChanges
 
@@ -42,7 +42,7 @@
   ) {
     this.#state = new RaftState(self, persisted, settings, random, startedAt)
     this.#replication = new LeaderReplication(this.#state)
-    this.#following = new FollowerReplication(this.#state)
+    this.#follower = new FollowerReplication(this.#state)
     this.#elections = new Elections(this.#state, this.#replication)
     this.#membership = new MembershipChanges(this.#state, this.#replication)
   }
@@ -81,8 +81,8 @@
    * @param now - monotonic milliseconds
    */
   holdsLease (now: number): boolean {
-    if (!this.#mayAct()) return false
-    return now < this.#replication.quorumContact(now) + this.settings.leaseMs
+    if (!this.#isActiveLeader()) return false
+    return now < this.#replication.quorumContactAt(now) + this.settings.leaseMs
   }
 
   /**
@@ -104,7 +104,7 @@
    */
   isReadConfirmed (readAt: number, now: number): boolean {
     if (this.role !== 'leader' || !this.#replication.hasCommittedInTerm) return false
-    return this.membership.voters.length === 1 || this.#replication.quorumContact(now) > readAt
+    return this.membership.voters.length === 1 || this.#replication.quorumContactAt(now) > readAt
   }
 
   /**
@@ -114,7 +114,7 @@
    * @param now - monotonic milliseconds
    * @returns milliseconds; counted from the leader's first message to the peer if it was never heard
    */
-  silenceMs (id: string, now: number): number { return this.#replication.silentFor(id, now) }
+  silenceMs (id: string, now: number): number { return this.#replication.silenceMs(id, now) }
 
   // --- Inputs ---
 
@@ -138,17 +138,17 @@
    * @returns effects to carry out
    */
   receive (message: RaftMessage, now: number): RaftEffects {
-    if (this.#elections.mustIgnore(message, now)) return this.#state.takeEffects()
+    if (this.#elections.shouldIgnore(message, now)) return this.#state.takeEffects()
     const isPreVote = (message.kind === 'vote-request' || message.kind === 'vote-response') && message.preVote
     if (message.term > this.term && !isPreVote) this.#state.adoptTerm(message.term, now)
     switch (message.kind) {
       case 'vote-request': this.#elections.onVoteRequest(message, now); break
       case 'vote-response': this.#elections.onVoteResponse(message, now); break
-      case 'append-request': this.#following.onAppendRequest(message, now); break
+      case 'append-request': this.#follower.onAppendRequest(message, now); break
       case 'append-response': this.#replication.onAppendResponse(message, now); break
-      case 'snapshot-request': this.#following.onSnapshotRequest(message, now); break
+      case 'snapshot-request': this.#follower.onSnapshotRequest(message, now); break
       case 'timeout-now':
-        if (message.term === this.term && this.#state.isVoter(this.self.id)) this.#elections.standForTransfer(now)
+        if (message.term === this.term && this.#state.isVoter(this.self.id)) this.#elections.startTransferElection(now)
         break
       default: unreachable(message)
     }
@@ -164,7 +164,7 @@
    * @returns the index it will have if it commits, and effects
    */
   propose (command: Uint8Array, now: number): Result<{ index: number, term: number, effects: RaftEffects }, RaftError> {
-    if (!this.#mayAct()) return fail(this.#state.notLeader())
+    if (!this.#isActiveLeader()) return fail(this.#state.notLeader())
     const { formation } = this.#state
     if (!formation.isFormed) return fail({ kind: 'forming', state: formation.state })
     const entry: LogEntry = { kind: 'command', index: this.lastIndex + 1, term: this.term, command }
@@ -214,7 +214,7 @@
    * @returns effects; leadership ends when the target's election wins or the transfer times out
    */
   transferLeadership (now: number): RaftEffects {
-    if (this.#mayAct()) this.#replication.transfer(now)
+    if (this.#isActiveLeader()) this.#replication.transfer(now)
     return this.#state.takeEffects()
   }
 
@@ -249,7 +249,7 @@
   }
 
   /** Leads, and is not handing over. */
-  #mayAct (): boolean {
+  #isActiveLeader (): boolean {
     return this.role === 'leader' && this.#state.transferTarget === undefined
   }
 }
--- a/packages/consensus/src/lib/RaftLog.ts
+++ b/packages/consensus/src/lib/RaftLog.ts
@@ -115,8 +115,8 @@
    * @returns the membership in force at that index
    */
   membershipAt (index: number): Membership {
-    for (let at = Math.min(index, this.lastIndex); at > this.snapshotIndex; at -= 1) {
-      const entry = this.entryAt(at)
+    for (let position = Math.min(index, this.lastIndex); position > this.snapshotIndex; position -= 1) {
+      const entry = this.entryAt(position)
       if (entry?.kind === 'membership') return entry.membership
     }
     return this.#snapshot?.membership ?? { voters: [], learners: [] }
--- a/packages/state/src/lib/EvacuationRegister.test.ts
+++ b/packages/state/src/lib/EvacuationRegistry.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { decodeCommand, encodeCommand, mayChangeView } from './commandCodec.js'
 import { stateImageSchema, type Command, type CommandResult } from './commands.js'
-import { MOST_DATA_CENTRES } from './EvacuationRegister.js'
+import { MAX_DATA_CENTRES } from './EvacuationRegistry.js'
 import { StateMachine } from './StateMachine.js'
 
 const order = (dataCentre: string, isEvacuated: boolean, knownRevision = 0): Command => ({ kind: 'order-evacuation', dataCentre, isEvacuated, knownRevision })
@@ -77,10 +77,10 @@
     const state = new StateMachine()
     apply(state, order('ended', true))
     apply(state, order('ended', false, 1))
-    for (let index = 0; index < MOST_DATA_CENTRES; index += 1) expect(apply(state, order(`hall-${index}`, true, state.evacuations.revision)).kind).toBe('accepted')
-    expect(state.evacuations.orders).toHaveLength(MOST_DATA_CENTRES)
+    for (let index = 0; index < MAX_DATA_CENTRES; index += 1) expect(apply(state, order(`hall-${index}`, true, state.evacuations.revision)).kind).toBe('accepted')
+    expect(state.evacuations.orders).toHaveLength(MAX_DATA_CENTRES)
     expect(apply(state, order('one-more', true, state.evacuations.revision))).toMatchObject({ kind: 'invalid' })
-    expect(state.evacuations.evacuated).toHaveLength(MOST_DATA_CENTRES)
+    expect(state.evacuations.evacuated).toHaveLength(MAX_DATA_CENTRES)
   })
 
   it('are told from the log as changes of the view', () => {
--- a/packages/state/src/lib/EvacuationRegister.ts
+++ b/packages/state/src/lib/EvacuationRegistry.ts
@@ -10,10 +10,10 @@
 import type { CommandResult, EvacuationCommand, EvacuationImage } from './commands.js'
 
 /** Data centres that are remembered; ended evacuations go first when there are more. */
-export const MOST_DATA_CENTRES = 256
+export const MAX_DATA_CENTRES = 256
 
 /** Last orders by data centre; equal commands give equal registers. */
-export class EvacuationRegister {
+export class EvacuationRegistry {
   readonly #orders = new Map<string, Evacuation>()
   #revision = 0
 
@@ -34,7 +34,7 @@
   apply ({ dataCentre, isEvacuated, knownRevision }: EvacuationCommand, clock: number): { result: CommandResult, hasChanged: boolean } {
     const present = this.#orders.get(dataCentre)
     if ((present?.revision ?? 0) > knownRevision) return { result: { kind: 'revision-conflict', revision: this.#revision }, hasChanged: false }
-    if (present === undefined && !this.#makeRoom()) return { result: { kind: 'invalid', message: `data centre: ${MOST_DATA_CENTRES} are evacuated already` }, hasChanged: false }
+    if (present === undefined && !this.#tryMakeRoom()) return { result: { kind: 'invalid', message: `data centre: ${MAX_DATA_CENTRES} are evacuated already` }, hasChanged: false }
     const hasChanged = (present?.isEvacuated ?? false) !== isEvacuated
     this.#revision += 1
     const orderedAt = hasChanged ? clock : present?.orderedAt ?? clock
@@ -55,8 +55,8 @@
   }
 
   /** Never drops an evacuation that is in force. */
-  #makeRoom (): boolean {
-    if (this.#orders.size < MOST_DATA_CENTRES) return true
+  #tryMakeRoom (): boolean {
+    if (this.#orders.size < MAX_DATA_CENTRES) return true
     const oldestEnded = this.orders.filter(({ isEvacuated }) => !isEvacuated).sort((left, right) => left.revision - right.revision)[0]
     return oldestEnded !== undefined && this.#orders.delete(oldestEnded.dataCentre)
   }
--- a/packages/state/src/lib/QuarantineRegistry.test.ts
+++ b/packages/state/src/lib/QuarantineRegistry.test.ts
@@ -3,7 +3,7 @@
 import { decodeCommand, encodeCommand, mayChangeView } from './commandCodec.js'
 import { stateImageSchema, type Command } from './commands.js'
 import { StateMachine } from './StateMachine.js'
-import { MOST_ENTRIES } from './QuarantineRegistry.js'
+import { MAX_ENTRIES } from './QuarantineRegistry.js'
 
 const FINGERPRINT = 'a'.repeat(32)
 const DAY_MS = 24 * 60 * 60 * 1000
@@ -51,8 +51,8 @@
 
   it('holds a bounded number: what is only suspected goes before what is quarantined', () => {
     const name = (number: number): string => number.toString(16).padStart(32, '0')
-    const state = machine([0, changed('quarantine', 1, FINGERPRINT)], ...Array.from({ length: MOST_ENTRIES + 10 }, (_, number): [number, Command] => [0, changed('suspect', 1000 + number, name(number))]))
-    expect(state.quarantine.all).toHaveLength(MOST_ENTRIES)
+    const state = machine([0, changed('quarantine', 1, FINGERPRINT)], ...Array.from({ length: MAX_ENTRIES + 10 }, (_, number): [number, Command] => [0, changed('suspect', 1000 + number, name(number))]))
+    expect(state.quarantine.all).toHaveLength(MAX_ENTRIES)
     expect(state.quarantine.find(FINGERPRINT)?.state).toBe('quarantined')
     expect(state.quarantine.find(name(0))).toBeUndefined()
   })
--- a/packages/state/src/lib/QuarantineRegistry.ts
+++ b/packages/state/src/lib/QuarantineRegistry.ts
@@ -2,13 +2,13 @@
 import type { QuarantineDecision, QuarantineEntry, QuarantineState } from '@eelgrassmux/schema/quarantineEntry'
 
 /** Entries held at most: each takes some 100 bytes in snapshots and views. */
-export const MOST_ENTRIES = 512
+export const MAX_ENTRIES = 512
 
 /** How long a released request is remembered, in milliseconds: long enough for one that comes once a day's shift. */
-const RELEASED_MS = 24 * 60 * 60 * 1000
+const RELEASED_RETENTION_MS = 24 * 60 * 60 * 1000
 
 /** The first to go when there are too many. */
-const GOES_FIRST: readonly QuarantineState[] = ['suspected', 'released', 'quarantined']
+const EVICTION_ORDER: readonly QuarantineState[] = ['suspected', 'released', 'quarantined']
 
 /** Entries by fingerprint; equal commands give equal entries. */
 export class QuarantineRegistry {
@@ -36,7 +36,7 @@
    * @returns fingerprints whose entry changed
    */
   apply (decisions: readonly QuarantineDecision[], clock: number): string[] {
-    return decisions.flatMap(decision => this.#change(decision, clock) ? this.#makeRoom([decision.fingerprint]) : [])
+    return decisions.flatMap(decision => this.#change(decision, clock) ? this.#evictIfFull([decision.fingerprint]) : [])
   }
 
   /**
@@ -46,7 +46,7 @@
   expire (clock: number): string[] {
     const ended = this.all.filter(({ endsAt }) => endsAt <= clock)
     for (const entry of ended) {
-      if (entry.state === 'quarantined') this.#entries.set(entry.fingerprint, { ...entry, state: 'released', endsAt: clock + RELEASED_MS })
+      if (entry.state === 'quarantined') this.#entries.set(entry.fingerprint, { ...entry, state: 'released', endsAt: clock + RELEASED_RETENTION_MS })
       else this.#entries.delete(entry.fingerprint)
     }
     return ended.map(({ fingerprint }) => fingerprint)
@@ -76,11 +76,11 @@
   }
 
   /** @returns the given fingerprints, and that of the entry that had to go */
-  #makeRoom (changed: string[]): string[] {
-    if (this.#entries.size <= MOST_ENTRIES) return changed
-    const [first] = this.all.toSorted((left, right) => GOES_FIRST.indexOf(left.state) - GOES_FIRST.indexOf(right.state) || left.endsAt - right.endsAt)
-    if (first === undefined) return changed
-    this.#entries.delete(first.fingerprint)
-    return [...changed, first.fingerprint]
+  #evictIfFull (changed: string[]): string[] {
+    if (this.#entries.size <= MAX_ENTRIES) return changed
+    const [evicted] = this.all.toSorted((left, right) => EVICTION_ORDER.indexOf(left.state) - EVICTION_ORDER.indexOf(right.state) || left.endsAt - right.endsAt)
+    if (evicted === undefined) return changed
+    this.#entries.delete(evicted.fingerprint)
+    return [...changed, evicted.fingerprint]
   }
 }
--- a/packages/state/src/lib/SiteRegister.test.ts
+++ b/packages/state/src/lib/SiteRegistry.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import { SiteRegister } from './SiteRegister.js'
+import { SiteRegistry } from './SiteRegistry.js'
 import { StateMachine } from './StateMachine.js'
 
 function site (version: number): Site {
@@ -12,28 +12,28 @@
 
 describe('SiteRegister', () => {
   it('keeps the highest version and acknowledges the others', () => {
-    const register = new SiteRegister()
+    const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(3, 'three'))).toEqual({ result: { kind: 'site-accepted', version: 5 }, hasChanged: false })
     expect(register.current?.site.version).toBe(5)
   })
 
   it('never takes other content under the version that it holds', () => {
-    const register = new SiteRegister()
+    const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(5, 'other')).hasChanged).toBe(false)
     expect(Buffer.from(register.current?.source ?? []).toString()).toBe('five')
   })
 
   it('lets named weights only rise', () => {
-    const register = new SiteRegister()
+    const register = new SiteRegistry()
     register.nameWeights({ kind: 'name-weights', model: 'm', version: 3 })
     expect(register.nameWeights({ kind: 'name-weights', model: 'm', version: 2 }).hasChanged).toBe(false)
     expect(register.weights).toEqual([{ model: 'm', version: 3 }])
   })
 
   it('does not give the right to order back to an earlier term', () => {
-    const register = new SiteRegister()
+    const register = new SiteRegistry()
     register.claimOrders({ replicaId: 'b', term: 4 })
     register.claimOrders({ replicaId: 'a', term: 3 })
     expect(register.orderHolder).toEqual({ replicaId: 'b', term: 4 })
--- a/packages/state/src/lib/SiteRegister.ts
+++ b/packages/state/src/lib/SiteRegistry.ts
@@ -3,19 +3,19 @@
 import type { CommandResult, NameWeightsCommand, DesiredWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
 
 /** A site in force, with the document that its operator wrote. */
-export interface PutSite {
+export interface StoredSite {
   readonly site: Site
   /** What the operator sent, byte for byte, so that it reads back unchanged. */
   readonly source: Uint8Array
 }
 
 /** Highest version wins; whatever is not higher changes nothing and is acknowledged. */
-export class SiteRegister {
-  #put: PutSite | undefined
+export class SiteRegistry {
+  #put: StoredSite | undefined
   #weights = new Map<string, number>()
   #orderHolder: OrderHolder | undefined
 
-  get current (): PutSite | undefined { return this.#put }
+  get current (): StoredSite | undefined { return this.#put }
   get orderHolder (): OrderHolder | undefined { return this.#orderHolder }
 
   /** Weight version that each model should run. */
--- a/packages/state/src/lib/StateMachine.test.ts
+++ b/packages/state/src/lib/StateMachine.test.ts
@@ -102,7 +102,7 @@
     })
 
     it('forgets records after the window, by the clock of the log', () => {
-      const state = new StateMachine({ recordWindowMs: 100, rememberedRequests: 10 })
+      const state = new StateMachine({ recordWindowMs: 100, maxRememberedRequests: 10 })
       apply(state, claim('c1'), 50)
       apply(state, { kind: 'expire' }, 150)
       expect(state.recordCount).toBe(1)
--- a/packages/state/src/lib/StateMachine.ts
+++ b/packages/state/src/lib/StateMachine.ts
@@ -3,11 +3,11 @@
 import { checkReferences } from '@eelgrassmux/schema/checkReferences'
 import type { Configuration, ConfigurationDocument } from '@eelgrassmux/schema/configuration'
 import type {
-  ChangeCommand, ClaimCommand, ClaimResult, CommandResult, ConfirmationRecord, DocumentName, RecordKey, Shard, StampedCommand,
-  StateImage, StoredAnswer
+  ChangeCommand, ClaimCommand, ClaimResult, CommandResult, AtMostOnceRecord, DocumentName, RecordKey, Shard, StampedCommand,
+  StateImage, StoredResponse
 } from './commands.js'
-import { EvacuationRegister } from './EvacuationRegister.js'
-import { SiteRegister } from './SiteRegister.js'
+import { EvacuationRegistry } from './EvacuationRegistry.js'
+import { SiteRegistry } from './SiteRegistry.js'
 import { QuarantineRegistry } from './QuarantineRegistry.js'
 
 /** Settings that every control host must share. */
@@ -15,11 +15,11 @@
   /** How long an at-most-once record is kept after its claim, in milliseconds. */
   readonly recordWindowMs: number
   /** How many operators' requests are remembered to recognise a resend. */
-  readonly rememberedRequests: number
+  readonly maxRememberedRequests: number
 }
 
 export const DEFAULT_STATE_SETTINGS: StateSettings = {
-  recordWindowMs: 24 * 60 * 60 * 1000, rememberedRequests: 10_000
+  recordWindowMs: 24 * 60 * 60 * 1000, maxRememberedRequests: 10_000
 }
 
 /** One step of the view: what changed in the configuration; shard owners are sent whole. */
@@ -37,7 +37,7 @@
 const NO_CHANGE: Omit<ViewChange, 'viewRevision'> = { upserts: [], removes: [], replacesSite: false, quarantineChanged: [] }
 
 /** Changes kept for watchers that are only a little behind. */
-const REMEMBERED_CHANGES = 512
+const MAX_RECENT_CHANGES = 512
 
 /** Applies committed commands; equal logs give equal states. */
 export class StateMachine {
@@ -48,16 +48,16 @@
   #recentChanges: ViewChange[] = []
   #shards: Shard[] = []
   #requests = new Map<string, CommandResult>()
-  #records = new Map<string, ConfirmationRecord>()
+  #records = new Map<string, AtMostOnceRecord>()
   /** Claims released before they were applied: a late duplicate must not leave a claim without an owner. */
   #releasedClaims = new Map<string, number>()
 
   /** Site, named weights and the holder of the right to give orders. */
-  readonly sites = new SiteRegister()
+  readonly sites = new SiteRegistry()
   /** Requests that are not sent to endpoints. */
   readonly quarantine = new QuarantineRegistry()
   /** Data centres whose endpoints get no new work. */
-  readonly evacuations = new EvacuationRegister()
+  readonly evacuations = new EvacuationRegistry()
 
   /** @param settings - the same on all control hosts */
   constructor (private readonly settings: StateSettings = DEFAULT_STATE_SETTINGS) {}
@@ -95,12 +95,12 @@
       case 'complete': return this.#complete(command.record, command.claimId, command.answer)
       case 'release': return this.#release(command.record, command.claimId)
       case 'expire': return this.#expire()
-      case 'put-site': return this.#recordOutcome(this.sites.putSite(command), true)
-      case 'name-weights': return this.#recordOutcome(this.sites.nameWeights(command), false)
+      case 'put-site': return this.#recordIfChanged(this.sites.putSite(command), true)
+      case 'name-weights': return this.#recordIfChanged(this.sites.nameWeights(command), false)
       case 'claim-orders': return this.sites.claimOrders(command.holder)
-      case 'change-quarantine': return this.#recordQuarantine(this.quarantine.apply(command.decisions, this.#clock))
-      case 'expire-quarantine': return this.#recordQuarantine(this.quarantine.expire(this.#clock))
-      case 'order-evacuation': return this.#recordOutcome(this.evacuations.apply(command, this.#clock), false)
+      case 'change-quarantine': return this.#recordQuarantineChange(this.quarantine.apply(command.decisions, this.#clock))
+      case 'expire-quarantine': return this.#recordQuarantineChange(this.quarantine.expire(this.#clock))
+      case 'order-evacuation': return this.#recordIfChanged(this.evacuations.apply(command, this.#clock), false)
       default: return unreachable(command)
     }
   }
@@ -159,7 +159,7 @@
     const result = this.#decideChange(command)
     this.#requests.set(command.requestId, result)
     const oldest = this.#requests.keys().next()
-    if (this.#requests.size > this.settings.rememberedRequests && oldest.done !== true) this.#requests.delete(oldest.value)
+    if (this.#requests.size > this.settings.maxRememberedRequests && oldest.done !== true) this.#requests.delete(oldest.value)
     return result
   }
 
@@ -185,15 +185,15 @@
   #recordChange (change: Partial<Omit<ViewChange, 'viewRevision'>>): void {
     this.#viewRevision += 1
     this.#recentChanges.push({ ...NO_CHANGE, ...change, viewRevision: this.#viewRevision })
-    if (this.#recentChanges.length > REMEMBERED_CHANGES) this.#recentChanges.shift()
+    if (this.#recentChanges.length > MAX_RECENT_CHANGES) this.#recentChanges.shift()
   }
 
-  #recordOutcome (outcome: { result: CommandResult, hasChanged: boolean }, replacesSite: boolean): CommandResult {
+  #recordIfChanged (outcome: { result: CommandResult, hasChanged: boolean }, replacesSite: boolean): CommandResult {
     if (outcome.hasChanged) this.#recordChange({ replacesSite })
     return outcome.result
   }
 
-  #recordQuarantine (quarantineChanged: readonly string[]): CommandResult {
+  #recordQuarantineChange (quarantineChanged: readonly string[]): CommandResult {
     if (quarantineChanged.length > 0) this.#recordChange({ quarantineChanged })
     return { kind: 'done' }
   }
@@ -230,7 +230,7 @@
     return { kind: 'in-progress', deadlineAt: present.deadlineAt }
   }
 
-  #complete (key: RecordKey, claimId: string, answer: StoredAnswer): CommandResult {
+  #complete (key: RecordKey, claimId: string, answer: StoredResponse): CommandResult {
     const record = this.#records.get(recordId(key))
     if (record?.claimId !== claimId) return { kind: 'no-such-claim' }
     if (record.answer === undefined) this.#records.set(recordId(key), { ...record, answer })
--- a/packages/state/src/lib/commands.ts
+++ b/packages/state/src/lib/commands.ts
@@ -5,7 +5,7 @@
 import { dataCentreNameSchema, evacuationSchema } from '@eelgrassmux/schema/site/evacuation'
 import { quarantineDecisionSchema, quarantineEntrySchema } from '@eelgrassmux/schema/quarantineEntry'
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
-import { renameFormerCommand, renameFormerImage } from './readFormerNames.js'
+import { migrateLegacyCommand, migrateLegacyImage } from './migrateLegacyNames.js'
 
 const id = z.string().min(1).max(200)
 const count = z.number().int().min(0)
@@ -14,7 +14,7 @@
 export const recordKeySchema = z.strictObject({ customer: id, service: id, idempotencyKey: id })
 
 /** An endpoint's answer, kept for repeats of the same key. */
-export const storedAnswerSchema = z.strictObject({
+export const storedResponseSchema = z.strictObject({
   status: z.number().int(),
   contentType: z.string(),
   body: bytesSchema
@@ -49,7 +49,7 @@
     /** Time after which a claim without an outcome is answered as unknown. */
     deadlineAt: z.number()
   }),
-  z.strictObject({ kind: z.literal('complete'), record: recordKeySchema, claimId: id, answer: storedAnswerSchema }),
+  z.strictObject({ kind: z.literal('complete'), record: recordKeySchema, claimId: id, answer: storedResponseSchema }),
   z.strictObject({ kind: z.literal('release'), record: recordKeySchema, claimId: id }),
   z.strictObject({ kind: z.literal('expire') }),
   z.strictObject({
@@ -76,14 +76,14 @@
 ])
 
 /** A command with the proposing leader's wall clock, which the state clamps to never go back. */
-export const stampedCommandSchema = z.strictObject({ stampedAt: z.number(), command: z.preprocess(renameFormerCommand, commandSchema) })
+export const stampedCommandSchema = z.strictObject({ stampedAt: z.number(), command: z.preprocess(migrateLegacyCommand, commandSchema) })
 
 export const shardSchema = z.strictObject({ owner: z.string(), epoch: count })
 
 export const claimResultSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('claimed') }),
   z.strictObject({ kind: z.literal('in-progress'), deadlineAt: z.number() }),
-  z.strictObject({ kind: z.literal('answered'), answer: storedAnswerSchema }),
+  z.strictObject({ kind: z.literal('answered'), answer: storedResponseSchema }),
   z.strictObject({ kind: z.literal('outcome-unknown') }),
   z.strictObject({ kind: z.literal('body-differs') }),
   /** The proposer gave this claim up before it was applied. */
@@ -103,7 +103,7 @@
 
 export type DocumentName = z.infer<typeof documentNameSchema>
 export type RecordKey = z.infer<typeof recordKeySchema>
-export type StoredAnswer = z.infer<typeof storedAnswerSchema>
+export type StoredResponse = z.infer<typeof storedResponseSchema>
 export type Command = z.infer<typeof commandSchema>
 export type ClaimCommand = Extract<Command, { kind: 'claim' }>
 export type ChangeCommand = Extract<Command, { kind: 'change-configuration' }>
@@ -117,13 +117,13 @@
 export type ClaimResult = z.infer<typeof claimResultSchema>
 export type CommandResult = z.infer<typeof commandResultSchema>
 
-const recordSchema = z.strictObject({
+const atMostOnceRecordSchema = z.strictObject({
   key: recordKeySchema,
   bodySha256: id,
   claimId: id,
   deadlineAt: z.number(),
   claimedAt: z.number(),
-  answer: storedAnswerSchema.optional()
+  answer: storedResponseSchema.optional()
 })
 
 const siteImageSchema = z.object({
@@ -135,14 +135,14 @@
 export const evacuationImageSchema = z.strictObject({ revision: count, orders: z.array(evacuationSchema) })
 
 /** Image of the whole state, for snapshots. */
-export const stateImageSchema = z.preprocess(renameFormerImage, z.strictObject({
+export const stateImageSchema = z.preprocess(migrateLegacyImage, z.strictObject({
   clock: z.number(),
   revision: count,
   viewRevision: count,
   documents: z.array(documentSchema),
   shards: z.array(shardSchema),
   requests: z.array(z.strictObject({ requestId: id, result: commandResultSchema })),
-  records: z.array(recordSchema),
+  records: z.array(atMostOnceRecordSchema),
   releasedClaims: z.array(z.strictObject({ claimId: id, releasedAt: z.number() })),
   /** Absent in snapshots written before there were sites. */
   site: siteImageSchema.default({ weights: [] }),
@@ -155,4 +155,4 @@
 export type SiteImage = { [Field in keyof z.infer<typeof siteImageSchema>]: z.infer<typeof siteImageSchema>[Field] }
 export type EvacuationImage = z.infer<typeof evacuationImageSchema>
 export type StateImage = z.infer<typeof stateImageSchema>
-export type ConfirmationRecord = z.infer<typeof recordSchema>
+export type AtMostOnceRecord = z.infer<typeof atMostOnceRecordSchema>
--- a/packages/state/src/lib/readFormerNames.ts
+++ b/packages/state/src/lib/migrateLegacyNames.ts
@@ -1,24 +1,24 @@
 /** Reads logs and snapshots that hold the quarantine under the names of earlier releases. */
 import { z } from 'zod'
 
-const formerDecisionsSchema = z.object({
+const legacyDecisionsSchema = z.object({
   kind: z.literal('judge-requests'),
   judgements: z.array(z.looseObject({ judgement: z.string() }))
 })
 
-const formerExpirySchema = z.object({ kind: z.literal('expire-verdicts') })
+const legacyExpirySchema = z.object({ kind: z.literal('expire-verdicts') })
 
-const formerImageSchema = z.looseObject({ verdicts: z.array(z.unknown()) })
+const legacyImageSchema = z.looseObject({ verdicts: z.array(z.unknown()) })
 
 /**
  * @param command - as decoded from a log
  * @returns the command under its present name; unchanged if it has that already
  */
-export function renameFormerCommand (command: unknown): unknown {
-  if (formerExpirySchema.safeParse(command).success) return { kind: 'expire-quarantine' }
-  const former = formerDecisionsSchema.safeParse(command)
-  if (!former.success) return command
-  const decisions = former.data.judgements.map(({ judgement, ...rest }) => ({ ...rest, decision: judgement }))
+export function migrateLegacyCommand (command: unknown): unknown {
+  if (legacyExpirySchema.safeParse(command).success) return { kind: 'expire-quarantine' }
+  const legacy = legacyDecisionsSchema.safeParse(command)
+  if (!legacy.success) return command
+  const decisions = legacy.data.judgements.map(({ judgement, ...rest }) => ({ ...rest, decision: judgement }))
   return { kind: 'change-quarantine', decisions }
 }
 
@@ -26,9 +26,9 @@
  * @param image - as decoded from a snapshot
  * @returns the image with its present field names; unchanged if it has them already
  */
-export function renameFormerImage (image: unknown): unknown {
-  const former = formerImageSchema.safeParse(image)
-  if (!former.success) return image
-  const { verdicts, ...rest } = former.data
+export function migrateLegacyImage (image: unknown): unknown {
+  const legacy = legacyImageSchema.safeParse(image)
+  if (!legacy.success) return image
+  const { verdicts, ...rest } = legacy.data
   return { ...rest, quarantine: verdicts }
 }
--- a/packages/view/src/lib/ControlLink.test.ts
+++ b/packages/view/src/lib/ControlLink.test.ts
@@ -66,7 +66,7 @@
     closers.push(behind.close, caughtUp.close)
     const link = await openLink([behind.address, caughtUp.address])
     link.start()
-    for (let look = 0; look < 200 && link.viewRevision === 0; look += 1) await sleep(20)
+    for (let attempt = 0; attempt < 200 && link.viewRevision === 0; attempt += 1) await sleep(20)
     expect(link.viewRevision).toBe(5)
   })
 
--- a/packages/view/src/lib/ControlLink.ts
+++ b/packages/view/src/lib/ControlLink.ts
@@ -14,7 +14,7 @@
 import type { Command, CommandResult, DesiredWeights, Shard } from '@eelgrassmux/state/commands'
 import { EndpointListFollower } from './EndpointListFollower.js'
 import { FreshnessLease } from './FreshnessLease.js'
-import { StatusReports } from './StatusReports.js'
+import { StatusReporter } from './StatusReporter.js'
 import { StoredPartsFollower, type StoredPartsListener } from './StoredPartsFollower.js'
 import { ViewFollower } from './ViewFollower.js'
 
@@ -42,16 +42,16 @@
   | { readonly kind: 'uncertain' }
 
 /** Pause before a broken watch is opened again, in milliseconds. */
-const WATCH_RETRY_MS = 100
+const WATCH_RETRY_DELAY_MS = 100
 
 /** Time for which a view that some control host has applied may still be on its way through the watch, in milliseconds. */
-const ON_ITS_WAY_MS = 100
+const VIEW_DELIVERY_TIMEOUT_MS = 100
 
 /** Pause before another control host is asked to take a command, in milliseconds. */
-const PROPOSE_RETRY_MS = 50
+const PROPOSE_RETRY_DELAY_MS = 50
 
 /** Deadline of one attempt to propose, in milliseconds. */
-const PROPOSE_ATTEMPT_MS = 2000
+const PROPOSE_ATTEMPT_TIMEOUT_MS = 2000
 
 /** Follows the control hosts until stopped. */
 export class ControlLink {
@@ -60,19 +60,19 @@
   readonly #abort = new AbortController()
   #accepting = true
   #leaderHint: string | undefined
-  #watchTurn = 0
+  #watchAttempt = 0
   #watchRestart = new AbortController()
   #listeners: Array<() => void> = []
   readonly #leaderListeners: Array<() => void> = []
   readonly #endpoints: EndpointListFollower
   /** Control host that stated that it has applied a newer view than this host. */
-  #newer: { readonly address: string, readonly view: number, readonly statedAt: number } | undefined
+  #newerView: { readonly address: string, readonly view: number, readonly statedAt: number } | undefined
   #leader: string | undefined
   #watchFailures = 0
-  #watched = ''
-  #lagMs = Number.POSITIVE_INFINITY
-  readonly #reports: StatusReports
-  readonly #storesFollowed: StoredPartsFollower[] = []
+  #watchedAddress = ''
+  #eventLoopLagMs = Number.POSITIVE_INFINITY
+  readonly #statusReporter: StatusReporter
+  readonly #storedPartsFollowers: StoredPartsFollower[] = []
 
   /**
    * @param settings - who this host is
@@ -81,19 +81,19 @@
    */
   constructor (private readonly settings: ControlLinkSettings, private readonly rpc: RpcClient, datagrams: DatagramClient) {
     this.#lease = new FreshnessLease(settings.freshnessMs)
-    this.#reports = new StatusReports(datagrams, {
-      addresses: () => [...this.#addresses(), ...settings.controlAddresses],
-      isWatched: address => address === this.#leader || address === this.#watched || this.#endpoints.isWatching(address),
+    this.#statusReporter = new StatusReporter(datagrams, {
+      addresses: () => [...this.#controlAddresses(), ...settings.controlAddresses],
+      isWatched: address => address === this.#leader || address === this.#watchedAddress || this.#endpoints.isWatching(address),
       report: () => this.#report(),
-      isHurried: () => this.viewRevision === 0 || this.#leader === undefined,
-      onStatement: (address, statement, askedAt) => { this.#takeStatement(address, statement, askedAt) },
+      isUrgent: () => this.viewRevision === 0 || this.#leader === undefined,
+      onStatement: (address, statement, askedAt) => { this.#onStatement(address, statement, askedAt) },
       onSilence: address => { if (this.#leader === address) this.#setLeader(undefined) },
-      onLook: lateMs => {
-        this.#lagMs = lateMs
+      onTimer: lateMs => {
+        this.#eventLoopLagMs = lateMs
         if (this.#isWatchStuck()) this.#watchRestart.abort()
       }
     })
-    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchOrder(), () => { this.#notify() })
+    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchCandidates(), () => { this.#notify() })
   }
 
   /** Configuration in force on this host. */
@@ -125,7 +125,7 @@
    * How late this host came to its last report, in milliseconds: for so long the process did not get
    * to its sockets. Infinite before the first: connections have waited while it was loaded.
    */
-  get eventLoopLagMs (): number { return this.#lagMs }
+  get eventLoopLagMs (): number { return this.#eventLoopLagMs }
   /** Entry hosts that may be alive. */
   get liveEntries (): number { return this.#lease.liveEntries(performance.now()) }
 
@@ -160,29 +160,29 @@
    * @param listener - told of changes
    */
   followStoredParts (listener: StoredPartsListener): StoredPartsFollower {
-    const follower = new StoredPartsFollower(this.rpc, () => this.#watchOrder(), listener)
-    this.#storesFollowed.push(follower)
+    const follower = new StoredPartsFollower(this.rpc, () => this.#watchCandidates(), listener)
+    this.#storedPartsFollowers.push(follower)
     void follower.run(this.#abort.signal)
     return follower
   }
 
   /** Starts to follow. */
   start (): void {
-    this.#reports.start()
-    void this.#watchLoop()
+    this.#statusReporter.start()
+    void this.#runWatch()
     if (this.settings.watchesEndpoints === true) void this.#endpoints.run(this.#abort.signal)
   }
 
   /** Tells the control hosts that this host takes no new work. */
   stopAccepting (): void {
     this.#accepting = false
-    this.#reports.askAll()
+    this.#statusReporter.reportToAll()
   }
 
   /** Stops following. */
   stop (): void {
     this.#abort.abort()
-    this.#reports.stop()
+    this.#statusReporter.stop()
   }
 
   /**
@@ -194,39 +194,39 @@
    */
   async propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>> {
     const deadline = performance.now() + deadlineMs
-    let mayApply = false
-    for (let turn = 0; performance.now() < deadline; turn += 1) {
-      const address = this.#leaderHint ?? this.#controlAddress(turn)
-      const remaining = Math.min(PROPOSE_ATTEMPT_MS, deadline - performance.now())
+    let mayBeApplied = false
+    for (let attempt = 0; performance.now() < deadline; attempt += 1) {
+      const address = this.#leaderHint ?? this.#controlAddressAt(attempt)
+      const remaining = Math.min(PROPOSE_ATTEMPT_TIMEOUT_MS, deadline - performance.now())
       const answer = await this.rpc.call(address, propose, { command }, remaining)
       if (answer.ok && answer.value.kind === 'applied') {
         this.#leaderHint = address
         return succeed(answer.value.result)
       }
       // A connection that broke after sending looks like one that was never made: only a clear answer counts.
-      mayApply ||= !(answer.ok && answer.value.kind === 'not-leader')
-      const hinted = answer.ok && answer.value.kind === 'not-leader' ? answer.value.leader : ''
-      this.#leaderHint = hinted === '' || hinted === address ? undefined : hinted
-      await sleep(PROPOSE_RETRY_MS)
+      mayBeApplied ||= !(answer.ok && answer.value.kind === 'not-leader')
+      const hintedLeader = answer.ok && answer.value.kind === 'not-leader' ? answer.value.leader : ''
+      this.#leaderHint = hintedLeader === '' || hintedLeader === address ? undefined : hintedLeader
+      await sleep(PROPOSE_RETRY_DELAY_MS)
     }
-    return fail({ kind: mayApply ? 'uncertain' : 'not-proposed' })
+    return fail({ kind: mayBeApplied ? 'uncertain' : 'not-proposed' })
   }
 
-  #addresses (): string[] {
+  #controlAddresses (): string[] {
     const learnt = this.#lease.membership.voters.map(voter => voter.address)
     return learnt.length > 0 ? learnt : [...this.settings.controlAddresses]
   }
 
-  #controlAddress (turn: number): string {
-    const addresses = this.#addresses()
-    return addresses[turn % addresses.length] ?? ''
+  #controlAddressAt (attempt: number): string {
+    const addresses = this.#controlAddresses()
+    return addresses[attempt % addresses.length] ?? ''
   }
 
   /** The watched control host may be cut off from the others, or not have caught up: another one knows more. */
   #isWatchStuck (): boolean {
-    const isBehind = this.#newer !== undefined && this.#newer.view > this.viewRevision && performance.now() - this.#newer.statedAt > ON_ITS_WAY_MS
+    const isBehind = this.#newerView !== undefined && this.#newerView.view > this.viewRevision && performance.now() - this.#newerView.statedAt > VIEW_DELIVERY_TIMEOUT_MS
     if (this.viewRevision > 0) return isBehind || !this.isFresh()
-    return isBehind && this.#newer?.address !== this.#watched
+    return isBehind && this.#newerView?.address !== this.#watchedAddress
   }
 
   #report (): StatusRequest {
@@ -235,27 +235,27 @@
     return { host, role, address, dataCentre, viewRevision: this.viewRevision, accepting: this.#accepting, membershipIndex, wantsPeers }
   }
 
-  #takeStatement (address: string, statement: StatusResponse, askedAt: number): void {
+  #onStatement (address: string, statement: StatusResponse, askedAt: number): void {
     const { membership, membershipIndex, appliedView, leader, watched } = statement
     const known = membershipIndex === this.#lease.membershipIndex ? this.#lease.membership : undefined
     const stated = membership ?? known
     // It left out a membership that was known when it was asked, and has been overtaken since: the next answer has one.
     if (stated === undefined) return
     this.#lease.observe({ ...statement, membership: stated, askedAt })
-    if (appliedView > this.viewRevision && appliedView > (this.#newer?.view ?? 0)) this.#newer = { address, view: appliedView, statedAt: performance.now() }
+    if (appliedView > this.viewRevision && appliedView > (this.#newerView?.view ?? 0)) this.#newerView = { address, view: appliedView, statedAt: performance.now() }
     if (leader !== '') this.#setLeader(leader)
     this.#endpoints.confirm(address, watched, askedAt)
-    for (const follower of this.#storesFollowed) follower.confirm(address, watched, askedAt)
+    for (const follower of this.#storedPartsFollowers) follower.confirm(address, watched, askedAt)
   }
 
   /** The host that has what we miss, or the leader, so that few control hosts need to read the list; else any by turns. */
   #watchAddress (): string {
-    const preferred = this.#newer?.address ?? (this.#watchFailures === 0 ? this.#leader : undefined)
-    return preferred ?? this.#controlAddress(this.#watchTurn)
+    const preferred = this.#newerView?.address ?? (this.#watchFailures === 0 ? this.#leader : undefined)
+    return preferred ?? this.#controlAddressAt(this.#watchAttempt)
   }
 
-  #watchOrder (): string[] {
-    const addresses = this.#addresses()
+  #watchCandidates (): string[] {
+    const addresses = this.#controlAddresses()
     return this.#leader === undefined ? addresses : [this.#leader, ...addresses.filter(address => address !== this.#leader)]
   }
 
@@ -269,12 +269,12 @@
     for (const listener of this.#listeners) listener()
   }
 
-  async #watchLoop (): Promise<void> {
+  async #runWatch (): Promise<void> {
     while (!this.#abort.signal.aborted) {
       const address = this.#watchAddress()
-      this.#watched = address
-      this.#newer = undefined
-      this.#watchTurn += 1
+      this.#watchedAddress = address
+      this.#newerView = undefined
+      this.#watchAttempt += 1
       this.#watchRestart = new AbortController()
       const restart = this.#watchRestart
       const signal = AbortSignal.any([restart.signal, this.#abort.signal])
@@ -284,11 +284,11 @@
         if (outcome !== 'advanced') return
         this.#notify()
         // Report the new view at once, so that those who wait for it to be in force hear of it.
-        this.#reports.askAll()
+        this.#statusReporter.reportToAll()
       }, signal)
       // After a failed watch the next host is tried, also if the failed one is the leader we know.
       this.#watchFailures = this.#watchFailures === 0 ? 1 : 0
-      await sleep(WATCH_RETRY_MS)
+      await sleep(WATCH_RETRY_DELAY_MS)
     }
   }
 }
--- a/packages/view/src/lib/EndpointListFollower.ts
+++ b/packages/view/src/lib/EndpointListFollower.ts
@@ -5,7 +5,7 @@
 import { WatchRotation, type OpenWatch } from './WatchRotation.js'
 
 /** Age of the list after which another control host may know more, in milliseconds. */
-const STALE_MS = 3000
+const MAX_LIST_AGE_MS = 3000
 
 /** Keeps the newest list that any control host sent. */
 export class EndpointListFollower {
@@ -47,7 +47,7 @@
       this.#received = undefined
       await this.rpc.stream(address, watchEndpoints, {}, ({ incarnation, version, readAgeMs, endpoints }) => {
         this.#received = { incarnation, version }
-        this.#noteRead(watch, readAgeMs, performance.now())
+        this.#recordRead(watch, readAgeMs, performance.now())
         if (endpoints === undefined || readAgeMs < 0) return
         this.#endpoints = endpoints
         this.onChange()
@@ -66,14 +66,14 @@
     const watch = this.#rotation.openAt(address)
     // What is newer than this host's list is on its way through the watch.
     if (watch === undefined || this.#received?.incarnation !== incarnation || this.#received.version !== endpointList) return
-    this.#noteRead(watch, listAgeMs, askedAt)
+    this.#recordRead(watch, listAgeMs, askedAt)
   }
 
-  #noteRead (watch: OpenWatch, readAgeMs: number, now: number): void {
+  #recordRead (watch: OpenWatch, readAgeMs: number, now: number): void {
     watch.markAlive()
     const readAt = readAgeMs < 0 ? Number.NEGATIVE_INFINITY : now - readAgeMs
     // A host that can't reach the platform is left for another.
-    if (now - readAt > STALE_MS && now - watch.startedAt > STALE_MS) watch.leave()
+    if (now - readAt > MAX_LIST_AGE_MS && now - watch.startedAt > MAX_LIST_AGE_MS) watch.leave()
     this.#readAt = Math.max(this.#readAt, readAt)
   }
 }
--- a/packages/view/src/lib/FreshnessLease.test.ts
+++ b/packages/view/src/lib/FreshnessLease.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { KEPT_MS } from './LiveHostCount.js'
+import { COUNT_RETENTION_MS } from './LiveHostCount.js'
 import { FreshnessLease, type VoterStatement } from './FreshnessLease.js'
 
 const voters = ['a', 'b', 'c'].map(id => ({ id, address: id }))
@@ -63,8 +63,8 @@
     it('takes the largest count of late, so that shares never add up to more than the whole', () => {
       const lease = observed(statement('a', 0, 5, { liveEntries: 7 }), statement('b', 900, 5, { liveEntries: 6 }))
       expect(lease.liveEntries(950)).toBe(7)
-      expect(lease.liveEntries(KEPT_MS)).toBe(7)
-      expect(lease.liveEntries(KEPT_MS + 1)).toBe(6)
+      expect(lease.liveEntries(COUNT_RETENTION_MS)).toBe(7)
+      expect(lease.liveEntries(COUNT_RETENTION_MS + 1)).toBe(6)
     })
   })
 })
--- a/packages/view/src/lib/LiveHostCount.test.ts
+++ b/packages/view/src/lib/LiveHostCount.test.ts
@@ -1,23 +1,23 @@
 import { describe, expect, it } from 'vitest'
-import { KEPT_MS, LiveHostCount } from './LiveHostCount.js'
+import { COUNT_RETENTION_MS, LiveHostCount } from './LiveHostCount.js'
 
 describe('LiveHostCount', () => {
-  const counted = (...stated: ReadonlyArray<readonly [count: number, at: number]>): LiveHostCount => {
+  const counted = (...reports: ReadonlyArray<readonly [count: number, at: number]>): LiveHostCount => {
     const count = new LiveHostCount()
-    for (const [hosts, at] of stated) count.observe(hosts, at)
+    for (const [hosts, at] of reports) count.observe(hosts, at)
     return count
   }
 
   it('takes the largest count of late', () => {
     const count = counted([7, 0], [6, 900])
     expect(count.at(950)).toBe(7)
-    expect(count.at(KEPT_MS + 1)).toBe(6)
+    expect(count.at(COUNT_RETENTION_MS + 1)).toBe(6)
     expect(counted([6, 0], [7, 10]).at(20)).toBe(7)
   })
 
   // Guards against hosts that each spend the whole of a shared bound while no control host is there to count them.
   it('does not take this host for the only one while no control host can be reached', () => {
-    expect(counted([81, 0]).at(60 * KEPT_MS)).toBe(81)
+    expect(counted([81, 0]).at(60 * COUNT_RETENTION_MS)).toBe(81)
   })
 
   // Guards against the same when all control hosts have just started and count whoever has reported by then.
--- a/packages/view/src/lib/StatusReports.ts
+++ b/packages/view/src/lib/StatusReporter.ts
@@ -12,32 +12,32 @@
  * Interval between questions to the control host that is watched, in milliseconds: if one is lost, the next is
  * answered before what that host vouches for runs out, a second after it was asked.
  */
-const LOOK_MS = 400
+const REPORT_INTERVAL_MS = 400
 
 /** Every so many looks the others are asked as well: a quarter of the usual lease. Each answer wakes this host. */
-const LOOKS_BETWEEN_OTHERS = 2
+const UNWATCHED_REPORT_ROUNDS = 2
 
 /** Interval between looks while this host waits for what it needs to serve, in milliseconds; its callers wait, too. */
-const HURRIED_LOOK_MS = 100
+const URGENT_REPORT_INTERVAL_MS = 100
 
 /** Part of an interval by which looks depart from it by chance, so that hosts that started together don't ask together. */
-const JITTER = 0.1
+const JITTER_RATIO = 0.1
 
 /** Age from which a question counts as unanswered, in milliseconds: many times what an answer takes between data centres. */
-const ANSWER_MS = 90
+const RESPONSE_TIMEOUT_MS = 90
 
 /** Questions in a row without an answer after which a control host counts as silent; one or two may be lost. */
-const SILENT_QUESTIONS = 3
+const MAX_UNANSWERED_REQUESTS = 3
 
 /** What is asked of a control host, and heard from it. */
-interface Asked {
+interface RequestState {
   askedAt: number
   answeredAt: number
   unanswered: number
 }
 
 /** What the reports are made of, and who takes the answers. */
-export interface StatusReportsPorts {
+export interface StatusReporterPorts {
   /** Control hosts, as of now. */
   addresses (): Iterable<string>
   /** Whether a control host is watched, as of now. */
@@ -45,7 +45,7 @@
   /** This host's report, as of now. */
   report (): StatusRequest
   /** Whether this host waits for what it needs to serve. */
-  isHurried (): boolean
+  isUrgent (): boolean
   /**
    * @param address - control host
    * @param statement - its answer
@@ -55,30 +55,30 @@
   /** @param address - control host that has left several questions unanswered */
   onSilence (address: string): void
   /** @param lateMs - milliseconds by which the last look was late */
-  onLook (lateMs: number): void
+  onTimer (lateMs: number): void
 }
 
 /** Reports until stopped. */
-export class StatusReports {
-  readonly #asked = new Map<string, Asked>()
+export class StatusReporter {
+  readonly #requests = new Map<string, RequestState>()
   #timer: NodeJS.Timeout | undefined
-  #looks = 0
+  #rounds = 0
 
   /**
    * @param datagrams - asks
    * @param ports - surroundings
    */
-  constructor (private readonly datagrams: Pick<DatagramClient, 'ask'>, private readonly ports: StatusReportsPorts) {}
+  constructor (private readonly datagrams: Pick<DatagramClient, 'ask'>, private readonly ports: StatusReporterPorts) {}
 
   /** Begins to report. */
   start (): void {
     const now = performance.now()
-    this.#askDue(now)
-    const lookMs = (this.ports.isHurried() ? HURRIED_LOOK_MS : LOOK_MS) * (1 + (2 * Math.random() - 1) * JITTER)
+    this.#reportDue(now)
+    const intervalMs = (this.ports.isUrgent() ? URGENT_REPORT_INTERVAL_MS : REPORT_INTERVAL_MS) * (1 + (2 * Math.random() - 1) * JITTER_RATIO)
     this.#timer = setTimeout(() => {
-      this.ports.onLook(performance.now() - now - lookMs)
+      this.ports.onTimer(performance.now() - now - intervalMs)
       this.start()
-    }, lookMs)
+    }, intervalMs)
   }
 
   /** Ends reporting. */
@@ -87,33 +87,33 @@
   }
 
   /** Reports to all at once, because something has changed. */
-  askAll (): void {
+  reportToAll (): void {
     const now = performance.now()
-    for (const address of new Set(this.ports.addresses())) this.#ask(address, now)
+    for (const address of new Set(this.ports.addresses())) this.#reportTo(address, now)
   }
 
-  #askDue (now: number): void {
+  #reportDue (now: number): void {
     const addresses = new Set(this.ports.addresses())
-    for (const address of this.#asked.keys()) {
-      if (!addresses.has(address)) this.#asked.delete(address)
+    for (const address of this.#requests.keys()) {
+      if (!addresses.has(address)) this.#requests.delete(address)
     }
-    const areAllDue = this.ports.isHurried() || this.#looks % LOOKS_BETWEEN_OTHERS === 0
-    this.#looks += 1
+    const includesUnwatched = this.ports.isUrgent() || this.#rounds % UNWATCHED_REPORT_ROUNDS === 0
+    this.#rounds += 1
     for (const address of addresses) {
-      if (areAllDue || this.ports.isWatched(address) || this.#isUnanswered(address, now)) this.#ask(address, now)
+      if (includesUnwatched || this.ports.isWatched(address) || this.#isUnanswered(address, now)) this.#reportTo(address, now)
     }
   }
 
   #isUnanswered (address: string, now: number): boolean {
-    const asked = this.#asked.get(address)
+    const asked = this.#requests.get(address)
     return asked === undefined || isUnanswered(asked, now)
   }
 
-  #ask (address: string, now: number): void {
-    const asked = this.#asked.get(address) ?? { askedAt: now, answeredAt: now, unanswered: 0 }
-    if (isUnanswered(asked, now)) this.#noteUnanswered(address, asked)
+  #reportTo (address: string, now: number): void {
+    const asked = this.#requests.get(address) ?? { askedAt: now, answeredAt: now, unanswered: 0 }
+    if (isUnanswered(asked, now)) this.#recordUnanswered(address, asked)
     asked.askedAt = now
-    this.#asked.set(address, asked)
+    this.#requests.set(address, asked)
     this.datagrams.ask(address, reportStatus, this.ports.report(), (statement, askedAt) => {
       asked.answeredAt = performance.now()
       asked.unanswered = 0
@@ -121,12 +121,12 @@
     })
   }
 
-  #noteUnanswered (address: string, asked: Asked): void {
+  #recordUnanswered (address: string, asked: RequestState): void {
     asked.unanswered += 1
-    if (asked.unanswered >= SILENT_QUESTIONS) this.ports.onSilence(address)
+    if (asked.unanswered >= MAX_UNANSWERED_REQUESTS) this.ports.onSilence(address)
   }
 }
 
-function isUnanswered ({ askedAt, answeredAt }: Asked, now: number): boolean {
-  return answeredAt < askedAt && now - askedAt >= ANSWER_MS
+function isUnanswered ({ askedAt, answeredAt }: RequestState, now: number): boolean {
+  return answeredAt < askedAt && now - askedAt >= RESPONSE_TIMEOUT_MS
 }
--- a/packages/view/src/lib/StoredPartsFollower.ts
+++ b/packages/view/src/lib/StoredPartsFollower.ts
@@ -9,7 +9,7 @@
  * milliseconds. Control hosts free parts that others may still believe in, so
  * this belongs to the agreement between them and is not a matter of taste.
  */
-export const VOUCHED_MS = 1000
+export const STORED_PARTS_LEASE_MS = 1000
 
 /** Told of changes; `reset` comes first whenever another control host is watched. */
 export interface StoredPartsListener {
@@ -19,9 +19,9 @@
 
 /** Keeps in step with one control host. */
 export class StoredPartsFollower {
-  #receivedAt = Number.NEGATIVE_INFINITY
-  #clockAhead: number | undefined
-  #known: { readonly incarnation: string, readonly version: number } | undefined
+  #confirmedAt = Number.NEGATIVE_INFINITY
+  #clockOffsetMs: number | undefined
+  #received: { readonly incarnation: string, readonly version: number } | undefined
   readonly #rotation: WatchRotation
 
   /**
@@ -38,7 +38,7 @@
    * @returns whether what is known may be acted on
    */
   isLeaseValid (now: number): boolean {
-    return now - this.#receivedAt < VOUCHED_MS
+    return now - this.#confirmedAt < STORED_PARTS_LEASE_MS
   }
 
   /**
@@ -46,21 +46,21 @@
    * @returns the stores' clock, or undefined before any control host has stated it
    */
   storeClockMs (now: number): number | undefined {
-    return this.#clockAhead === undefined ? undefined : now + this.#clockAhead
+    return this.#clockOffsetMs === undefined ? undefined : now + this.#clockOffsetMs
   }
 
   /** @param signal - ends the following */
   async run (signal: AbortSignal): Promise<void> {
     await this.#rotation.run(signal, async (address, watch) => {
-      this.#receivedAt = Number.NEGATIVE_INFINITY
-      this.#known = undefined
+      this.#confirmedAt = Number.NEGATIVE_INFINITY
+      this.#received = undefined
       this.listener.reset()
       await this.rpc.stream(address, watchStoredParts, {}, ({ incarnation, version, changes, clockMs }) => {
         watch.markAlive()
         const now = performance.now()
-        this.#receivedAt = now
-        this.#known = { incarnation, version }
-        if (clockMs !== undefined) this.#clockAhead = clockMs - now
+        this.#confirmedAt = now
+        this.#received = { incarnation, version }
+        if (clockMs !== undefined) this.#clockOffsetMs = clockMs - now
         for (const change of changes) this.listener.apply(change)
       }, watch.signal)
     })
@@ -75,9 +75,9 @@
    */
   confirm (address: string, { incarnation, storedParts, storeClockMs }: WatchedState, askedAt: number): void {
     const watch = this.#rotation.openAt(address)
-    if (watch === undefined || this.#known?.incarnation !== incarnation || this.#known.version !== storedParts) return
+    if (watch === undefined || this.#received?.incarnation !== incarnation || this.#received.version !== storedParts) return
     watch.markAlive()
-    this.#receivedAt = Math.max(this.#receivedAt, askedAt)
-    if (storeClockMs !== undefined) this.#clockAhead = storeClockMs - performance.now()
+    this.#confirmedAt = Math.max(this.#confirmedAt, askedAt)
+    if (storeClockMs !== undefined) this.#clockOffsetMs = storeClockMs - performance.now()
   }
 }
--- a/packages/view/src/lib/WatchRotation.ts
+++ b/packages/view/src/lib/WatchRotation.ts
@@ -2,13 +2,13 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 
 /** Silence after which the watched control host is left, in milliseconds; it answers status reports twice a second. */
-const SILENCE_MS = 1200
+const SILENCE_TIMEOUT_MS = 1200
 
 /** Pause before the next watch, in milliseconds. */
-const RETRY_MS = 100
+const RETRY_DELAY_MS = 100
 
 /** A watch that lasted this long was a good one: the next begins again with the preferred control host; in milliseconds. */
-const GOOD_WATCH_MS = 5000
+const STABLE_WATCH_MS = 5000
 
 /** One watch as its owner sees it. */
 export interface OpenWatch {
@@ -24,7 +24,7 @@
 
 /** Opens watches by turns until stopped. */
 export class WatchRotation {
-  #turn = 0
+  #attempt = 0
   #open: { readonly address: string, readonly watch: OpenWatch } | undefined
 
   /** @param candidates - control hosts to watch, the preferred one first, as of now */
@@ -46,23 +46,23 @@
     while (!signal.aborted) {
       const candidates = this.candidates()
       const startedAt = performance.now()
-      await this.#openOne(candidates[this.#turn % candidates.length] ?? '', signal, startedAt, open)
-      this.#turn = performance.now() - startedAt > GOOD_WATCH_MS ? 0 : this.#turn + 1
-      await sleep(RETRY_MS)
+      await this.#openWatch(candidates[this.#attempt % candidates.length] ?? '', signal, startedAt, open)
+      this.#attempt = performance.now() - startedAt > STABLE_WATCH_MS ? 0 : this.#attempt + 1
+      await sleep(RETRY_DELAY_MS)
     }
   }
 
-  async #openOne (
+  async #openWatch (
     address: string, signal: AbortSignal, startedAt: number, open: (address: string, watch: OpenWatch) => Promise<void>
   ): Promise<void> {
-    const left = new AbortController()
-    const leave = (): void => { left.abort() }
-    let timer = setTimeout(leave, SILENCE_MS)
+    const leaveController = new AbortController()
+    const leave = (): void => { leaveController.abort() }
+    let timer = setTimeout(leave, SILENCE_TIMEOUT_MS)
     const markAlive = (): void => {
       clearTimeout(timer)
-      timer = setTimeout(leave, SILENCE_MS)
+      timer = setTimeout(leave, SILENCE_TIMEOUT_MS)
     }
-    const watch: OpenWatch = { signal: AbortSignal.any([signal, left.signal]), startedAt, markAlive, leave }
+    const watch: OpenWatch = { signal: AbortSignal.any([signal, leaveController.signal]), startedAt, markAlive, leave }
     this.#open = { address, watch }
     await open(address, watch)
     this.#open = undefined
