--- a/packages/consensus/src/lib/Elections.ts
+++ b/packages/consensus/src/lib/Elections.ts
@@ -1,23 +1,23 @@
-/** Elections: when this replica stands, whom it asks, whom it votes for. */
+/** Leader election: starts elections, requests votes and grants votes. */
 import type { LeaderReplication } from './LeaderReplication.js'
 import type { RaftState } from './RaftState.js'
 import type { RaftMessage, VoteRequest, VoteResponse } from './messages/raftMessages.js'
 
-/** Votes and asks for votes. A pre-vote comes first, so that a replica that could not win disturbs nobody. */
+/** Election logic of one replica. A pre-vote precedes each election, so that a replica that cannot win does not depose a healthy leader. */
 export class Elections {
   #votes = new Set<string>()
   #nextVoteRequestAt = 0
-  /** Whether the leader asked this replica to stand, so that voters need not wait for its silence. */
+  /** Whether the leader requested this election, so that voters may vote although they still hear the leader. */
   #isTransfer = false
 
   /**
    * @param state - shared state of the replica
-   * @param replication - begins when an election is won
+   * @param replication - takes over when this replica wins an election
    */
   constructor (private readonly state: RaftState, private readonly replication: LeaderReplication) {}
 
   /**
-   * Advances timers of a replica that does not lead.
+   * Advances the election timers. Called only while this replica is not the leader.
    *
    * @param now - monotonic milliseconds
    */
@@ -28,9 +28,9 @@
   }
 
   /**
-   * A voter that hears a live leader ignores elections, so the leader's lease holds.
+   * Whether to drop a vote request because a leader is alive; this keeps the leader's lease valid.
    *
-   * @param message - any message
+   * @param message - message of any kind
    * @param now - monotonic milliseconds
    */
   shouldIgnore (message: RaftMessage, now: number): boolean {
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Stands at once, because the leader hands over.
+   * Starts an election at once, because the leader transfers its leadership.
    *
    * @param now - monotonic milliseconds
    */
@@ -49,7 +49,7 @@
   }
 
   /**
-   * @param request - somebody stands for election
+   * @param request - vote request of a candidate
    * @param now - monotonic milliseconds
    */
   onVoteRequest (request: VoteRequest, now: number): void {
@@ -70,7 +70,7 @@
   }
 
   /**
-   * @param response - a voter's answer
+   * @param response - response of a voter
    * @param now - monotonic milliseconds
    */
   onVoteResponse (response: VoteResponse, now: number): void {
@@ -117,7 +117,7 @@
     this.#requestVotes(now)
   }
 
-  /** Repeated with each heartbeat: after a restart of all replicas, first messages find no listener and are lost. */
+  /** Called again at each heartbeat interval: after a restart of all replicas the first requests are lost, because the receivers do not listen yet. */
   #requestVotes (now: number): void {
     const { state } = this
     this.#nextVoteRequestAt = now + state.settings.heartbeatMs
--- a/packages/consensus/src/lib/FollowerReplication.ts
+++ b/packages/consensus/src/lib/FollowerReplication.ts
@@ -1,15 +1,15 @@
-/** The follower's side of replication: takes a leader's entries and snapshots, and drops what never was committed. */
+/** Replication on a follower: stores entries and snapshots of the leader and removes conflicting uncommitted entries. */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 import type { RaftState } from './RaftState.js'
 import type { AppendRequest, LogEntry, SnapshotRequest } from './messages/raftMessages.js'
 
-/** Answers a leader's messages. */
+/** Handles the messages of a leader. */
 export class FollowerReplication {
   /** @param state - shared state of the replica */
   constructor (private readonly state: RaftState) {}
 
   /**
-   * @param request - entries, or a sign of life
+   * @param request - entries, or a heartbeat without entries
    * @param now - monotonic milliseconds
    */
   onAppendRequest (request: AppendRequest, now: number): void {
@@ -32,7 +32,7 @@
   }
 
   /**
-   * @param request - the leader's state, since its log does not reach back far enough
+   * @param request - snapshot, sent because the leader's log no longer has the entries that this replica lacks
    * @param now - monotonic milliseconds
    */
   onSnapshotRequest (request: SnapshotRequest, now: number): void {
@@ -60,7 +60,7 @@
 
   #followLeader (leader: string, now: number): void {
     const { state } = this
-    assertInvariant(state.role !== 'leader', 'one-leader-a-term', () => `term ${state.term} has a second leader ${leader}`)
+    assertInvariant(state.role !== 'leader', 'one-leader-a-term', () => `term ${state.term} already has this replica as leader, but received a message from leader ${leader}`)
     state.lastLeaderContact = now
     state.becomeFollower(leader, now)
   }
--- a/packages/consensus/src/lib/Formation.ts
+++ b/packages/consensus/src/lib/Formation.ts
@@ -1,22 +1,23 @@
-/** Knows whether a new group can bear the losses that it must bear, from what it has committed. */
+/** Tracks whether a new group has reached its required number of voters, from the entries that it has committed. */
 import type { LogEntry, Membership, Snapshot } from './messages/raftMessages.js'
 
-/** What a decision about a command rests on. */
+/** Progress of the group formation, which decides whether commands are accepted. */
 export interface FormationState {
   readonly isFormed: boolean
   /** Index of the newest committed membership; 0 before there is one. */
   readonly membershipIndex: number
-  /** Its voters. */
+  /** Number of voters in the newest committed membership. */
   readonly voters: number
-  /** Voters that the group must once have had. */
+  /** Number of committed voters that the group must reach once. */
   readonly needed: number
 }
 
 /**
- * A new group begins with one voter and grows as hosts join. What it acknowledged
- * before it has grown would be lost with that one disk, so its leader appends no
- * command until its committed membership was once complete. From then on it takes
- * commands with fewer voters, too: a repair removes a voter before it adds one.
+ * A new group starts with one voter and grows as hosts join. Commands acknowledged
+ * before that would be lost with the first host's disk, so the leader accepts no
+ * command until the committed membership has reached the required size once. After
+ * that it accepts commands with fewer voters as well, because replacing a failed
+ * voter removes the old one before it adds the new one.
  */
 export class Formation {
   #isFormed: boolean
@@ -24,11 +25,11 @@
   #voters = 0
 
   /**
-   * @param needed - voters that the group must once have had
-   * @param snapshot - what the disk held, if the log does not begin at the founding
+   * @param needed - number of committed voters that the group must reach once
+   * @param snapshot - snapshot read from the disk, if the log has been compacted
    */
   constructor (private readonly needed: number, snapshot: Snapshot | undefined) {
-    // A group of one needs no other; its founder is a voter from the first entry on.
+    // A group of one is formed at once: its first replica is a voter from the first entry on.
     this.#isFormed = needed <= 1
     if (snapshot !== undefined) this.observeSnapshot(snapshot)
   }
@@ -39,14 +40,14 @@
     return { isFormed: this.#isFormed, membershipIndex: this.#membershipIndex, voters: this.#voters, needed: this.needed }
   }
 
-  /** @param entry - an entry that has just been committed */
+  /** @param entry - newly committed entry */
   observe (entry: LogEntry): void {
     if (entry.kind === 'membership') this.#observeMembership(entry.index, entry.membership)
-    // Nobody appends a command before the group is formed, so whoever meets one knows that it was.
+    // No leader appends a command before the group is formed, so a committed command proves that it is.
     if (entry.kind === 'command') this.#isFormed = true
   }
 
-  /** @param snapshot - committed state; it is made of formed groups only */
+  /** @param snapshot - snapshot of committed state, which only formed groups create */
   observeSnapshot ({ index, membership }: Snapshot): void {
     this.#observeMembership(index, membership)
     this.#isFormed = true
--- a/packages/consensus/src/lib/LeaderReplication.ts
+++ b/packages/consensus/src/lib/LeaderReplication.ts
@@ -1,12 +1,12 @@
-/** The leader's side of replication: what peers hold, what is sent to them, what a quorum has agreed on. */
+/** Replication on the leader: tracks the progress of peers, sends them entries and advances the commit index. */
 import { PeerProgressTable } from './PeerProgressTable.js'
 import type { RaftState } from './RaftState.js'
 import type { AppendResponse, LogEntry, Replica } from './messages/raftMessages.js'
 
-/** Interval before a snapshot is sent again to the same peer, in milliseconds. */
+/** Minimum interval between two transmissions of the snapshot to the same peer, in milliseconds. */
 const SNAPSHOT_RESEND_MS = 1000
 
-/** Works while its replica leads; begins anew with each term that it leads. */
+/** Replication state of a leader; reset whenever this replica becomes leader. */
 export class LeaderReplication {
   #progress = new PeerProgressTable(1)
   #termStartIndex = 0
@@ -17,19 +17,19 @@
   /** @param state - shared state of the replica */
   constructor (private readonly state: RaftState) {}
 
-  /** Whether an entry of the own term is committed: only then are earlier terms' entries known to be. */
+  /** Whether an entry of the current term is committed; only then does the leader know which entries of earlier terms are committed. */
   get hasCommittedInTerm (): boolean { return this.state.commitIndex >= this.#termStartIndex }
 
   /**
-   * @param id - peer
-   * @returns last index that it is known to hold
+   * @param id - peer id
+   * @returns index of the last entry known to be on the disk of the peer
    */
   matchIndex (id: string): number { return this.#progress.matchIndex(id) }
 
   /**
    * @param id - voter or learner
    * @param now - monotonic milliseconds
-   * @returns milliseconds of silence; counted from the first message to the peer if it was never heard
+   * @returns milliseconds since the last contact; counted from the first message to the peer if the peer never responded
    */
   silenceMs (id: string, now: number): number {
     if (id === this.state.self.id) return 0
@@ -39,14 +39,14 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns the time at which a quorum last followed this leader, as of the sending
+   * @returns latest send time of messages that a quorum has acknowledged, in monotonic milliseconds
    */
   quorumContactAt (now: number): number {
     return this.#progress.quorumContactAt(this.state.log.latestMembership().voters, this.state.self.id, now)
   }
 
   /**
-   * A new leader gets one election timeout of grace before silence counts against it.
+   * Whether the leader has had no quorum for an election timeout. A new leader has one election timeout to reach its first quorum.
    *
    * @param now - monotonic milliseconds
    */
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Begins to lead, after an election was won.
+   * Becomes leader after a won election.
    *
    * @param now - monotonic milliseconds
    */
@@ -67,12 +67,12 @@
     this.#leaderSince = now
     this.#termStartIndex = state.log.lastIndex + 1
     this.#progress = new PeerProgressTable(this.#termStartIndex)
-    // An entry of the own term is what lets earlier terms' entries commit.
+    // Entries of earlier terms can only commit together with an entry of the current term.
     this.appendOwn({ kind: 'empty', index: this.#termStartIndex, term: state.term }, now)
   }
 
   /**
-   * Advances timers.
+   * Advances the timers for heartbeats, quorum loss and leadership transfer.
    *
    * @param now - monotonic milliseconds
    */
@@ -88,7 +88,7 @@
   }
 
   /**
-   * @param entry - the next entry, of the own term
+   * @param entry - next entry, of the current term
    * @param now - monotonic milliseconds
    */
   appendOwn (entry: LogEntry, now: number): void {
@@ -98,7 +98,7 @@
   }
 
   /**
-   * Sends every peer what it lacks, or a sign of life.
+   * Sends each peer the entries it lacks, or a heartbeat if it lacks none.
    *
    * @param now - monotonic milliseconds
    */
@@ -109,7 +109,7 @@
   }
 
   /**
-   * Hands leadership to the voter that has most of the log.
+   * Transfers leadership to the voter with the most complete log.
    *
    * @param now - monotonic milliseconds
    */
@@ -126,7 +126,7 @@
   }
 
   /**
-   * @param response - a peer's answer
+   * @param response - response of a peer
    * @param now - monotonic milliseconds
    */
   onAppendResponse (response: AppendResponse, now: number): void {
@@ -163,7 +163,7 @@
       return
     }
     const entries = log.slice(progress.nextIndex, settings.maxEntriesPerAppend, settings.maxBytesPerAppend)
-    // Optimistic: the next message continues where this one ends; a refusal sets it back.
+    // Pipelining: the next message continues after these entries without waiting for the response; a rejection resets the index.
     progress.nextIndex += entries.length
     this.state.send(replica, { kind: 'append-request', from: self.id, term, previousIndex, previousTerm, entries, commitIndex, sentAt: now })
   }
@@ -171,7 +171,7 @@
   #advanceCommit (): void {
     const { log, self, commitIndex, term } = this.state
     const majorityIndex = this.#progress.majorityMatchIndex(log.latestMembership().voters, self.id, log.lastIndex)
-    // Only entries of the own term commit by counting; earlier ones commit with them.
+    // Raft counts replicas only for entries of the current term; earlier entries commit along with them.
     if (majorityIndex > commitIndex && log.termAt(majorityIndex) === term) this.state.commitTo(majorityIndex)
   }
 
--- a/packages/consensus/src/lib/MembershipChanges.ts
+++ b/packages/consensus/src/lib/MembershipChanges.ts
@@ -1,26 +1,26 @@
-/** Changes of the membership on the leader: one at a time, each of one replica. */
+/** Membership changes on the leader: one at a time, each affecting a single replica. */
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { LeaderReplication } from './LeaderReplication.js'
 import type { RaftError } from './RaftError.js'
 import type { RaftState } from './RaftState.js'
 import type { Membership, RaftEffects, Replica } from './messages/raftMessages.js'
 
-/** Decides which changes may be appended, in the step that appends them. */
+/** Validates membership changes and appends them in the same step. */
 export class MembershipChanges {
   /**
    * @param state - shared state of the replica
-   * @param replication - appends the changes
+   * @param replication - appends the membership entries
    */
   constructor (private readonly state: RaftState, private readonly replication: LeaderReplication) {}
 
   /**
-   * Adds a learner, or replaces its address.
+   * Adds a learner, or changes the address of an existing one.
    *
-   * @param replica - new replica
+   * @param replica - new replica, which receives the log and does not vote
    * @param now - monotonic milliseconds
    */
   addLearner (replica: Replica, now: number): Result<RaftEffects, RaftError> {
-    // Another replica's membership may be old: it answers for nothing.
+    // The membership known to a follower may be outdated, so only the leader responds with anything but `not-leader`.
     if (this.state.role !== 'leader') return fail(this.state.notLeader())
     const { voters, learners } = this.state.log.latestMembership()
     if (voters.some(voter => voter.id === replica.id)) return succeed(this.state.takeEffects())
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Makes a learner a voter once it has nearly all of the log.
+   * Promotes a learner to voter if its log is nearly complete.
    *
-   * @param id - learner's id
+   * @param id - id of the learner
    * @param now - monotonic milliseconds
    */
   promote (id: string, now: number): Result<RaftEffects, RaftError> {
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Removes a replica. That one is unknown is said of a committed membership only.
+   * Removes a replica from the group. Returns `unknown-replica` only on the basis of a committed membership.
    *
    * @param id - voter or learner
    * @param now - monotonic milliseconds
--- a/packages/consensus/src/lib/PeerProgressTable.ts
+++ b/packages/consensus/src/lib/PeerProgressTable.ts
@@ -1,29 +1,29 @@
-/** How far each peer has followed the leader, in log and in time. */
+/** The leader's record of each peer: replicated log index and time of last contact. */
 import type { Replica } from './messages/raftMessages.js'
 
-/** One peer as the leader knows it. */
+/** Replication progress of one peer. */
 export interface PeerProgress {
-  /** Next entry to send. */
+  /** Index of the next entry to send. */
   nextIndex: number
-  /** Last entry known to be on its disk. */
+  /** Index of the last entry known to be on the disk of the peer. */
   matchIndex: number
-  /** Leader's clock when the newest acknowledged message was sent. */
+  /** Leader's clock when it sent the newest message that the peer acknowledged. */
   lastContactAt: number
   snapshotSentAt: number
-  /** Leader's clock when it first sent to this peer; silence counts from then. */
+  /** Leader's clock when it sent its first message to this peer; the silence of a peer that never responded starts there. */
   firstSentAt: number | undefined
 }
 
-/** Progress of all peers during one leadership. */
+/** Progress of all peers during one term of this leader. */
 export class PeerProgressTable {
   readonly #peers = new Map<string, PeerProgress>()
 
-  /** @param firstIndex - where replication starts for a peer that has not answered yet */
+  /** @param firstIndex - first index to send to a peer that has not responded yet */
   constructor (private readonly firstIndex: number) {}
 
   /**
-   * @param id - peer
-   * @returns its progress, to be updated in place
+   * @param id - peer id
+   * @returns mutable progress of the peer, created on first use
    */
   progressOf (id: string): PeerProgress {
     const existing = this.#peers.get(id)
@@ -40,28 +40,28 @@
   }
 
   /**
-   * @param id - peer
-   * @returns last entry known to be on its disk
+   * @param id - peer id
+   * @returns index of the last entry known to be on the disk of the peer
    */
   matchIndex (id: string): number {
     return this.#peers.get(id)?.matchIndex ?? 0
   }
 
   /**
-   * Highest entry that a majority of voters holds.
+   * Highest index that a majority of voters has stored.
    *
-   * @param voters - who counts
+   * @param voters - voters of the latest membership
    * @param self - the leader's id
-   * @param ownIndex - the leader's last entry
+   * @param ownIndex - index of the leader's last entry
    */
   majorityMatchIndex (voters: readonly Replica[], self: string, ownIndex: number): number {
     return majorityValue(voters.map(voter => voter.id === self ? ownIndex : this.matchIndex(voter.id)))
   }
 
   /**
-   * Newest time at which a majority of voters is known to have followed the leader.
+   * Newest time, in monotonic milliseconds, at which a majority of voters is known to have followed the leader.
    *
-   * @param voters - who counts
+   * @param voters - voters of the latest membership
    * @param self - the leader's id
    * @param now - monotonic milliseconds
    */
@@ -70,7 +70,7 @@
   }
 }
 
-/** Largest value that more than half of the values reach; minus infinity if there are none. */
+/** Returns the largest value that more than half of the values reach, or minus infinity for an empty list. */
 function majorityValue (values: number[]): number {
   values.sort((left, right) => right - left)
   return values[Math.floor(values.length / 2)] ?? Number.NEGATIVE_INFINITY
--- a/packages/consensus/src/lib/RaftCore.test.ts
+++ b/packages/consensus/src/lib/RaftCore.test.ts
@@ -15,7 +15,7 @@
   return new RaftCore({ id, address: id }, persisted, DEFAULT_RAFT_SETTINGS, () => 0.5, 0)
 }
 
-/** Delivers messages between cores until there are none. */
+/** Three replicas whose messages are delivered at once, until there are none left. `disconnected` replicas neither send nor receive. */
 class TestGroup {
   readonly cores = new Map(['a', 'b', 'c'].map(id => [id, core(id)]))
   readonly committed = new Map<string, number[]>()
@@ -57,14 +57,14 @@
 
 describe('RaftCore', () => {
   describe('election', () => {
-    it('elects one leader, which commits an entry of its term', () => {
+    it('elects one leader, which commits an entry of its own term', () => {
       const group = new TestGroup()
       group.elect('a')
       expect(group.get('a').commitIndex).toBe(2)
       expect(group.get('b').leader?.id).toBe('a')
     })
 
-    it('does not disturb a live leader: voters that hear it ignore a returning replica', () => {
+    it('ignores vote requests of a returning replica while the leader is alive', () => {
       const group = new TestGroup(new Set(['c']))
       group.elect('a')
       const term = group.get('a').term
@@ -76,7 +76,7 @@
       expect(group.get('b').term).toBe(term)
     })
 
-    it('writes the vote before the answer leaves, and votes once a term', () => {
+    it('persists the vote before it responds, and votes only once per term', () => {
       const voter = core('b')
       const vote = (from: string): RaftMessage => ({ kind: 'vote-request', from, term: 2, preVote: false, lastIndex: 1, lastTerm: 1, transfer: false })
       const first = voter.receive(vote('a'), 1000)
@@ -85,12 +85,12 @@
       expect(voter.receive(vote('c'), 1001).messages[0]?.message).toMatchObject({ granted: false })
     })
 
-    it('does not vote right after a restart: it may have promised a leader its silence', () => {
+    it('does not vote right after a restart, since an earlier leader may still hold a lease', () => {
       const vote: RaftMessage = { kind: 'vote-request', from: 'a', term: 2, preVote: false, lastIndex: 1, lastTerm: 1, transfer: false }
       expect(core('b').receive(vote, DEFAULT_RAFT_SETTINGS.electionTimeoutMs - 1).messages).toEqual([])
     })
 
-    it('asks again with each heartbeat for votes that were lost, and not only after another timeout', () => {
+    it('repeats lost vote requests at each heartbeat interval instead of waiting for another election timeout', () => {
       const { electionTimeoutMs, heartbeatMs } = DEFAULT_RAFT_SETTINGS
       const group = new TestGroup(new Set(['a']))
       group.tick('a', electionTimeoutMs * 1.5)
@@ -102,7 +102,7 @@
       expect(group.get('a').role).toBe('leader')
     })
 
-    it('asks nobody twice who has voted', () => {
+    it('does not send another request to a voter that has granted its vote', () => {
       const asking = core('a')
       asking.tick(1000)
       asking.receive({ kind: 'vote-response', from: 'b', term: 1, preVote: true, granted: true, askedTerm: 2 }, 1000)
@@ -114,7 +114,7 @@
       expect(preCandidate.tick(1000 + DEFAULT_RAFT_SETTINGS.heartbeatMs).messages.map(({ to }) => to.id)).toEqual(['c', 'd'])
     })
 
-    it('steps down without a quorum, and its lease ends before another can be elected', () => {
+    it('steps down without a quorum, and its lease ends before another leader can be elected', () => {
       const group = new TestGroup()
       group.elect('a')
       group.tick('a', 60)
@@ -127,7 +127,7 @@
       group.elect('b')
     })
 
-    it('has no lease before a quorum has followed it in this term', () => {
+    it('has no lease before a quorum has followed it in the current term', () => {
       const group = new TestGroup()
       group.elect('a')
       const leader = core('a')
@@ -140,12 +140,12 @@
   })
 
   describe('replication', () => {
-    it('commits by a quorum and overwrites what never was', () => {
+    it('commits entries with a quorum and overwrites entries that were never committed', () => {
       const group = new TestGroup()
       group.elect('a')
       group.disconnected.add('a')
       const lost = group.get('a').propose(new Uint8Array([1]), group.now)
-      if (!lost.ok) throw new Error('not proposed')
+      if (!lost.ok) throw new Error('the leader rejected the command')
       group.deliver('a', lost.value.effects)
       expect(group.get('a').commitIndex).toBe(2)
       group.elect('b')
@@ -154,7 +154,7 @@
       expect(group.get('a').entryAt(3)).toMatchObject({ kind: 'empty', term: group.get('b').term })
     })
 
-    it('brings a replica up to date by a snapshot once the log is compacted', () => {
+    it('sends a snapshot to a replica that needs compacted entries', () => {
       const group = new TestGroup(new Set(['c']))
       group.elect('a')
       for (let count = 0; count < 5; count += 1) {
@@ -170,11 +170,11 @@
     })
   })
 
-  describe('forming', () => {
+  describe('group formation', () => {
     const coreNeedingThreeVoters = (id: string, persisted = EMPTY): RaftCore =>
       new RaftCore({ id, address: id }, persisted, { ...DEFAULT_RAFT_SETTINGS, minimumVoters: 3 }, () => 0.5, 0)
 
-    /** A founder with two hosts that have not joined. */
+    /** Bootstraps a group on replica a; b and c have not joined yet. */
     function bootstrapGroup (): TestGroup {
       const group = new TestGroup()
       for (const id of ['a', 'b', 'c']) group.cores.set(id, coreNeedingThreeVoters(id))
@@ -193,10 +193,10 @@
       const proposed = group.get(id).propose(new Uint8Array([1]), group.now)
       if (!proposed.ok) return proposed.error.kind
       group.deliver(id, proposed.value.effects)
-      return 'taken'
+      return 'accepted'
     }
 
-    it('appends no command before enough voters are committed; learners do not count', () => {
+    it('appends no command before enough voters are committed, and does not count learners', () => {
       const group = bootstrapGroup()
       expect(propose(group)).toBe('forming')
       join(group, 'b')
@@ -205,7 +205,7 @@
       expect(propose(group)).toBe('forming')
       group.tick('a', 60)
       group.applyChange('a', group.get('a').promote('c', group.now))
-      expect(propose(group)).toBe('taken')
+      expect(propose(group)).toBe('accepted')
     })
 
     it('does not count a voter whose promotion is not committed', () => {
@@ -221,20 +221,20 @@
       expect(group.get('a').lastIndex).toBe(lastIndex)
     })
 
-    it('stays formed while a repair leaves fewer voters, also under another leader', () => {
+    it('stays formed when a voter is removed, even under another leader', () => {
       const group = bootstrapGroup()
       join(group, 'b')
       join(group, 'c')
       group.applyChange('a', group.get('a').remove('c', group.now))
-      expect(propose(group)).toBe('taken')
+      expect(propose(group)).toBe('accepted')
       group.tick('a', 60)
       group.cores.delete('c')
       group.deliver('a', group.get('a').transferLeadership(group.now))
       expect(group.get('b').role).toBe('leader')
-      expect(propose(group, 'b')).toBe('taken')
+      expect(propose(group, 'b')).toBe('accepted')
     })
 
-    it('is known again after a restart, from the log or a snapshot', () => {
+    it('is restored after a restart from the log or a snapshot', () => {
       const membership = { voters: replicas.slice(0, 1), learners: [] }
       const command = { kind: 'command' as const, index: 2, term: 1, command: new Uint8Array([1]) }
       const fromLog = coreNeedingThreeVoters('a', { ...EMPTY, term: 1, entries: [{ kind: 'membership', index: 1, term: 1, membership }, command] })
@@ -244,7 +244,7 @@
       expect(fromSnapshot.formation).toEqual({ isFormed: true, membershipIndex: 9, voters: 1, needed: 3 })
     })
 
-    it('makes no snapshot of a group that is not formed', () => {
+    it('creates no snapshot before the group is formed', () => {
       const founder = bootstrapGroup().get('a')
       expect(founder.compact(founder.commitIndex, new Uint8Array()).writes).toEqual([])
       expect(founder.snapshot).toBeUndefined()
@@ -252,7 +252,7 @@
   })
 
   describe('membership', () => {
-    it('lets a learner vote only after it holds nearly all of the log', () => {
+    it('promotes a learner only after it has nearly all of the log', () => {
       const group = new TestGroup()
       group.elect('a')
       for (let count = 0; count < 40; count += 1) {
@@ -269,7 +269,7 @@
       expect(leader.membership.voters.map(voter => voter.id)).toEqual(['a', 'b', 'c', 'd'])
     })
 
-    it('makes one change at a time, and none before its first commit', () => {
+    it('makes no second membership change before the first is committed', () => {
       const group = new TestGroup()
       group.elect('a')
       group.disconnected.add('b').add('c')
@@ -277,7 +277,7 @@
       expect(group.get('a').remove('b', group.now)).toMatchObject({ ok: false, error: { kind: 'change-in-progress' } })
     })
 
-    it('answers for the membership on the leader only, and only once it is committed', () => {
+    it('reports an unknown replica only on the leader and only for a committed membership', () => {
       const group = new TestGroup()
       group.elect('a')
       const follower = group.get('b')
@@ -289,7 +289,7 @@
       expect(group.get('a').remove('c', group.now)).toMatchObject({ ok: false, error: { kind: 'change-in-progress' } })
     })
 
-    it('hands leadership over for a planned stop, without waiting for a timeout', () => {
+    it('transfers leadership before a planned stop without waiting for an election timeout', () => {
       const group = new TestGroup()
       group.elect('a')
       group.deliver('a', group.get('a').transferLeadership(group.now))
--- a/packages/consensus/src/lib/RaftCore.ts
+++ b/packages/consensus/src/lib/RaftCore.ts
@@ -1,10 +1,10 @@
 /**
- * Agreement on one log by a quorum of control hosts.
+ * Raft consensus on one log by a quorum of control hosts.
  *
- * A core without input or output: each method takes the time and returns
- * effects. The caller must sync `writes` before it carries out anything else of
- * the same effects; that one rule gives "nothing acknowledged before it is
- * synced" for votes, appends and commits alike.
+ * The core does no input or output: each method takes the current time and
+ * returns effects. The caller must sync `writes` before it carries out the
+ * other effects of the same call. This rule ensures that no vote, append or
+ * commit is acknowledged before it is durable.
  */
 import { assertInvariant, unreachable } from '@eelgrassmux/schema/invariant'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
@@ -18,7 +18,7 @@
 import { RaftState, type RaftRole } from './RaftState.js'
 import type { LogEntry, Membership, PersistentState, RaftEffects, RaftMessage, Replica, Snapshot } from './messages/raftMessages.js'
 
-/** One replica's view of the agreed log. */
+/** Raft state machine of one replica. */
 export class RaftCore {
   readonly #state: RaftState
   readonly #replication: LeaderReplication
@@ -31,7 +31,7 @@
    * @param persisted - state read from the disk
    * @param settings - timing and limits
    * @param random - source of numbers in [0, 1)
-   * @param startedAt - monotonic milliseconds since which this replica has certainly sent nothing: the start of its process
+   * @param startedAt - start of the process, in monotonic milliseconds; an earlier process of this replica sent its messages before this time
    */
   constructor (
     readonly self: Replica,
@@ -47,7 +47,7 @@
     this.#membership = new MembershipChanges(this.#state, this.#replication)
   }
 
-  // --- Views ---
+  // --- Queries ---
 
   get term (): number { return this.#state.term }
   get role (): RaftRole { return this.#state.role }
@@ -57,26 +57,26 @@
   get logBytes (): number { return this.#state.log.commandBytes }
   get snapshot (): Snapshot | undefined { return this.#state.log.snapshot }
   get membership (): Membership { return this.#state.log.latestMembership() }
-  /** Membership that no crash can take back; a repair is complete only when it is here. */
+  /** Latest committed membership, which no crash can revert. A replica has been replaced only once this membership shows it. */
   get committedMembership (): Membership { return this.#state.log.membershipAt(this.#state.commitIndex) }
-  /** Whether the latest membership is not committed yet. */
+  /** Whether the log holds a membership change that is not committed yet. */
   get isMembershipPending (): boolean { return this.#state.isMembershipPending }
-  /** What this replica has committed of the forming of its group. */
+  /** Progress of the initial group formation, according to the entries that this replica has committed. */
   get formation (): FormationState { return this.#state.formation.state }
 
-  /** The leader this replica knows of. */
+  /** Current leader, if this replica knows it. */
   get leader (): Replica | undefined {
     return this.#state.replicas.find(replica => replica.id === this.#state.leader)
   }
 
   /**
    * @param index - absolute index
-   * @returns the entry held at that index
+   * @returns the entry at that index, or undefined if it was compacted or does not exist
    */
   entryAt (index: number): LogEntry | undefined { return this.#state.log.entryAt(index) }
 
   /**
-   * Whether this replica leads and a quorum confirmed it recently enough that no other can.
+   * Whether this replica is the leader and a quorum confirmed it so recently that no other replica can be leader.
    *
    * @param now - monotonic milliseconds
    */
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Whether the leader may answer reads from its applied state.
+   * Whether this replica is a leader that may serve reads from its applied state.
    *
    * @param now - monotonic milliseconds
    */
@@ -95,9 +95,9 @@
   }
 
   /**
-   * Whether a quorum followed this leader at some time after the given one, so
-   * that nothing newer can have been committed by another leader before it.
-   * Unlike a lease this holds also if the host was suspended meanwhile.
+   * Whether a quorum followed this leader at some time after the read began, so
+   * that no other leader can have committed anything newer before the read.
+   * Unlike a lease, this remains valid if the host was suspended in the meantime.
    *
    * @param readAt - monotonic milliseconds at which the read began
    * @param now - monotonic milliseconds
@@ -108,11 +108,11 @@
   }
 
   /**
-   * How long a peer has been silent towards this leader.
+   * Time since this leader last heard from a peer.
    *
    * @param id - voter or learner
    * @param now - monotonic milliseconds
-   * @returns milliseconds; counted from the leader's first message to the peer if it was never heard
+   * @returns milliseconds; counted from the leader's first message to the peer if the peer never responded
    */
   silenceMs (id: string, now: number): number { return this.#replication.silenceMs(id, now) }
 
@@ -131,7 +131,7 @@
   }
 
   /**
-   * Takes a message from another replica.
+   * Handles a message from another replica.
    *
    * @param message - a parsed message
    * @param now - monotonic milliseconds
@@ -156,12 +156,12 @@
   }
 
   /**
-   * Appends a command on the leader, if its group is formed: one step, so that no
-   * change of role or membership comes between the question and the append.
+   * Appends a command if this replica is the leader of a formed group. Check and
+   * append are one step, so that neither role nor membership can change between them.
    *
    * @param command - encoded command
    * @param now - monotonic milliseconds
-   * @returns the index it will have if it commits, and effects
+   * @returns index and term of the appended entry, and effects to carry out
    */
   propose (command: Uint8Array, now: number): Result<{ index: number, term: number, effects: RaftEffects }, RaftError> {
     if (!this.#isActiveLeader()) return fail(this.#state.notLeader())
@@ -173,7 +173,7 @@
   }
 
   /**
-   * Asks all peers for a sign of life at once, to confirm a read.
+   * Sends a heartbeat to all peers at once, to confirm a read.
    *
    * @param now - monotonic milliseconds
    * @returns effects to carry out
@@ -184,17 +184,17 @@
   }
 
   /**
-   * Adds a learner, or replaces its address.
+   * Adds a learner, or changes the address of an existing one.
    *
-   * @param replica - new replica; it receives the log and does not vote
+   * @param replica - new replica, which receives the log and does not vote
    * @param now - monotonic milliseconds
    */
   addLearner (replica: Replica, now: number): Result<RaftEffects, RaftError> { return this.#membership.addLearner(replica, now) }
 
   /**
-   * Makes a learner a voter once it has nearly all of the log.
+   * Promotes a learner to voter if its log is nearly complete.
    *
-   * @param id - learner's id
+   * @param id - id of the learner
    * @param now - monotonic milliseconds
    */
   promote (id: string, now: number): Result<RaftEffects, RaftError> { return this.#membership.promote(id, now) }
@@ -208,10 +208,10 @@
   remove (id: string, now: number): Result<RaftEffects, RaftError> { return this.#membership.remove(id, now) }
 
   /**
-   * Hands leadership to the voter that has most of the log, for a planned stop.
+   * Transfers leadership to the voter with the most complete log, before a planned stop.
    *
    * @param now - monotonic milliseconds
-   * @returns effects; leadership ends when the target's election wins or the transfer times out
+   * @returns effects to carry out; if the target does not win its election before the transfer times out, this replica resumes as leader
    */
   transferLeadership (now: number): RaftEffects {
     if (this.#isActiveLeader()) this.#replication.transfer(now)
@@ -219,14 +219,14 @@
   }
 
   /**
-   * Compacts the log up to a snapshot of applied state; not before the group is formed, since a snapshot stands for that.
+   * Replaces the log up to an index by a snapshot of applied state. Does nothing before the group is formed, since replicas take a snapshot as proof that it is.
    *
    * @param index - last applied index
    * @param state - encoded state machine
-   * @returns effects
+   * @returns effects to carry out
    */
   compact (index: number, state: Uint8Array): RaftEffects {
-    assertInvariant(index <= this.commitIndex, 'snapshot-committed', () => `${index} above ${this.commitIndex}`)
+    assertInvariant(index <= this.commitIndex, 'snapshot-committed', () => `snapshot index ${index} is above the commit index ${this.commitIndex}`)
     const { log, formation } = this.#state
     const term = log.termAt(index)
     if (formation.isFormed && term !== undefined && index > log.snapshotIndex) {
@@ -236,19 +236,19 @@
   }
 
   /**
-   * Starts a new group of one voter on an empty disk.
+   * Creates a new group on an empty disk, with this replica as its only voter.
    *
    * @param now - monotonic milliseconds
    */
   bootstrap (now: number): RaftEffects {
-    assertInvariant(this.lastIndex === 0 && this.term === 0, 'bootstrap-empty', () => 'the disk is not empty')
+    assertInvariant(this.lastIndex === 0 && this.term === 0, 'bootstrap-empty', () => 'cannot bootstrap a replica that already has a log or a term')
     this.#state.setVote(1, undefined)
     this.#state.append({ kind: 'membership', index: 1, term: 1, membership: { voters: [this.self], learners: [] } })
     this.#state.electionDeadline = now
     return this.#state.takeEffects()
   }
 
-  /** Leads, and is not handing over. */
+  /** Whether this replica is the leader and no leadership transfer is in progress. */
   #isActiveLeader (): boolean {
     return this.role === 'leader' && this.#state.transferTarget === undefined
   }
--- a/packages/consensus/src/lib/RaftError.ts
+++ b/packages/consensus/src/lib/RaftError.ts
@@ -1,7 +1,7 @@
 import type { FormationState } from './Formation.js'
 import type { Replica } from './messages/raftMessages.js'
 
-/** Why a request to the core was not taken. */
+/** Reason why the core rejected a request. */
 export type RaftError =
   | { readonly kind: 'not-leader', readonly leader: Replica | undefined }
   | { readonly kind: 'forming', readonly state: FormationState }
--- a/packages/consensus/src/lib/RaftLog.ts
+++ b/packages/consensus/src/lib/RaftLog.ts
@@ -1,14 +1,14 @@
-/** In-memory image of the replicated log above its last snapshot. */
+/** In-memory copy of the replicated log after its last snapshot. */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 import type { LogEntry, Membership, PersistentState, Snapshot } from './messages/raftMessages.js'
 
-/** Log entries after a snapshot; indexes are absolute. */
+/** Log entries after the snapshot. All indexes are absolute. */
 export class RaftLog {
   #snapshot: Snapshot | undefined
   #entries: LogEntry[]
   #commandBytes: number
 
-  /** @param persisted - what the disk held at start */
+  /** @param persisted - state read from the disk */
   constructor (persisted: PersistentState) {
     this.#snapshot = persisted.snapshot
     this.#entries = persisted.entries.filter(entry => entry.index > this.snapshotIndex)
@@ -31,19 +31,19 @@
     return this.#entries.at(-1)?.term ?? this.#snapshot?.term ?? 0
   }
 
-  /** Bytes of all commands kept above the snapshot. */
+  /** Total bytes of the commands after the snapshot. */
   get commandBytes (): number {
     return this.#commandBytes
   }
 
-  /** Number of entries kept above the snapshot. */
+  /** Number of entries after the snapshot. */
   get length (): number {
     return this.#entries.length
   }
 
   /**
    * @param index - absolute index
-   * @returns the term of the entry, or undefined if it is compacted away or not there
+   * @returns the term of the entry, or undefined if it was compacted or does not exist
    */
   termAt (index: number): number | undefined {
     if (index === this.snapshotIndex) return this.#snapshot?.term ?? 0
@@ -52,17 +52,17 @@
 
   /**
    * @param index - absolute index
-   * @returns the entry, or undefined
+   * @returns the entry, or undefined if it was compacted or does not exist
    */
   entryAt (index: number): LogEntry | undefined {
     return this.#entries[index - this.snapshotIndex - 1]
   }
 
   /**
-   * @param fromIndex - first index wanted
-   * @param limit - most entries to return
-   * @param byteLimit - bytes of commands after which no further entry is added
-   * @returns entries from that index on
+   * @param fromIndex - index of the first entry
+   * @param limit - maximum number of entries
+   * @param byteLimit - command bytes after which no further entry is added
+   * @returns entries starting at `fromIndex`
    */
   slice (fromIndex: number, limit: number, byteLimit = Number.POSITIVE_INFINITY): LogEntry[] {
     const start = fromIndex - this.snapshotIndex - 1
@@ -77,22 +77,22 @@
 
   /** @param entry - must directly follow the last entry */
   append (entry: LogEntry): void {
-    assertInvariant(entry.index === this.lastIndex + 1, 'log-contiguous', () => `${entry.index} after ${this.lastIndex}`)
+    assertInvariant(entry.index === this.lastIndex + 1, 'log-contiguous', () => `entry ${entry.index} does not follow the last entry ${this.lastIndex}`)
     this.#entries.push(entry)
     this.#commandBytes += commandBytes(entry)
   }
 
-  /** @param fromIndex - this entry and all after it are dropped */
+  /** @param fromIndex - first entry to remove, together with all later ones */
   truncate (fromIndex: number): void {
-    assertInvariant(fromIndex > this.snapshotIndex, 'log-truncate', () => `${fromIndex} is inside the snapshot`)
+    assertInvariant(fromIndex > this.snapshotIndex, 'log-truncate', () => `cannot truncate at ${fromIndex}: the index is covered by the snapshot`)
     this.#entries.length = fromIndex - this.snapshotIndex - 1
     this.#commandBytes = sumBytes(this.#entries)
   }
 
   /**
-   * Drops entries that a snapshot covers.
+   * Removes the entries that a snapshot covers. Later entries stay only if the log matches the snapshot at its index.
    *
-   * @param snapshot - newer than the present one
+   * @param snapshot - newer than the current snapshot
    */
   compact (snapshot: Snapshot): void {
     const keepTail = this.termAt(snapshot.index) === snapshot.term
--- a/packages/consensus/src/lib/RaftSettings.ts
+++ b/packages/consensus/src/lib/RaftSettings.ts
@@ -1,20 +1,20 @@
-/** Timing and limits of a replica. Durations are in milliseconds. */
+/** Timing and limits of a Raft replica. Durations are in milliseconds. */
 export interface RaftSettings {
   readonly heartbeatMs: number
-  /** A follower waits between this and twice this without a leader before it stands for election. */
+  /** A follower that hears no leader starts an election after a random delay between this value and twice this value. */
   readonly electionTimeoutMs: number
-  /** How long a confirmed quorum contact lets the leader act alone; below the election timeout. */
+  /** How long a leader may act without asking the quorum again, counted from its last confirmed quorum contact; must be below the election timeout. */
   readonly leaseMs: number
   readonly maxEntriesPerAppend: number
-  /** Bytes of commands after which a message takes no further entry; a single larger entry goes alone. */
+  /** Once the commands of a message reach this many bytes, no further entry is added; a single entry may be larger. */
   readonly maxBytesPerAppend: number
-  /** A learner may become a voter when it lags by no more entries than this. */
+  /** A learner may be promoted to voter when its log is at most this many entries behind. */
   readonly promotionLag: number
-  /** Committed voters that a new group must once have had before its leader appends a command. */
+  /** Number of committed voters that a new group must reach once before its leader accepts commands. */
   readonly minimumVoters: number
 }
 
-/** Settings for control hosts in data centres about a millisecond apart. */
+/** Defaults for control hosts in data centres with about a millisecond of latency between them. */
 export const DEFAULT_RAFT_SETTINGS: RaftSettings = {
   heartbeatMs: 50, electionTimeoutMs: 300, leaseMs: 240, maxEntriesPerAppend: 256, maxBytesPerAppend: 1024 * 1024, promotionLag: 16, minimumVoters: 1
 }
--- a/packages/consensus/src/lib/RaftState.ts
+++ b/packages/consensus/src/lib/RaftState.ts
@@ -1,4 +1,4 @@
-/** What the core and its managers share: term, role, log, commits, and the effects of the step under way. */
+/** State shared by the parts of the Raft core: term, role, log, commit index, and the effects of the current step. */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 import { emptyEffects } from './emptyEffects.js'
 import { Formation } from './Formation.js'
@@ -9,13 +9,13 @@
 
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader'
 
-/** State of one replica. Whatever must be durable is written here, so that each change leaves its write in the effects. */
+/** State of one replica. All durable state is changed through this class, so that each change adds its write to the effects. */
 export class RaftState {
   role: RaftRole = 'follower'
   leader: string | undefined
   electionDeadline: number
   lastLeaderContact: number
-  /** Voter that leadership is being handed to; until that ends the leader takes nothing. */
+  /** Voter that leadership is being transferred to; the leader accepts no commands until the transfer ends. */
   transferTarget: string | undefined
   readonly log: RaftLog
   readonly formation: Formation
@@ -29,7 +29,7 @@
    * @param persisted - state read from the disk
    * @param settings - timing and limits
    * @param random - source of numbers in [0, 1)
-   * @param startedAt - monotonic milliseconds since which this replica has certainly sent nothing: the start of its process
+   * @param startedAt - start of the process, in monotonic milliseconds; an earlier process of this replica sent its messages before this time
    */
   constructor (
     readonly self: Replica,
@@ -43,7 +43,7 @@
     this.log = new RaftLog(persisted)
     this.formation = new Formation(settings.minimumVoters, persisted.snapshot)
     this.#commitIndex = this.log.snapshotIndex
-    // A restarted replica may have promised a leader its silence: it waits before it votes.
+    // Before the restart this replica may have acknowledged a leader that still holds a lease, so it must not vote at once.
     this.lastLeaderContact = startedAt
     this.electionDeadline = startedAt + this.electionDelay()
   }
@@ -58,7 +58,7 @@
     return [...voters, ...learners]
   }
 
-  /** Whether the latest membership is not committed yet. */
+  /** Whether the log holds a membership change that is not committed yet. */
   get isMembershipPending (): boolean {
     for (let index = this.#commitIndex + 1; index <= this.log.lastIndex; index += 1) {
       if (this.log.entryAt(index)?.kind === 'membership') return true
@@ -67,26 +67,26 @@
   }
 
   /**
-   * @param id - replica
-   * @returns whether it votes in the latest membership
+   * @param id - replica id
+   * @returns whether the replica is a voter in the latest membership
    */
   isVoter (id: string): boolean {
     return this.log.latestMembership().voters.some(voter => voter.id === id)
   }
 
-  /** @returns the refusal that names the leader */
+  /** @returns the `not-leader` error with the leader that this replica knows */
   notLeader (): RaftError {
     return { kind: 'not-leader', leader: this.replicas.find(replica => replica.id === this.leader) }
   }
 
-  /** @returns milliseconds without a leader before this replica stands for election */
+  /** @returns randomized election timeout in milliseconds */
   electionDelay (): number {
     return this.settings.electionTimeoutMs * (1 + this.random())
   }
 
   /**
-   * @param term - present term from now on
-   * @param votedFor - this replica's vote in it
+   * @param term - new current term
+   * @param votedFor - candidate that this replica votes for in that term
    */
   setVote (term: number, votedFor: string | undefined): void {
     this.#term = term
@@ -95,7 +95,7 @@
   }
 
   /**
-   * @param term - a higher one
+   * @param term - newer term seen in a message
    * @param now - monotonic milliseconds
    */
   adoptTerm (term: number, now: number): void {
@@ -104,7 +104,7 @@
   }
 
   /**
-   * @param leader - whom to follow, if known
+   * @param leader - id of the current leader, if known
    * @param now - monotonic milliseconds
    */
   becomeFollower (leader: string | undefined, now: number): void {
@@ -114,37 +114,37 @@
     this.electionDeadline = now + this.electionDelay()
   }
 
-  /** @param entry - must directly follow the last one */
+  /** @param entry - must directly follow the last entry */
   append (entry: LogEntry): void {
     this.log.append(entry)
     this.#effects.writes.push({ kind: 'append', entry })
   }
 
-  /** @param fromIndex - this entry and all after it are dropped; they were never committed */
+  /** @param fromIndex - first entry to remove, together with all later ones; none of them may be committed */
   truncate (fromIndex: number): void {
-    assertInvariant(fromIndex > this.#commitIndex, 'committed-kept', () => `overwrite of ${fromIndex}`)
+    assertInvariant(fromIndex > this.#commitIndex, 'committed-kept', () => `attempt to truncate the log at committed index ${fromIndex}`)
     this.log.truncate(fromIndex)
     this.#effects.writes.push({ kind: 'truncate', fromIndex })
   }
 
-  /** @param index - all entries up to this one are committed */
+  /** @param index - highest committed index */
   commitTo (index: number): void {
     while (this.#commitIndex < index) {
       const entry = this.log.entryAt(this.#commitIndex + 1)
-      assertInvariant(entry !== undefined, 'committed-present', () => `entry ${this.#commitIndex + 1} is missing`)
+      assertInvariant(entry !== undefined, 'committed-present', () => `committed entry ${this.#commitIndex + 1} is missing from the log`)
       this.#commitIndex += 1
       this.formation.observe(entry)
       this.#effects.committed.push(entry)
     }
   }
 
-  /** @param snapshot - of own committed state; replaces the entries that it covers */
+  /** @param snapshot - snapshot of committed state; replaces the entries that it covers */
   compact (snapshot: Snapshot): void {
     this.log.compact(snapshot)
     this.#effects.writes.push({ kind: 'snapshot', snapshot })
   }
 
-  /** @param snapshot - of the leader's state, newer than what is committed here */
+  /** @param snapshot - snapshot from the leader, newer than this replica's commit index */
   install (snapshot: Snapshot): void {
     this.compact(snapshot)
     this.formation.observeSnapshot(snapshot)
@@ -155,23 +155,23 @@
 
   /**
    * @param to - receiver
-   * @param message - what it is sent once the writes are synced
+   * @param message - message to send once the writes are synced
    */
   send (to: Replica, message: RaftMessage): void {
     this.#effects.messages.push({ to, message })
   }
 
   /**
-   * @param id - receiver, who may not be a member here
-   * @param message - what it is sent
+   * @param id - receiver, which may be missing from the latest membership
+   * @param message - message to send once the writes are synced
    */
   sendTo (id: string, message: RaftMessage): void {
-    // A new replica may not know the asker yet; the transport then answers over the asker's connection.
+    // A new replica may not know the sender yet; with an empty address the transport responds over the sender's connection.
     const replica = this.replicas.find(candidate => candidate.id === id) ?? { id, address: '' }
     this.send(replica, message)
   }
 
-  /** @returns the effects of the step under way, which ends with this */
+  /** @returns the effects collected since the last call */
   takeEffects (): RaftEffects {
     const effects = this.#effects
     this.#effects = emptyEffects()
--- a/packages/consensus/src/lib/emptyEffects.ts
+++ b/packages/consensus/src/lib/emptyEffects.ts
@@ -1,6 +1,6 @@
 import type { RaftEffects } from './messages/raftMessages.js'
 
-/** @returns effects that ask for nothing */
+/** @returns effects without any writes, messages or commits */
 export function emptyEffects (): RaftEffects {
   return { writes: [], messages: [], committed: [], installed: undefined }
 }
--- a/packages/consensus/src/lib/messages/raftMessages.ts
+++ b/packages/consensus/src/lib/messages/raftMessages.ts
@@ -1,14 +1,14 @@
-/** Messages, log entries and persistent state of the agreement protocol (Raft). */
+/** Messages, log entries and persistent state of the Raft consensus protocol. */
 import { z } from 'zod'
 import { bytesSchema } from '@eelgrassmux/schema/bytesSchema'
 
 const index = z.number().int().min(0)
 const bytes = bytesSchema
 
-/** A control host: its id is made on its disk, so a host that lost its disk is a new one. */
+/** A control host. Its id is generated on its disk, so a host that lost its disk counts as a new replica. */
 export const replicaSchema = z.strictObject({ id: z.string().min(1), address: z.string() })
 
-/** Who votes and who only receives the log. */
+/** Members of the group: voters, and learners that receive the log without voting. */
 export const membershipSchema = z.strictObject({ voters: z.array(replicaSchema), learners: z.array(replicaSchema) })
 
 export const logEntrySchema = z.discriminatedUnion('kind', [
@@ -17,7 +17,7 @@
   z.strictObject({ kind: z.literal('membership'), index, term: index, membership: membershipSchema })
 ])
 
-/** State machine image up to and including an index. */
+/** Encoded state machine after applying all entries up to and including `index`. */
 export const snapshotSchema = z.strictObject({ index, term: index, membership: membershipSchema, state: bytes })
 
 const header = { from: z.string(), term: index }
@@ -32,7 +32,7 @@
     previousTerm: index,
     entries: z.array(logEntrySchema),
     commitIndex: index,
-    /** Leader's clock at sending; echoed, so that a lease counts from the sending. */
+    /** Leader's clock at the time of sending. The response echoes it, so that the lease starts at the send time. */
     sentAt: z.number()
   }),
   z.strictObject({ kind: z.literal('append-response'), ...header, success: z.boolean(), matchIndex: index, sentAt: z.number() }),
@@ -51,7 +51,7 @@
 export type AppendResponse = Extract<RaftMessage, { kind: 'append-response' }>
 export type SnapshotRequest = Extract<RaftMessage, { kind: 'snapshot-request' }>
 
-/** What a replica must find again after a restart. */
+/** State that a replica must recover after a restart. */
 export interface PersistentState {
   readonly term: number
   readonly votedFor: string | undefined
@@ -59,18 +59,18 @@
   readonly entries: readonly LogEntry[]
 }
 
-/** Writes that must be synced before anything else of the same batch leaves the process. */
+/** Writes that must be synced to disk before any message of the same batch is sent. */
 export type DurableWrite =
   | { readonly kind: 'vote', readonly term: number, readonly votedFor: string | undefined }
   | { readonly kind: 'truncate', readonly fromIndex: number }
   | { readonly kind: 'append', readonly entry: LogEntry }
   | { readonly kind: 'snapshot', readonly snapshot: Snapshot }
 
-/** What the core asks its task to do, in order; durable writes of a batch come first. */
+/** Side effects that the core requests from its caller, in order; the durable writes of a batch come first. */
 export interface RaftEffects {
   readonly writes: DurableWrite[]
   readonly messages: Array<{ readonly to: Replica, readonly message: RaftMessage }>
   readonly committed: LogEntry[]
-  /** Snapshot that replaces the state machine, received from the leader. */
+  /** Snapshot received from the leader that replaces the state machine. */
   installed: Snapshot | undefined
 }
