--- a/packages/state/src/lib/EvacuationRegistry.test.ts
+++ b/packages/state/src/lib/EvacuationRegistry.test.ts
@@ -9,7 +9,7 @@
 describe('evacuations', () => {
   const apply = (state: StateMachine, command: Command, stampedAt = 0): CommandResult => state.apply({ stampedAt, command })
 
-  it('are in force from the order on, several at once, each with its time', () => {
+  it('take effect with the order, also for several data centres, and keep the time of the order', () => {
     const state = new StateMachine()
     expect(apply(state, order('north', true), 5)).toEqual({ kind: 'accepted', revision: 1 })
     expect(apply(state, order('south', true, 1), 9)).toEqual({ kind: 'accepted', revision: 2 })
@@ -19,7 +19,7 @@
     expect(state.evacuations.evacuated).toEqual(['south'])
   })
 
-  it('change nothing when an order is sent again, and raise no view', () => {
+  it('do not change, nor does the view revision, when an order is resent', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     const { viewRevision } = state
@@ -29,14 +29,14 @@
     expect(state.evacuations.orders[0]).toMatchObject({ dataCentre: 'north', isEvacuated: true, orderedAt: 0 })
   })
 
-  it('are not begun by an order that was given up, once the end was acknowledged that found nothing to do', () => {
+  it('are not started by a delayed order after an end order was acknowledged that had nothing to end', () => {
     const state = new StateMachine()
     expect(apply(state, order('north', false)).kind).toBe('accepted')
     expect(apply(state, order('north', true)).kind).toBe('revision-conflict')
     expect(state.evacuations.evacuated).toEqual([])
   })
 
-  it('are not begun again by an order that the end has overtaken', () => {
+  it('are not restarted by a delayed order that the end order preceded', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     apply(state, order('north', false, 1))
@@ -44,7 +44,7 @@
     expect(state.evacuations.evacuated).toEqual([])
   })
 
-  it('are not ended by an order that a newer start has overtaken', () => {
+  it('are not ended by a delayed order that a newer start order preceded', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     apply(state, order('north', false, 1))
@@ -53,13 +53,13 @@
     expect(state.evacuations.evacuated).toEqual(['north'])
   })
 
-  it('are not hindered by orders about other data centres', () => {
+  it('are not rejected because of orders for other data centres', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     expect(apply(state, order('south', true, 0)).kind).toBe('accepted')
   })
 
-  it('outlast a snapshot with what late orders are known by, and a snapshot without any is read', () => {
+  it('are restored from a snapshot with the revisions that reject delayed orders, and default to none in older snapshots', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     apply(state, order('north', false, 1))
@@ -73,7 +73,7 @@
     expect(stateImageSchema.parse(older).evacuations).toEqual({ revision: 0, orders: [] })
   })
 
-  it('hold a bounded number, and drop none that is in force', () => {
+  it('are bounded in number, and none in force is removed', () => {
     const state = new StateMachine()
     apply(state, order('ended', true))
     apply(state, order('ended', false, 1))
@@ -83,7 +83,7 @@
     expect(state.evacuations.evacuated).toHaveLength(MAX_DATA_CENTRES)
   })
 
-  it('are told from the log as changes of the view', () => {
+  it('are marked in the log as commands that may change the view', () => {
     const bytes = encodeCommand({ stampedAt: 1, command: order('north', true) })
     expect(mayChangeView(bytes)).toBe(true)
     expect(decodeCommand(bytes).command).toEqual(order('north', true))
--- a/packages/state/src/lib/QuarantineRegistry.test.ts
+++ b/packages/state/src/lib/QuarantineRegistry.test.ts
@@ -8,19 +8,19 @@
 const FINGERPRINT = 'a'.repeat(32)
 const DAY_MS = 24 * 60 * 60 * 1000
 
-function changed (decision: QuarantineDecision['decision'], forMs = 1000, fingerprint = FINGERPRINT): Command {
+function changeQuarantine (decision: QuarantineDecision['decision'], forMs = 1000, fingerprint = FINGERPRINT): Command {
   return { kind: 'change-quarantine', decisions: [{ fingerprint, service: 's', decision, forMs }] }
 }
 
-function machine (...commands: ReadonlyArray<readonly [number, Command]>): StateMachine {
+function stateAfter (...commands: ReadonlyArray<readonly [number, Command]>): StateMachine {
   const state = new StateMachine()
   for (const [stampedAt, command] of commands) state.apply(decodeCommand(encodeCommand({ stampedAt, command })))
   return state
 }
 
 describe('QuarantineRegister', () => {
-  it('leads from suspicion to quarantine, release and the end', () => {
-    const state = machine([0, changed('suspect')], [10, changed('quarantine', 1000)])
+  it('moves an entry from suspected to quarantined to released and then removes it', () => {
+    const state = stateAfter([0, changeQuarantine('suspect')], [10, changeQuarantine('quarantine', 1000)])
     expect(state.quarantine.find(FINGERPRINT)).toMatchObject({ state: 'quarantined', endsAt: 1010, quarantines: 1 })
     state.apply({ stampedAt: 1009, command: { kind: 'expire-quarantine' } })
     expect(state.quarantine.find(FINGERPRINT)?.state).toBe('quarantined')
@@ -31,50 +31,50 @@
   })
 
   it('counts how often a request was quarantined', () => {
-    const state = machine([0, changed('quarantine')], [1000, { kind: 'expire-quarantine' }], [1500, changed('quarantine', 2000)])
+    const state = stateAfter([0, changeQuarantine('quarantine')], [1000, { kind: 'expire-quarantine' }], [1500, changeQuarantine('quarantine', 2000)])
     expect(state.quarantine.find(FINGERPRINT)).toMatchObject({ state: 'quarantined', endsAt: 3500, quarantines: 2 })
   })
 
-  it('does not lengthen a quarantine, nor weaken it by a suspicion', () => {
-    const state = machine([0, changed('quarantine')], [500, changed('quarantine')], [600, changed('suspect')])
+  it('neither extends a quarantine nor replaces it by a suspicion', () => {
+    const state = stateAfter([0, changeQuarantine('quarantine')], [500, changeQuarantine('quarantine')], [600, changeQuarantine('suspect')])
     expect(state.quarantine.find(FINGERPRINT)).toMatchObject({ state: 'quarantined', endsAt: 1000, quarantines: 1 })
   })
 
-  it('forgets a request that came through', () => {
-    expect(machine([0, changed('quarantine')], [1, changed('clear', 0)]).quarantine.all).toEqual([])
+  it('removes the entry of a request that is cleared', () => {
+    expect(stateAfter([0, changeQuarantine('quarantine')], [1, changeQuarantine('clear', 0)]).quarantine.all).toEqual([])
   })
 
-  it('ends nothing early when the clock of a new leader lies behind', () => {
-    const state = machine([5000, changed('quarantine')], [100, { kind: 'expire-quarantine' }])
+  it('does not expire entries early when the clock of a new leader is behind', () => {
+    const state = stateAfter([5000, changeQuarantine('quarantine')], [100, { kind: 'expire-quarantine' }])
     expect(state.quarantine.find(FINGERPRINT)?.endsAt).toBe(6000)
   })
 
-  it('holds a bounded number: what is only suspected goes before what is quarantined', () => {
-    const name = (number: number): string => number.toString(16).padStart(32, '0')
-    const state = machine([0, changed('quarantine', 1, FINGERPRINT)], ...Array.from({ length: MAX_ENTRIES + 10 }, (_, number): [number, Command] => [0, changed('suspect', 1000 + number, name(number))]))
+  it('is bounded in size and evicts suspected entries before quarantined ones', () => {
+    const fingerprintOf = (number: number): string => number.toString(16).padStart(32, '0')
+    const state = stateAfter([0, changeQuarantine('quarantine', 1, FINGERPRINT)], ...Array.from({ length: MAX_ENTRIES + 10 }, (_, number): [number, Command] => [0, changeQuarantine('suspect', 1000 + number, fingerprintOf(number))]))
     expect(state.quarantine.all).toHaveLength(MAX_ENTRIES)
     expect(state.quarantine.find(FINGERPRINT)?.state).toBe('quarantined')
-    expect(state.quarantine.find(name(0))).toBeUndefined()
+    expect(state.quarantine.find(fingerprintOf(0))).toBeUndefined()
   })
 })
 
-describe('StateMachine with entries', () => {
-  it('raises the view only if an entry changed, and names the requests', () => {
-    const state = machine([0, changed('quarantine')], [1, changed('quarantine')])
+describe('StateMachine with quarantine entries', () => {
+  it('increases the view revision only if an entry changed, and lists the changed fingerprints', () => {
+    const state = stateAfter([0, changeQuarantine('quarantine')], [1, changeQuarantine('quarantine')])
     expect(state.viewRevision).toBe(1)
     expect(state.changesSince(0)).toMatchObject([{ quarantineChanged: [FINGERPRINT] }])
   })
 
-  it('keeps entries over a snapshot, and takes one from before there were any', () => {
+  it('restores entries from a snapshot, and accepts a snapshot of a release without a quarantine', () => {
     const restored = new StateMachine()
-    restored.restore(stateImageSchema.parse(machine([0, changed('quarantine')]).image()))
+    restored.restore(stateImageSchema.parse(stateAfter([0, changeQuarantine('quarantine')]).image()))
     expect(restored.quarantine.find(FINGERPRINT)?.state).toBe('quarantined')
     const { quarantine, ...older } = new StateMachine().image()
     expect(stateImageSchema.parse(older).quarantine).toEqual(quarantine)
   })
 
-  it('says in the log that a command may change the view', () => {
-    const commands: Command[] = [changed('suspect'), { kind: 'expire-quarantine' }]
+  it('marks quarantine commands in the log as commands that may change the view', () => {
+    const commands: Command[] = [changeQuarantine('suspect'), { kind: 'expire-quarantine' }]
     for (const command of commands) expect(mayChangeView(encodeCommand({ stampedAt: 0, command }))).toBe(true)
   })
 })
--- a/packages/state/src/lib/SiteRegistry.test.ts
+++ b/packages/state/src/lib/SiteRegistry.test.ts
@@ -11,28 +11,28 @@
   ({ kind: 'put-site', site: site(version), source: Buffer.from(text) })
 
 describe('SiteRegister', () => {
-  it('keeps the highest version and acknowledges the others', () => {
+  it('keeps the highest version and acknowledges lower ones', () => {
     const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(3, 'three'))).toEqual({ result: { kind: 'site-accepted', version: 5 }, hasChanged: false })
     expect(register.current?.site.version).toBe(5)
   })
 
-  it('never takes other content under the version that it holds', () => {
+  it('never replaces the content of the version that it holds', () => {
     const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(5, 'other')).hasChanged).toBe(false)
     expect(Buffer.from(register.current?.source ?? []).toString()).toBe('five')
   })
 
-  it('lets named weights only rise', () => {
+  it('accepts only higher versions of desired weights', () => {
     const register = new SiteRegistry()
     register.nameWeights({ kind: 'name-weights', model: 'm', version: 3 })
     expect(register.nameWeights({ kind: 'name-weights', model: 'm', version: 2 }).hasChanged).toBe(false)
     expect(register.weights).toEqual([{ model: 'm', version: 3 }])
   })
 
-  it('does not give the right to order back to an earlier term', () => {
+  it('does not return the right to send orders to the leader of an earlier term', () => {
     const register = new SiteRegistry()
     register.claimOrders({ replicaId: 'b', term: 4 })
     register.claimOrders({ replicaId: 'a', term: 3 })
@@ -41,7 +41,7 @@
 })
 
 describe('StateMachine', () => {
-  it('carries a site through a snapshot', () => {
+  it('restores a site from a snapshot', () => {
     const state = new StateMachine()
     state.apply({ stampedAt: 0, command: put(5, 'five') })
     state.apply({ stampedAt: 0, command: { kind: 'name-weights', model: 'm', version: 2 } })
@@ -52,7 +52,7 @@
     expect(restored.viewRevision).toBe(state.viewRevision)
   })
 
-  it('raises the view only when something changed', () => {
+  it('increases the view revision only when something changed', () => {
     const state = new StateMachine()
     state.apply({ stampedAt: 0, command: put(5, 'five') })
     state.apply({ stampedAt: 0, command: put(5, 'five') })
--- a/packages/state/src/lib/SiteRegistry.ts
+++ b/packages/state/src/lib/SiteRegistry.ts
@@ -1,15 +1,15 @@
-/** The part of the agreed state that is put whole under rising versions: the site, named weights, who gives orders. */
+/** Replicated state that is replaced as a whole under increasing versions: the site, the desired weights and the control host that may send orders. */
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { CommandResult, NameWeightsCommand, DesiredWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
 
-/** A site in force, with the document that its operator wrote. */
+/** The site in force, with the document that the operator sent. */
 export interface StoredSite {
   readonly site: Site
-  /** What the operator sent, byte for byte, so that it reads back unchanged. */
+  /** The document byte for byte, so that the operator reads back what was sent. */
   readonly source: Uint8Array
 }
 
-/** Highest version wins; whatever is not higher changes nothing and is acknowledged. */
+/** The highest version wins; a command with a version that is not higher is acknowledged without effect. */
 export class SiteRegistry {
   #put: StoredSite | undefined
   #weights = new Map<string, number>()
@@ -18,14 +18,14 @@
   get current (): StoredSite | undefined { return this.#put }
   get orderHolder (): OrderHolder | undefined { return this.#orderHolder }
 
-  /** Weight version that each model should run. */
+  /** Version of the weights that each model should run. */
   get weights (): DesiredWeights[] {
     return [...this.#weights].map(([model, version]) => ({ model, version }))
   }
 
   /**
-   * @param command - a whole site
-   * @returns the result for its proposer, and whether the view changed
+   * @param command - complete site
+   * @returns the result for the proposer, and whether the view changed
    */
   putSite (command: PutSiteCommand): { result: CommandResult, hasChanged: boolean } {
     const hasChanged = command.site.version > (this.#put?.site.version ?? -1)
@@ -35,7 +35,7 @@
 
   /**
    * @param command - weights that a model should run
-   * @returns the result for its proposer, and whether the view changed
+   * @returns the result for the proposer, and whether the view changed
    */
   nameWeights (command: NameWeightsCommand): { result: CommandResult, hasChanged: boolean } {
     const hasChanged = command.version > (this.#weights.get(command.model) ?? 0)
@@ -44,21 +44,21 @@
   }
 
   /**
-   * Records which control host gives orders from now on.
+   * Records which control host may send orders from now on; ignored if the holder of a later term is known.
    *
-   * @param holder - the host and the term in which it leads
+   * @param holder - the host and the term in which it is leader
    */
   claimOrders (holder: OrderHolder): CommandResult {
     if (holder.term >= (this.#orderHolder?.term ?? 0)) this.#orderHolder = holder
     return { kind: 'done' }
   }
 
-  /** @returns an image for a snapshot */
+  /** @returns the state for a snapshot */
   image (): SiteImage {
     return { put: this.#put, weights: this.weights, orderHolder: this.#orderHolder }
   }
 
-  /** @param image - replaces everything */
+  /** @param image - state from a snapshot; replaces the current state */
   restore (image: SiteImage): void {
     this.#put = image.put
     this.#weights = new Map(image.weights.map(({ model, version }) => [model, version]))
--- a/packages/state/src/lib/StateMachine.test.ts
+++ b/packages/state/src/lib/StateMachine.test.ts
@@ -17,14 +17,14 @@
     ({ kind: 'change-configuration', requestId, upserts, removes: [], ...(expectedRevision === undefined ? {} : { expectedRevision }) })
 
   describe('configuration', () => {
-    it('lets one of two operators under equal numbers win', () => {
+    it('accepts only the first of two changes with the same expected revision', () => {
       const state = new StateMachine()
       expect(apply(state, change('a', [model('v1')], 0))).toEqual({ kind: 'accepted', revision: 1 })
       expect(apply(state, change('b', [model('v2')], 0))).toEqual({ kind: 'revision-conflict', revision: 1 })
       expect(state.configuration.documents).toEqual([model('v1')])
     })
 
-    it('gives a resend the first answer, also after later changes', () => {
+    it('returns the first result for a resent request, even after later changes', () => {
       const state = new StateMachine()
       apply(state, change('a', [model('v1')]))
       apply(state, change('b', [model('v2')]))
@@ -32,21 +32,21 @@
       expect(state.configuration.documents).toEqual([model('v2')])
     })
 
-    it('refuses a reference to nothing and names it', () => {
+    it('rejects a reference to an undefined document and names it', () => {
       const state = new StateMachine()
       const result = apply(state, change('a', [{ kind: 'service', type: 'model', name: 's', model: 'none', profile: 'none' }]))
       expect(result).toEqual({ kind: 'invalid', message: 'service/s profile: profile/none is not defined' })
       expect(state.revision).toBe(0)
     })
 
-    it('brings a watcher up to date by changes, or not at all when too far behind', () => {
+    it('returns the changes for a watcher that lags slightly, and none for one that lags too far', () => {
       const state = new StateMachine()
-      for (let turn = 1; turn <= 600; turn += 1) apply(state, change(`r${turn}`, [model(`v${turn}`)]))
+      for (let count = 1; count <= 600; count += 1) apply(state, change(`r${count}`, [model(`v${count}`)]))
       expect(state.changesSince(598)?.map(step => step.viewRevision)).toEqual([599, 600])
       expect(state.changesSince(1)).toBeUndefined()
     })
 
-    it('survives a snapshot with its table of requests', () => {
+    it('restores the results of earlier requests from a snapshot', () => {
       const state = new StateMachine()
       apply(state, change('a', [model('v1')]))
       const restored = new StateMachine()
@@ -57,7 +57,7 @@
   })
 
   describe('at-most-once records', () => {
-    it('grants a key once and repeats the stored answer', () => {
+    it('grants a key once and returns the stored response for later claims', () => {
       const state = new StateMachine()
       const answer = { status: 200, contentType: 'text/plain', body: new Uint8Array([1]) }
       expect(apply(state, claim('c1'))).toEqual({ kind: 'claim', result: { kind: 'claimed' } })
@@ -66,19 +66,19 @@
       expect(apply(state, claim('c3'))).toEqual({ kind: 'claim', result: { kind: 'answered', answer } })
     })
 
-    it('never grants a key again after a claim whose outcome was lost', () => {
+    it('never grants a key again after a claim with an unknown outcome', () => {
       const state = new StateMachine()
       apply(state, claim('c1'))
       expect(apply(state, claim('c2'), 1001)).toEqual({ kind: 'claim', result: { kind: 'outcome-unknown' } })
     })
 
-    it('refuses the key with another body', () => {
+    it('rejects a claim of the same key with a different body', () => {
       const state = new StateMachine()
       apply(state, claim('c1'))
       expect(apply(state, claim('c2', { bodySha256: 'other' }))).toEqual({ kind: 'claim', result: { kind: 'body-differs' } })
     })
 
-    it('keeps customers apart under the same key', () => {
+    it('keeps the records of different customers separate under the same key', () => {
       const state = new StateMachine()
       apply(state, claim('c1'))
       const other = claim('c2', { record: { ...record, customer: 'clinic' } })
@@ -92,7 +92,7 @@
       expect(apply(state, claim('c2'))).toEqual({ kind: 'claim', result: { kind: 'claimed' } })
     })
 
-    it('does not release a record that has an answer', () => {
+    it('does not release a record that has a response', () => {
       const state = new StateMachine()
       const answer = { status: 200, contentType: 'text/plain', body: new Uint8Array() }
       apply(state, claim('c1'))
@@ -101,7 +101,7 @@
       expect(apply(state, claim('c2'))).toEqual({ kind: 'claim', result: { kind: 'answered', answer } })
     })
 
-    it('forgets records after the window, by the clock of the log', () => {
+    it('removes records after the retention window, according to the timestamps in the log', () => {
       const state = new StateMachine({ recordWindowMs: 100, maxRememberedRequests: 10 })
       apply(state, claim('c1'), 50)
       apply(state, { kind: 'expire' }, 150)
@@ -112,7 +112,7 @@
   })
 
   describe('shards', () => {
-    it('gives a new epoch to each new owner and keeps that of an old one', () => {
+    it('assigns a new epoch when the owner of a shard changes, and keeps it otherwise', () => {
       const state = new StateMachine()
       apply(state, { kind: 'assign-shards', owners: ['a', 'b'] })
       apply(state, { kind: 'assign-shards', owners: ['a', 'c'] })
--- a/packages/state/src/lib/StateMachine.ts
+++ b/packages/state/src/lib/StateMachine.ts
@@ -1,4 +1,4 @@
-/** The deterministic state that the agreed log drives: configuration, shard owners and at-most-once records. */
+/** Deterministic state machine driven by the replicated log: configuration, shard owners, at-most-once records, site, quarantine and evacuations. */
 import { assertInvariant, unreachable } from '@eelgrassmux/schema/invariant'
 import { checkReferences } from '@eelgrassmux/schema/checkReferences'
 import type { Configuration, ConfigurationDocument } from '@eelgrassmux/schema/configuration'
@@ -10,11 +10,11 @@
 import { SiteRegistry } from './SiteRegistry.js'
 import { QuarantineRegistry } from './QuarantineRegistry.js'
 
-/** Settings that every control host must share. */
+/** Settings that must be the same on all control hosts. */
 export interface StateSettings {
   /** How long an at-most-once record is kept after its claim, in milliseconds. */
   readonly recordWindowMs: number
-  /** How many operators' requests are remembered to recognise a resend. */
+  /** Number of operator requests whose results are kept, to recognise a resent request. */
   readonly maxRememberedRequests: number
 }
 
@@ -22,24 +22,24 @@
   recordWindowMs: 24 * 60 * 60 * 1000, maxRememberedRequests: 10_000
 }
 
-/** One step of the view: what changed in the configuration; shard owners are sent whole. */
+/** One step of the view: the changes of the configuration, site and quarantine. Shard owners are always sent completely. */
 export interface ViewChange {
   readonly viewRevision: number
   readonly upserts: readonly ConfigurationDocument[]
   readonly removes: readonly DocumentName[]
-  /** Whether the site was replaced in this step. */
+  /** Whether this step replaced the site. */
   readonly replacesSite: boolean
-  /** Fingerprints of requests whose quarantine changed in this step. */
+  /** Fingerprints of the requests whose quarantine entry changed in this step. */
   readonly quarantineChanged: readonly string[]
 }
 
-/** A step that changes nothing of what is not named. */
+/** Defaults for the fields that a step does not change. */
 const NO_CHANGE: Omit<ViewChange, 'viewRevision'> = { upserts: [], removes: [], replacesSite: false, quarantineChanged: [] }
 
-/** Changes kept for watchers that are only a little behind. */
+/** Number of view changes kept for watchers that lag slightly; others receive a full snapshot. */
 const MAX_RECENT_CHANGES = 512
 
-/** Applies committed commands; equal logs give equal states. */
+/** Applies committed commands; the same log always results in the same state. */
 export class StateMachine {
   #clock = 0
   #revision = 0
@@ -49,22 +49,22 @@
   #shards: Shard[] = []
   #requests = new Map<string, CommandResult>()
   #records = new Map<string, AtMostOnceRecord>()
-  /** Claims released before they were applied: a late duplicate must not leave a claim without an owner. */
+  /** Release times by claim id. A duplicate of a released claim that is applied later must not create a record that nobody completes. */
   #releasedClaims = new Map<string, number>()
 
-  /** Site, named weights and the holder of the right to give orders. */
+  /** Site, desired weights and the control host that may send orders. */
   readonly sites = new SiteRegistry()
   /** Requests that are not sent to endpoints. */
   readonly quarantine = new QuarantineRegistry()
-  /** Data centres whose endpoints get no new work. */
+  /** Data centres whose endpoints receive no new requests. */
   readonly evacuations = new EvacuationRegistry()
 
-  /** @param settings - the same on all control hosts */
+  /** @param settings - must be the same on all control hosts */
   constructor (private readonly settings: StateSettings = DEFAULT_STATE_SETTINGS) {}
 
   /** Revision of the accepted configuration. */
   get revision (): number { return this.#revision }
-  /** Rises with each change that hosts must take note of: configuration or shard owners. */
+  /** Increases with each change that hosts must learn of, such as a new configuration, site or shard assignment. */
   get viewRevision (): number { return this.#viewRevision }
   get configuration (): Configuration { return { documents: [...this.#documents.values()] } }
   get shards (): readonly Shard[] { return this.#shards }
@@ -73,7 +73,7 @@
   /**
    * @param kind - document kind
    * @param name - document name
-   * @returns whether the accepted configuration has such a document
+   * @returns whether the accepted configuration contains this document
    */
   hasDocument (kind: string, name: string): boolean {
     return this.#documents.has(documentId({ kind, name }))
@@ -82,8 +82,8 @@
   /**
    * Applies one committed command.
    *
-   * @param stamped - command and the leader's clock
-   * @returns the answer for its proposer
+   * @param stamped - command with the leader's timestamp
+   * @returns the result for the proposer
    */
   apply (stamped: StampedCommand): CommandResult {
     this.#clock = Math.max(this.#clock, stamped.stampedAt)
@@ -106,10 +106,10 @@
   }
 
   /**
-   * Lists the changes that bring a watcher up to date.
+   * Returns the changes that bring a watcher up to date.
    *
-   * @param knownViewRevision - what the watcher has
-   * @returns the changes in order, or undefined if it needs everything
+   * @param knownViewRevision - view revision that the watcher has
+   * @returns the changes in order, or undefined if the watcher needs a full snapshot
    */
   changesSince (knownViewRevision: number): ViewChange[] | undefined {
     const oldest = this.#recentChanges[0]?.viewRevision ?? this.#viewRevision + 1
@@ -134,10 +134,10 @@
     }
   }
 
-  /** @param image - replaces all state */
+  /** @param image - state from a snapshot; replaces the current state */
   restore (image: StateImage): void {
     assertInvariant(image.viewRevision >= this.#viewRevision, 'configuration-never-reverts',
-      () => `snapshot at view ${image.viewRevision} after ${this.#viewRevision}`)
+      () => `snapshot with view revision ${image.viewRevision} is older than the current view revision ${this.#viewRevision}`)
     this.#clock = image.clock
     this.#revision = image.revision
     this.#viewRevision = image.viewRevision
@@ -153,7 +153,7 @@
   }
 
   #changeConfiguration (command: ChangeCommand): CommandResult {
-    // A resend gets the first answer, also when the revision has moved on since.
+    // A resent request gets its first result, even if the revision has changed since.
     const earlier = this.#requests.get(command.requestId)
     if (earlier !== undefined) return earlier
     const result = this.#decideChange(command)
@@ -172,8 +172,8 @@
     const documents = [...next.values()]
     const problem = checkReferences({ documents })[0]
     if (problem !== undefined) {
-      const culprit = documents[problem.documentIndex]
-      return { kind: 'invalid', message: `${culprit?.kind}/${culprit?.name} ${problem.field}: ${problem.message}` }
+      const invalidDocument = documents[problem.documentIndex]
+      return { kind: 'invalid', message: `${invalidDocument?.kind}/${invalidDocument?.name} ${problem.field}: ${problem.message}` }
     }
     this.#documents = next
     this.#revision += 1
@@ -181,7 +181,7 @@
     return { kind: 'accepted', revision: this.#revision }
   }
 
-  /** Watchers that are close behind get these changes instead of everything. */
+  /** Increases the view revision and keeps the change for watchers that lag slightly. */
   #recordChange (change: Partial<Omit<ViewChange, 'viewRevision'>>): void {
     this.#viewRevision += 1
     this.#recentChanges.push({ ...NO_CHANGE, ...change, viewRevision: this.#viewRevision })
@@ -201,8 +201,8 @@
   #assignShards (owners: readonly string[]): CommandResult {
     this.#recordChange({})
     this.#shards = owners.map((owner, shard) => {
-      const present = this.#shards[shard]
-      if (present?.owner === owner) return present
+      const current = this.#shards[shard]
+      if (current?.owner === owner) return current
       return { owner, epoch: this.#viewRevision }
     })
     return { kind: 'done' }
@@ -211,8 +211,8 @@
   #claim (command: ClaimCommand): ClaimResult {
     if (this.#releasedClaims.has(command.claimId)) return { kind: 'released' }
     const id = recordId(command.record)
-    const present = this.#records.get(id)
-    if (present === undefined) {
+    const existing = this.#records.get(id)
+    if (existing === undefined) {
       this.#records.set(id, {
         key: command.record,
         bodySha256: command.bodySha256,
@@ -222,12 +222,12 @@
       })
       return { kind: 'claimed' }
     }
-    if (present.bodySha256 !== command.bodySha256) return { kind: 'body-differs' }
-    if (present.answer !== undefined) return { kind: 'answered', answer: present.answer }
-    // The proposer's own resend, after a lost answer, finds its claim again.
-    if (present.claimId === command.claimId) return { kind: 'claimed' }
-    if (this.#clock > present.deadlineAt) return { kind: 'outcome-unknown' }
-    return { kind: 'in-progress', deadlineAt: present.deadlineAt }
+    if (existing.bodySha256 !== command.bodySha256) return { kind: 'body-differs' }
+    if (existing.answer !== undefined) return { kind: 'answered', answer: existing.answer }
+    // A proposer that resends its command after a lost response keeps its claim.
+    if (existing.claimId === command.claimId) return { kind: 'claimed' }
+    if (this.#clock > existing.deadlineAt) return { kind: 'outcome-unknown' }
+    return { kind: 'in-progress', deadlineAt: existing.deadlineAt }
   }
 
   #complete (key: RecordKey, claimId: string, answer: StoredResponse): CommandResult {
@@ -256,7 +256,7 @@
   }
 }
 
-/** Unambiguous map key: the parts can't run into each other. */
+/** Returns an unambiguous map key; JSON keeps the parts apart. */
 function recordId (key: RecordKey): string {
   return JSON.stringify([key.customer, key.service, key.idempotencyKey])
 }
--- a/packages/state/src/lib/commandCodec.ts
+++ b/packages/state/src/lib/commandCodec.ts
@@ -1,4 +1,4 @@
-/** Bytes of commands in the log. A first byte says whether a command may change the view, so that this is known without decoding. */
+/** Encoding of commands in the log. The first byte says whether a command may change the view, so that this is known without decoding the command. */
 import { decode, encode } from '@msgpack/msgpack'
 import { stampedCommandSchema, type Command, type StampedCommand } from './commands.js'
 
@@ -6,8 +6,8 @@
 const KEEPS_VIEW = 0
 
 /**
- * @param stamped - command with its stamp
- * @returns bytes for the log
+ * @param stamped - command with its timestamp
+ * @returns log entry bytes
  */
 export function encodeCommand (stamped: StampedCommand): Uint8Array {
   const body = encode(stamped, { ignoreUndefined: true })
@@ -18,16 +18,16 @@
 }
 
 /**
- * @param bytes - from the log
- * @returns the command with its stamp
+ * @param bytes - log entry bytes
+ * @returns the command with its timestamp
  */
 export function decodeCommand (bytes: Uint8Array): StampedCommand {
   return stampedCommandSchema.parse(decode(bytes.subarray(1)))
 }
 
 /**
- * @param bytes - from the log
- * @returns whether applying them may raise the view
+ * @param bytes - log entry bytes
+ * @returns whether applying the command may increase the view revision
  */
 export function mayChangeView (bytes: Uint8Array): boolean {
   return bytes[0] === CHANGES_VIEW
--- a/packages/state/src/lib/commands.ts
+++ b/packages/state/src/lib/commands.ts
@@ -1,4 +1,4 @@
-/** Commands that the agreed log carries, their results, and the state they build. */
+/** Commands in the replicated log, their results, and the snapshot format of the state that they produce. */
 import { z } from 'zod'
 import { bytesSchema } from '@eelgrassmux/schema/bytesSchema'
 import { documentSchema } from '@eelgrassmux/schema/configuration'
@@ -10,22 +10,23 @@
 const id = z.string().min(1).max(200)
 const count = z.number().int().min(0)
 
-/** Names an at-most-once request. The customer is part of it, so customers can't meet each other's records. */
+/** Identifies an at-most-once request. It includes the customer, so that customers cannot access each other's records. */
 export const recordKeySchema = z.strictObject({ customer: id, service: id, idempotencyKey: id })
 
-/** An endpoint's answer, kept for repeats of the same key. */
+/** Response of an endpoint, stored to be returned for later requests with the same key. */
 export const storedResponseSchema = z.strictObject({
   status: z.number().int(),
   contentType: z.string(),
   body: bytesSchema
 })
 
-/** Names a configuration document. */
+/** Identifies a configuration document. */
 export const documentNameSchema = z.strictObject({ kind: id, name: id })
 
-/** The control host that gives orders to engines, and the term in which it leads. */
+/** The control host that may send orders to engines, and the term in which it is leader. */
 export const orderHolderSchema = z.strictObject({ replicaId: id, term: count })
 
+/** Version of the weights that all engines of a model should run. */
 export const desiredWeightsSchema = z.strictObject({ model: id, version: count })
 
 export const commandSchema = z.discriminatedUnion('kind', [
@@ -46,7 +47,7 @@
     record: recordKeySchema,
     bodySha256: id,
     claimId: id,
-    /** Time after which a claim without an outcome is answered as unknown. */
+    /** Time after which a claim that is still incomplete yields `outcome-unknown`. */
     deadlineAt: z.number()
   }),
   z.strictObject({ kind: z.literal('complete'), record: recordKeySchema, claimId: id, answer: storedResponseSchema }),
@@ -55,27 +56,27 @@
   z.strictObject({
     kind: z.literal('put-site'),
     site: siteSchema,
-    /** The document as its operator wrote it. */
+    /** The document exactly as the operator sent it. */
     source: bytesSchema
   }),
-  /** Weights that all engines of a model should run; only a higher version changes anything. */
+  /** Sets the weights that all engines of a model should run; ignored unless the version is higher than the current one. */
   z.strictObject({ kind: z.literal('name-weights'), model: id, version: count }),
-  /** The leader of a term takes over giving orders to engines. */
+  /** Gives the leader of a term the exclusive right to send orders to engines. */
   z.strictObject({ kind: z.literal('claim-orders'), holder: orderHolderSchema }),
-  /** Which requests are kept from endpoints. */
+  /** Changes which requests are not sent to endpoints. */
   z.strictObject({ kind: z.literal('change-quarantine'), decisions: z.array(quarantineDecisionSchema) }),
   z.strictObject({ kind: z.literal('expire-quarantine') }),
-  /** An operator's order to send nothing more to a data centre's endpoints, or to do so again. */
+  /** An operator's order to stop sending requests to the endpoints of a data centre, or to resume. */
   z.strictObject({
     kind: z.literal('order-evacuation'),
     dataCentre: dataCentreNameSchema,
     isEvacuated: z.boolean(),
-    /** Revision of the evacuations that the proposer knew: an order that a newer one has overtaken changes nothing. */
+    /** Revision of the evacuations known to the proposer; the order is rejected if a newer order for the same data centre was applied in the meantime. */
     knownRevision: count
   })
 ])
 
-/** A command with the proposing leader's wall clock, which the state clamps to never go back. */
+/** A command with the wall clock of the proposing leader; the state machine never lets its clock go back. */
 export const stampedCommandSchema = z.strictObject({ stampedAt: z.number(), command: z.preprocess(migrateLegacyCommand, commandSchema) })
 
 export const shardSchema = z.strictObject({ owner: z.string(), epoch: count })
@@ -86,7 +87,7 @@
   z.strictObject({ kind: z.literal('answered'), answer: storedResponseSchema }),
   z.strictObject({ kind: z.literal('outcome-unknown') }),
   z.strictObject({ kind: z.literal('body-differs') }),
-  /** The proposer gave this claim up before it was applied. */
+  /** The proposer released this claim before it was applied. */
   z.strictObject({ kind: z.literal('released') })
 ])
 
@@ -95,7 +96,7 @@
   z.strictObject({ kind: z.literal('revision-conflict'), revision: count }),
   z.strictObject({ kind: z.literal('invalid'), message: z.string() }),
   z.strictObject({ kind: z.literal('claim'), result: claimResultSchema }),
-  /** The version now in force, which is at least the one proposed. */
+  /** The version now in force, which is at least the proposed one. */
   z.strictObject({ kind: z.literal('site-accepted'), version: count }),
   z.strictObject({ kind: z.literal('done') }),
   z.strictObject({ kind: z.literal('no-such-claim') })
@@ -134,7 +135,7 @@
 
 export const evacuationImageSchema = z.strictObject({ revision: count, orders: z.array(evacuationSchema) })
 
-/** Image of the whole state, for snapshots. */
+/** Snapshot format of the whole state. */
 export const stateImageSchema = z.preprocess(migrateLegacyImage, z.strictObject({
   clock: z.number(),
   revision: count,
@@ -144,11 +145,11 @@
   requests: z.array(z.strictObject({ requestId: id, result: commandResultSchema })),
   records: z.array(atMostOnceRecordSchema),
   releasedClaims: z.array(z.strictObject({ claimId: id, releasedAt: z.number() })),
-  /** Absent in snapshots written before there were sites. */
+  /** Absent in snapshots of releases without sites. */
   site: siteImageSchema.default({ weights: [] }),
-  /** Absent in snapshots written before there was a quarantine. */
+  /** Absent in snapshots of releases without a quarantine. */
   quarantine: z.array(quarantineEntrySchema).default([]),
-  /** Absent in snapshots written before there were evacuations. */
+  /** Absent in snapshots of releases without evacuations. */
   evacuations: evacuationImageSchema.default({ revision: 0, orders: [] })
 }))
 
--- a/packages/state/src/lib/migrateLegacyNames.test.ts
+++ b/packages/state/src/lib/migrateLegacyNames.test.ts
@@ -8,27 +8,27 @@
 
 const ENTRY = { fingerprint: FINGERPRINT, service: 'engines', state: 'quarantined', endsAt: 900_000, quarantines: 1 }
 
-function formerBytes (command: unknown): Uint8Array {
+function encodeLegacyCommand (command: unknown): Uint8Array {
   return new Uint8Array([1, ...encode({ stampedAt: 5, command })])
 }
 
 describe('logs of earlier releases', () => {
-  it('keep the requests that were quarantined', () => {
-    const formerDecisions = [{ fingerprint: FINGERPRINT, service: 'engines', judgement: 'quarantine', forMs: 900_000 }]
+  it('are read with the requests that were quarantined', () => {
+    const legacyDecisions = [{ fingerprint: FINGERPRINT, service: 'engines', judgement: 'quarantine', forMs: 900_000 }]
     const state = new StateMachine()
-    state.apply(decodeCommand(formerBytes({ kind: 'judge-requests', judgements: formerDecisions })))
+    state.apply(decodeCommand(encodeLegacyCommand({ kind: 'judge-requests', judgements: legacyDecisions })))
     expect(state.quarantine.find(FINGERPRINT)).toMatchObject({ state: 'quarantined', quarantines: 1 })
   })
 
-  it('expire what they hold', () => {
-    expect(decodeCommand(formerBytes({ kind: 'expire-verdicts' }))).toEqual({ stampedAt: 5, command: { kind: 'expire-quarantine' } })
+  it('are read with the command that expires the quarantine', () => {
+    expect(decodeCommand(encodeLegacyCommand({ kind: 'expire-verdicts' }))).toEqual({ stampedAt: 5, command: { kind: 'expire-quarantine' } })
   })
 })
 
 describe('snapshots of earlier releases', () => {
-  it('keep the requests that were quarantined', () => {
-    const { quarantine, ...present } = new StateMachine().image()
+  it('are read with the requests that were quarantined', () => {
+    const { quarantine, ...current } = new StateMachine().image()
     expect(quarantine).toEqual([])
-    expect(stateImageSchema.parse({ ...present, verdicts: [ENTRY] }).quarantine).toEqual([ENTRY])
+    expect(stateImageSchema.parse({ ...current, verdicts: [ENTRY] }).quarantine).toEqual([ENTRY])
   })
 })
--- a/packages/state/src/lib/migrateLegacyNames.ts
+++ b/packages/state/src/lib/migrateLegacyNames.ts
@@ -1,4 +1,4 @@
-/** Reads logs and snapshots that hold the quarantine under the names of earlier releases. */
+/** Migrates logs and snapshots in which earlier releases stored the quarantine under other names. */
 import { z } from 'zod'
 
 const legacyDecisionsSchema = z.object({
