--- a/packages/view/src/lib/ControlLink.test.ts
+++ b/packages/view/src/lib/ControlLink.test.ts
@@ -12,7 +12,7 @@
   close (): void
 }
 
-/** A control host that has applied a view, or none yet and then sends nothing. */
+/** Starts a control host that has applied a view; with view 0 it has none yet and sends nothing. */
 async function controlHost (replicaId: string, appliedView: number): Promise<ControlHost> {
   const server = new RpcServer()
   const datagrams = new DatagramServer()
@@ -60,7 +60,7 @@
 
   afterEach(() => { for (const close of closers.splice(0)) close() })
 
-  it('leaves a control host that has not caught up for one that has, before it knows any view', async () => {
+  it('switches from a control host that lags to one that is up to date, before it has any view', async () => {
     const behind = await controlHost('a', 0)
     const caughtUp = await controlHost('b', 5)
     closers.push(behind.close, caughtUp.close)
@@ -70,15 +70,15 @@
     expect(link.viewRevision).toBe(5)
   })
 
-  it('says that this process was held up: by its loading, and by work of any kind', async () => {
+  it('reports the event loop lag: infinite while the process loads, then the time that other work blocked it', async () => {
     const host = await controlHost('a', 5)
     closers.push(host.close)
     const link = await openLink([host.address])
     expect(link.eventLoopLagMs).toBe(Number.POSITIVE_INFINITY)
     link.start()
     expect(link.eventLoopLagMs).toBe(Number.POSITIVE_INFINITY)
-    const heldUpUntil = performance.now() + 400
-    while (performance.now() < heldUpUntil);
+    const blockedUntil = performance.now() + 400
+    while (performance.now() < blockedUntil);
     await sleep(10)
     expect(link.eventLoopLagMs).toBeGreaterThan(100)
     expect(link.eventLoopLagMs).toBeLessThan(Number.POSITIVE_INFINITY)
--- a/packages/view/src/lib/ControlLink.ts
+++ b/packages/view/src/lib/ControlLink.ts
@@ -1,6 +1,6 @@
 /**
- * A host's link to the control hosts: follows the view, keeps its freshness and
- * proposes commands.
+ * Connects a host to the control hosts: follows the view, keeps track of its
+ * freshness and proposes commands.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
@@ -18,42 +18,42 @@
 import { StoredPartsFollower, type StoredPartsListener } from './StoredPartsFollower.js'
 import { ViewFollower } from './ViewFollower.js'
 
-/** Who this host is, and where the control hosts are. */
+/** Identity of this host, and addresses of the control hosts. */
 export interface ControlLinkSettings {
   readonly host: string
   readonly role: HostRole
   readonly address: string
   readonly dataCentre: string
-  /** Control hosts known at start; others are learnt. */
+  /** Addresses of the control hosts at startup; later ones are learned from the membership. */
   readonly controlAddresses: readonly string[]
-  /** How long a confirmed view may be acted on, in milliseconds. */
+  /** How long this host may act on a view after it was confirmed, in milliseconds. */
   readonly freshnessMs: number
   /** Whether this host needs the platform's endpoint list. */
   readonly watchesEndpoints?: boolean
-  /** Whether this host tells other entry hosts of its dispatches. */
+  /** Whether this host needs the peer addresses of the other entry hosts, to notify them of its dispatches. */
   readonly wantsPeers?: boolean
 }
 
-/** Why a command has no result. */
+/** Reason why a command has no result. */
 export type ProposeError =
-  /** No control host appended it: it will never be applied. */
+  /** No control host appended the command, so it will never be applied. */
   | { readonly kind: 'not-proposed' }
-  /** It may be applied now, later or never. */
+  /** The command may have been applied, may be applied later, or may be lost. */
   | { readonly kind: 'uncertain' }
 
-/** Pause before a broken watch is opened again, in milliseconds. */
+/** Delay before a broken watch is reopened, in milliseconds. */
 const WATCH_RETRY_DELAY_MS = 100
 
-/** Time for which a view that some control host has applied may still be on its way through the watch, in milliseconds. */
+/** Time allowed for a view that some control host has applied to arrive through the watch, in milliseconds. */
 const VIEW_DELIVERY_TIMEOUT_MS = 100
 
-/** Pause before another control host is asked to take a command, in milliseconds. */
+/** Delay before a command is proposed to another control host, in milliseconds. */
 const PROPOSE_RETRY_DELAY_MS = 50
 
-/** Deadline of one attempt to propose, in milliseconds. */
+/** Timeout of one attempt to propose a command, in milliseconds. */
 const PROPOSE_ATTEMPT_TIMEOUT_MS = 2000
 
-/** Follows the control hosts until stopped. */
+/** Client of the control hosts; follows them from `start` until `stop`. */
 export class ControlLink {
   readonly #follower = new ViewFollower()
   readonly #lease: FreshnessLease
@@ -62,10 +62,10 @@
   #leaderHint: string | undefined
   #watchAttempt = 0
   #watchRestart = new AbortController()
-  #listeners: Array<() => void> = []
+  #changeListeners: Array<() => void> = []
   readonly #leaderListeners: Array<() => void> = []
   readonly #endpoints: EndpointListFollower
-  /** Control host that stated that it has applied a newer view than this host. */
+  /** Control host that reported a newer view than the one on this host. */
   #newerView: { readonly address: string, readonly view: number, readonly statedAt: number } | undefined
   #leader: string | undefined
   #watchFailures = 0
@@ -75,9 +75,9 @@
   readonly #storedPartsFollowers: StoredPartsFollower[] = []
 
   /**
-   * @param settings - who this host is
-   * @param rpc - client for calls to the control hosts
-   * @param datagrams - client for questions to them
+   * @param settings - identity of this host and addresses of the control hosts
+   * @param rpc - client for calls and watches
+   * @param datagrams - client for status reports
    */
   constructor (private readonly settings: ControlLinkSettings, private readonly rpc: RpcClient, datagrams: DatagramClient) {
     this.#lease = new FreshnessLease(settings.freshnessMs)
@@ -93,20 +93,20 @@
         if (this.#isWatchStuck()) this.#watchRestart.abort()
       }
     })
-    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchCandidates(), () => { this.#notify() })
+    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchCandidates(), () => { this.#notifyChangeListeners() })
   }
 
   /** Configuration in force on this host. */
   get configuration (): ConfigurationIndex { return this.#follower.configuration }
   get shards (): readonly Shard[] { return this.#follower.shards }
   get viewRevision (): number { return this.#follower.viewRevision }
-  /** Address of the control hosts' leader, as far as this host knows. */
+  /** Address of the leading control host, if this host knows it. */
   get leader (): string | undefined { return this.#leader }
-  /** Site in force on this host, once it knows one. */
+  /** Site in force on this host; undefined until the first one arrives. */
   get site (): Site | undefined { return this.#follower.site }
-  /** Weight version that each model should run. */
+  /** Version of the weights that each model should run. */
   get weights (): readonly DesiredWeights[] { return this.#follower.weights }
-  /** Data centres whose endpoints get no new work. */
+  /** Data centres whose endpoints receive no new requests. */
   get evacuated (): ReadonlySet<string> { return this.#follower.evacuated }
   /** Requests that are not sent to endpoints. */
   get quarantine (): QuarantineTable { return this.#follower.quarantine }
@@ -115,26 +115,26 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds since the platform stated the endpoint list; infinite before it ever did
+   * @returns milliseconds since the platform returned the endpoint list; infinite before the first list
    */
   endpointListAgeMs (now: number): number {
     return this.#endpoints.ageMs(now)
   }
 
   /**
-   * How late this host came to its last report, in milliseconds: for so long the process did not get
-   * to its sockets. Infinite before the first: connections have waited while it was loaded.
+   * Delay of the last status report timer, in milliseconds; the process did not handle its sockets
+   * for that long. Infinite before the first report, because connections wait while the process loads.
    */
   get eventLoopLagMs (): number { return this.#eventLoopLagMs }
-  /** Entry hosts that may be alive. */
+  /** Number of entry hosts that may be alive. */
   get liveEntries (): number { return this.#lease.liveEntries(performance.now()) }
 
-  /** Peer addresses of the other entry hosts; empty when they are many. */
+  /** Peer addresses of the other entry hosts; empty when there are many of them. */
   get entryPeers (): string[] {
     return this.#lease.entryPeers(performance.now()).filter(peer => peer !== this.settings.address)
   }
 
-  /** Whether the view in force is known to be the newest accepted one, as of now. */
+  /** Whether the view in force is currently known to be the newest accepted one. */
   isFresh (): boolean {
     return this.#lease.isFresh(this.viewRevision, performance.now())
   }
@@ -144,20 +144,20 @@
     return this.viewRevision > 0 && this.isFresh()
   }
 
-  /** @param listener - called after each change of the view */
+  /** @param listener - called after each change of the view or the endpoint list */
   onChange (listener: () => void): void {
-    this.#listeners.push(listener)
+    this.#changeListeners.push(listener)
   }
 
-  /** @param listener - called when another control host leads, or none is known to */
+  /** @param listener - called when the known leader changes or becomes unknown */
   onLeaderChange (listener: () => void): void {
     this.#leaderListeners.push(listener)
   }
 
   /**
-   * Follows what stores hold, through a watch of its own.
+   * Follows the contents of the stores through a separate watch.
    *
-   * @param listener - told of changes
+   * @param listener - receives the changes
    */
   followStoredParts (listener: StoredPartsListener): StoredPartsFollower {
     const follower = new StoredPartsFollower(this.rpc, () => this.#watchCandidates(), listener)
@@ -166,20 +166,20 @@
     return follower
   }
 
-  /** Starts to follow. */
+  /** Starts the status reports and the watches. */
   start (): void {
     this.#statusReporter.start()
     void this.#runWatch()
     if (this.settings.watchesEndpoints === true) void this.#endpoints.run(this.#abort.signal)
   }
 
-  /** Tells the control hosts that this host takes no new work. */
+  /** Reports to the control hosts that this host accepts no new work. */
   stopAccepting (): void {
     this.#accepting = false
     this.#statusReporter.reportToAll()
   }
 
-  /** Stops following. */
+  /** Stops the status reports and the watches. */
   stop (): void {
     this.#abort.abort()
     this.#statusReporter.stop()
@@ -188,9 +188,9 @@
   /**
    * Proposes a command and waits for its result.
    *
-   * @param command - what to apply
-   * @param deadlineMs - how long to try, in milliseconds
-   * @returns the result, or whether it may still be applied
+   * @param command - command to apply
+   * @param deadlineMs - how long to retry, in milliseconds
+   * @returns the result, or whether the command may still be applied
    */
   async propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>> {
     const deadline = performance.now() + deadlineMs
@@ -198,14 +198,14 @@
     for (let attempt = 0; performance.now() < deadline; attempt += 1) {
       const address = this.#leaderHint ?? this.#controlAddressAt(attempt)
       const remaining = Math.min(PROPOSE_ATTEMPT_TIMEOUT_MS, deadline - performance.now())
-      const answer = await this.rpc.call(address, propose, { command }, remaining)
-      if (answer.ok && answer.value.kind === 'applied') {
+      const response = await this.rpc.call(address, propose, { command }, remaining)
+      if (response.ok && response.value.kind === 'applied') {
         this.#leaderHint = address
-        return succeed(answer.value.result)
+        return succeed(response.value.result)
       }
-      // A connection that broke after sending looks like one that was never made: only a clear answer counts.
-      mayBeApplied ||= !(answer.ok && answer.value.kind === 'not-leader')
-      const hintedLeader = answer.ok && answer.value.kind === 'not-leader' ? answer.value.leader : ''
+      // A connection that broke after the command was sent looks like one that was never established, so only `not-leader` proves that the command was not appended.
+      mayBeApplied ||= !(response.ok && response.value.kind === 'not-leader')
+      const hintedLeader = response.ok && response.value.kind === 'not-leader' ? response.value.leader : ''
       this.#leaderHint = hintedLeader === '' || hintedLeader === address ? undefined : hintedLeader
       await sleep(PROPOSE_RETRY_DELAY_MS)
     }
@@ -213,8 +213,8 @@
   }
 
   #controlAddresses (): string[] {
-    const learnt = this.#lease.membership.voters.map(voter => voter.address)
-    return learnt.length > 0 ? learnt : [...this.settings.controlAddresses]
+    const voterAddresses = this.#lease.membership.voters.map(voter => voter.address)
+    return voterAddresses.length > 0 ? voterAddresses : [...this.settings.controlAddresses]
   }
 
   #controlAddressAt (attempt: number): string {
@@ -222,7 +222,7 @@
     return addresses[attempt % addresses.length] ?? ''
   }
 
-  /** The watched control host may be cut off from the others, or not have caught up: another one knows more. */
+  /** Whether the watched control host may be isolated or lagging, so that another one should be watched. */
   #isWatchStuck (): boolean {
     const isBehind = this.#newerView !== undefined && this.#newerView.view > this.viewRevision && performance.now() - this.#newerView.statedAt > VIEW_DELIVERY_TIMEOUT_MS
     if (this.viewRevision > 0) return isBehind || !this.isFresh()
@@ -237,18 +237,18 @@
 
   #onStatement (address: string, statement: StatusResponse, askedAt: number): void {
     const { membership, membershipIndex, appliedView, leader, watched } = statement
-    const known = membershipIndex === this.#lease.membershipIndex ? this.#lease.membership : undefined
-    const stated = membership ?? known
-    // It left out a membership that was known when it was asked, and has been overtaken since: the next answer has one.
-    if (stated === undefined) return
-    this.#lease.observe({ ...statement, membership: stated, askedAt })
+    const unchangedMembership = membershipIndex === this.#lease.membershipIndex ? this.#lease.membership : undefined
+    const knownMembership = membership ?? unchangedMembership
+    // The response omits the membership because this host knew it at request time, but a newer one has arrived since. The next response will include one.
+    if (knownMembership === undefined) return
+    this.#lease.observe({ ...statement, membership: knownMembership, askedAt })
     if (appliedView > this.viewRevision && appliedView > (this.#newerView?.view ?? 0)) this.#newerView = { address, view: appliedView, statedAt: performance.now() }
     if (leader !== '') this.#setLeader(leader)
     this.#endpoints.confirm(address, watched, askedAt)
     for (const follower of this.#storedPartsFollowers) follower.confirm(address, watched, askedAt)
   }
 
-  /** The host that has what we miss, or the leader, so that few control hosts need to read the list; else any by turns. */
+  /** Prefers a control host with a newer view, then the leader, so that few control hosts need to read the endpoint list; otherwise takes them in turn. */
   #watchAddress (): string {
     const preferred = this.#newerView?.address ?? (this.#watchFailures === 0 ? this.#leader : undefined)
     return preferred ?? this.#controlAddressAt(this.#watchAttempt)
@@ -265,8 +265,8 @@
     for (const listener of this.#leaderListeners) listener()
   }
 
-  #notify (): void {
-    for (const listener of this.#listeners) listener()
+  #notifyChangeListeners (): void {
+    for (const listener of this.#changeListeners) listener()
   }
 
   async #runWatch (): Promise<void> {
@@ -282,11 +282,11 @@
         const outcome = this.#follower.apply(message, performance.now())
         if (outcome === 'gap') restart.abort()
         if (outcome !== 'advanced') return
-        this.#notify()
-        // Report the new view at once, so that those who wait for it to be in force hear of it.
+        this.#notifyChangeListeners()
+        // Report the new view at once for callers that wait until it is in force on all hosts.
         this.#statusReporter.reportToAll()
       }, signal)
-      // After a failed watch the next host is tried, also if the failed one is the leader we know.
+      // After a failed watch another host is tried, even if the failed one is the known leader.
       this.#watchFailures = this.#watchFailures === 0 ? 1 : 0
       await sleep(WATCH_RETRY_DELAY_MS)
     }
--- a/packages/view/src/lib/EndpointListFollower.ts
+++ b/packages/view/src/lib/EndpointListFollower.ts
@@ -4,10 +4,10 @@
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { WatchRotation, type OpenWatch } from './WatchRotation.js'
 
-/** Age of the list after which another control host may know more, in milliseconds. */
+/** Age of the list, in milliseconds, after which another control host is tried because it may have a newer one. */
 const MAX_LIST_AGE_MS = 3000
 
-/** Keeps the newest list that any control host sent. */
+/** Keeps the newest list received from any control host. */
 export class EndpointListFollower {
   #endpoints: readonly ListedEndpoint[] = []
   #readAt = Number.NEGATIVE_INFINITY
@@ -16,7 +16,7 @@
 
   /**
    * @param rpc - client for the watch
-   * @param candidates - control hosts to watch, the preferred one first, as of now
+   * @param candidates - returns the control hosts to watch, the preferred one first
    * @param onChange - called after each change of the list
    */
   constructor (private readonly rpc: RpcClient, candidates: () => readonly string[], private readonly onChange: () => void) {
@@ -27,21 +27,21 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds since the platform stated the list; infinite before it ever did
+   * @returns milliseconds since the platform returned the list; infinite before the first list
    */
   ageMs (now: number): number {
     return now - this.#readAt
   }
 
   /**
-   * @param address - control host
-   * @returns whether the list is followed there
+   * @param address - address of a control host
+   * @returns whether the list is watched at this control host
    */
   isWatching (address: string): boolean {
     return this.#rotation.openAt(address) !== undefined
   }
 
-  /** @param signal - ends the following */
+  /** @param signal - stops the watch */
   async run (signal: AbortSignal): Promise<void> {
     await this.#rotation.run(signal, async (address, watch) => {
       this.#received = undefined
@@ -56,15 +56,15 @@
   }
 
   /**
-   * Takes what a control host says of its list apart from the watch.
+   * Updates the age of the list from a status response, if the control host has the same list as this host.
    *
-   * @param address - control host
-   * @param state - how far its list has got
-   * @param askedAt - monotonic milliseconds when it was asked
+   * @param address - address of the control host
+   * @param state - version and age of the control host's list
+   * @param askedAt - monotonic milliseconds at which the status request was sent
    */
   confirm (address: string, { incarnation, endpointList, listAgeMs }: WatchedState, askedAt: number): void {
     const watch = this.#rotation.openAt(address)
-    // What is newer than this host's list is on its way through the watch.
+    // A newer list will arrive through the watch.
     if (watch === undefined || this.#received?.incarnation !== incarnation || this.#received.version !== endpointList) return
     this.#recordRead(watch, listAgeMs, askedAt)
   }
@@ -72,7 +72,7 @@
   #recordRead (watch: OpenWatch, readAgeMs: number, now: number): void {
     watch.markAlive()
     const readAt = readAgeMs < 0 ? Number.NEGATIVE_INFINITY : now - readAgeMs
-    // A host that can't reach the platform is left for another.
+    // Switch to another control host if this one cannot reach the platform.
     if (now - readAt > MAX_LIST_AGE_MS && now - watch.startedAt > MAX_LIST_AGE_MS) watch.leave()
     this.#readAt = Math.max(this.#readAt, readAt)
   }
--- a/packages/view/src/lib/FreshnessLease.test.ts
+++ b/packages/view/src/lib/FreshnessLease.test.ts
@@ -8,7 +8,7 @@
   return { replicaId, askedAt, newestView, membership: { voters, learners: [] }, membershipIndex: 1, liveEntries: 1, entryPeers: [], ...overrides }
 }
 
-function observed (...statements: VoterStatement[]): FreshnessLease {
+function leaseAfter (...statements: VoterStatement[]): FreshnessLease {
   const lease = new FreshnessLease(1000)
   for (const each of statements) lease.observe(each)
   return lease
@@ -17,36 +17,36 @@
 describe('FreshnessLease', () => {
   describe('confirmation', () => {
     it('needs a majority of voters', () => {
-      expect(observed(statement('a', 0, 5)).isFresh(5, 1)).toBe(false)
-      expect(observed(statement('a', 0, 5), statement('b', 0, 5)).isFresh(5, 1)).toBe(true)
+      expect(leaseAfter(statement('a', 0, 5)).isFresh(5, 1)).toBe(false)
+      expect(leaseAfter(statement('a', 0, 5), statement('b', 0, 5)).isFresh(5, 1)).toBe(true)
     })
 
-    it('counts from when the oldest voter of the majority was asked', () => {
-      const lease = observed(statement('a', 100, 5), statement('b', 300, 5))
+    it('starts when the request for the oldest statement of the majority was sent', () => {
+      const lease = leaseAfter(statement('a', 100, 5), statement('b', 300, 5))
       expect(lease.freshUntil(5)).toBe(1100)
     })
 
-    it('does not count a voter that holds something newer', () => {
-      expect(observed(statement('a', 0, 5), statement('b', 0, 6)).isFresh(5, 1)).toBe(false)
+    it('does not count a voter that reports a newer view', () => {
+      expect(leaseAfter(statement('a', 0, 5), statement('b', 0, 6)).isFresh(5, 1)).toBe(false)
     })
 
-    it('does not count an answer that was overtaken by a newer one', () => {
-      const lease = observed(statement('a', 500, 6), statement('a', 100, 5), statement('b', 500, 5))
+    it('ignores a statement that arrives after a newer one of the same voter', () => {
+      const lease = leaseAfter(statement('a', 500, 6), statement('a', 100, 5), statement('b', 500, 5))
       expect(lease.isFresh(5, 600)).toBe(false)
     })
 
-    it('goes on until its end when voters come to hold something newer', () => {
-      const lease = observed(statement('a', 100, 5), statement('b', 100, 5), statement('a', 600, 6), statement('b', 600, 6))
+    it('stays valid until its end when voters report a newer view later', () => {
+      const lease = leaseAfter(statement('a', 100, 5), statement('b', 100, 5), statement('a', 600, 6), statement('b', 600, 6))
       expect(lease.freshUntil(5)).toBe(1100)
       expect(lease.freshUntil(6)).toBe(1600)
     })
   })
 
   describe('membership', () => {
-    it('does not count voters that know another membership', () => {
+    it('does not count voters that report another membership', () => {
       const five = [...voters, { id: 'd', address: 'd' }, { id: 'e', address: 'e' }]
       const newer = { membership: { voters: five, learners: [] }, membershipIndex: 9 }
-      const lease = observed(statement('a', 0, 5), statement('b', 0, 5), statement('d', 0, 5, newer))
+      const lease = leaseAfter(statement('a', 0, 5), statement('b', 0, 5), statement('d', 0, 5, newer))
       expect(lease.isFresh(5, 1)).toBe(false)
       lease.observe(statement('a', 10, 5, newer))
       lease.observe(statement('b', 10, 5, newer))
@@ -55,13 +55,13 @@
 
     it('does not count learners', () => {
       const withLearner = { membership: { voters, learners: [{ id: 'l', address: 'l' }] }, membershipIndex: 2 }
-      expect(observed(statement('a', 0, 5, withLearner), statement('l', 0, 5, withLearner)).isFresh(5, 1)).toBe(false)
+      expect(leaseAfter(statement('a', 0, 5, withLearner), statement('l', 0, 5, withLearner)).isFresh(5, 1)).toBe(false)
     })
   })
 
   describe('live entries', () => {
-    it('takes the largest count of late, so that shares never add up to more than the whole', () => {
-      const lease = observed(statement('a', 0, 5, { liveEntries: 7 }), statement('b', 900, 5, { liveEntries: 6 }))
+    it('uses the largest recent count, so that shares never add up to more than the limit', () => {
+      const lease = leaseAfter(statement('a', 0, 5, { liveEntries: 7 }), statement('b', 900, 5, { liveEntries: 6 }))
       expect(lease.liveEntries(950)).toBe(7)
       expect(lease.liveEntries(COUNT_RETENTION_MS)).toBe(7)
       expect(lease.liveEntries(COUNT_RETENTION_MS + 1)).toBe(6)
--- a/packages/view/src/lib/FreshnessLease.ts
+++ b/packages/view/src/lib/FreshnessLease.ts
@@ -1,17 +1,17 @@
 /**
- * Decides whether a host may still act on the view it has.
+ * Decides whether a host may still act on its view.
  *
- * Each control voter states an upper bound of any view in its log. A view that
- * was accepted lies in the logs of a majority, and any two majorities share a
- * voter. So when a majority of voters state that they hold nothing newer, then
- * at the time the first of them was asked nothing newer had been accepted. The
- * host may act on its view for the lease's duration from that time. This needs
- * no leader, so it goes on through elections.
+ * Each voter among the control hosts reports an upper bound of the view revisions
+ * in its log. An accepted view is in the logs of a majority, and any two majorities
+ * share a voter. So if a majority of voters report that they have nothing newer,
+ * nothing newer had been accepted when the first of them was asked. The host may
+ * act on its view for the duration of the lease from that time. This requires no
+ * leader, so the lease can be renewed during elections.
  */
 import type { Membership } from '@eelgrassmux/consensus/messages/raftMessages'
 import { LiveHostCount } from './LiveHostCount.js'
 
-/** What one voter stated. */
+/** One voter's response to a status request. */
 export interface VoterStatement {
   readonly replicaId: string
   readonly membership: Membership
@@ -19,33 +19,33 @@
   readonly newestView: number
   readonly liveEntries: number
   readonly entryPeers: readonly string[]
-  /** Monotonic milliseconds on this host when the voter was asked. */
+  /** Monotonic milliseconds on this host at which the status request was sent. */
   readonly askedAt: number
 }
 
 /** Freshness of one host's view. */
 export class FreshnessLease {
-  /** For each voter its newest statement, and before it the last one of each older view, oldest first. */
+  /** Statements of each voter, oldest first: the newest one, preceded by the last one for each older view. */
   readonly #statements = new Map<string, VoterStatement[]>()
   readonly #liveEntries = new LiveHostCount()
   #membership: Membership = { voters: [], learners: [] }
   #membershipIndex = -1
 
-  /** @param leaseMs - how long a confirmation lasts, in milliseconds */
+  /** @param leaseMs - how long a confirmation is valid, in milliseconds */
   constructor (readonly leaseMs: number) {}
 
-  /** Index of the newest membership that was stated; minus one before any was. */
+  /** Log index of the newest reported membership; minus one before the first report. */
   get membershipIndex (): number { return this.#membershipIndex }
-  /** Voters as the newest statement lists them. */
+  /** Newest reported membership of the control hosts. */
   get membership (): Membership { return this.#membership }
 
-  /** @param statement - a voter's answer; an older one than known is ignored */
+  /** @param statement - statement of a voter; ignored if a newer one of this voter is known */
   observe (statement: VoterStatement): void {
-    const history = this.#statements.get(statement.replicaId) ?? []
-    const newest = history.at(-1)
+    const statements = this.#statements.get(statement.replicaId) ?? []
+    const newest = statements.at(-1)
     if (newest !== undefined && newest.askedAt > statement.askedAt) return
-    // That a voter now holds something newer does not take back what it confirmed before.
-    const kept = history.filter(earlier =>
+    // Earlier confirmations of a voter stay valid when it reports a newer view.
+    const kept = statements.filter(earlier =>
       earlier.newestView < statement.newestView && statement.askedAt - earlier.askedAt <= this.leaseMs)
     this.#statements.set(statement.replicaId, [...kept, statement])
     this.#liveEntries.observe(statement.liveEntries, statement.askedAt)
@@ -55,25 +55,25 @@
   }
 
   /**
-   * Time until which a view is known to be the newest accepted one.
+   * Time until which the host may act on a view.
    *
    * @param viewRevision - view in force on this host
-   * @returns monotonic milliseconds; minus infinity if it was never confirmed
+   * @returns monotonic milliseconds; minus infinity if the view was never confirmed
    */
   freshUntil (viewRevision: number): number {
     const { voters } = this.#membership
-    const askedAt = voters
+    const askedTimes = voters
       .map(voter => this.#confirmedAt(voter.id, viewRevision))
       .sort((left, right) => right - left)
     const quorum = Math.floor(voters.length / 2) + 1
-    // The oldest statement of the freshest majority counts.
-    return (askedAt[quorum - 1] ?? Number.NEGATIVE_INFINITY) + this.leaseMs
+    // The lease starts at the oldest statement of the most recent majority.
+    return (askedTimes[quorum - 1] ?? Number.NEGATIVE_INFINITY) + this.leaseMs
   }
 
   /**
    * @param viewRevision - view in force on this host
    * @param now - monotonic milliseconds, read at the moment of use
-   * @returns whether the host may act on it
+   * @returns whether the host may act on the view
    */
   isFresh (viewRevision: number, now: number): boolean {
     return now < this.freshUntil(viewRevision)
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Peer addresses of entry hosts that any voter heard of lately.
+   * Peer addresses of the entry hosts in the recent statements of all voters.
    *
    * @param now - monotonic milliseconds
    */
@@ -104,7 +104,7 @@
   }
 
   #confirmedAt (replicaId: string, viewRevision: number): number {
-    // A voter with another membership could be outvoted by one that we do not know.
+    // A voter with another membership may belong to a majority with voters that this host does not know.
     const confirmation = this.#statements.get(replicaId)?.findLast(statement =>
       statement.membershipIndex === this.#membershipIndex && statement.newestView <= viewRevision)
     return confirmation?.askedAt ?? Number.NEGATIVE_INFINITY
--- a/packages/view/src/lib/LiveHostCount.ts
+++ b/packages/view/src/lib/LiveHostCount.ts
@@ -1,8 +1,8 @@
-/** How many entry hosts share what is bounded for all of them together. */
+/** Number of entry hosts that share a limit which applies to all of them together. */
 
 /**
- * Time for which a larger count is kept, in milliseconds. A control host that has just started counts only the hosts
- * that have reported to it since, and one that can't be reached counts nobody; the hosts are still there.
+ * How long a larger count is kept, in milliseconds. A control host that has just started counts only the hosts that
+ * have reported to it since, and an unreachable one reports no count at all, although the entry hosts still exist.
  */
 export const COUNT_RETENTION_MS = 10_000
 
@@ -11,13 +11,13 @@
   readonly at: number
 }
 
-/** Largest count of late, so that the parts of all hosts never add up to more than the whole. */
+/** Largest recent count, so that the shares of all hosts never add up to more than the limit. */
 export class LiveHostCount {
-  /** Falling counts, oldest first. */
+  /** Recent counts in decreasing order, oldest first. */
   #counts: ReportedCount[] = []
 
   /**
-   * @param count - as a control host states it
+   * @param count - count reported by a control host
    * @param at - monotonic milliseconds
    */
   observe (count: number, at: number): void {
@@ -26,7 +26,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns the largest count of late, or the last one if there was none of late; 1 before any was stated
+   * @returns the largest recent count, or the last one if none is recent; 1 before the first report
    */
   at (now: number): number {
     while (this.#counts.length > 1 && now - (this.#counts[0]?.at ?? now) > COUNT_RETENTION_MS) this.#counts.shift()
--- a/packages/view/src/lib/StatusReporter.test.ts
+++ b/packages/view/src/lib/StatusReporter.test.ts
@@ -6,7 +6,7 @@
   host: 'h', role: 'entry', address: 'h', dataCentre: 'n', viewRevision: 1, accepting: true, membershipIndex: -1, wantsPeers: false
 }
 
-const statement: StatusResponse = {
+const response: StatusResponse = {
   replicaId: 'a',
   membershipIndex: 1,
   newestView: 1,
@@ -17,25 +17,25 @@
   watched: { incarnation: 'a', endpointList: 0, listAgeMs: 0, storedParts: 0 }
 }
 
-/** Reports to control hosts that answer, or don't, as a test says; all on a virtual clock. */
+/** A host whose control hosts respond as `isAnswered` decides. Runs on fake timers. */
 class TestHost {
   readonly requestTimes = new Map<string, number[]>()
   readonly silent: string[] = []
   readonly statements: string[] = []
-  isHurried = false
+  isUrgent = false
   addresses = ['a', 'b', 'c']
-  isAnswered: (address: string, question: number) => boolean = () => true
-  readonly reports = new StatusReporter({
+  isAnswered: (address: string, requestIndex: number) => boolean = () => true
+  readonly reporter = new StatusReporter({
     ask: (address, _method, _request, onAnswer) => {
       const times = this.requestTimes.get(address) ?? []
       this.requestTimes.set(address, [...times, performance.now()])
       const askedAt = performance.now()
-      if (this.isAnswered(address, times.length)) setTimeout(() => { onAnswer(statement as never, askedAt) }, 2)
+      if (this.isAnswered(address, times.length)) setTimeout(() => { onAnswer(response as never, askedAt) }, 2)
     }
   }, {
     addresses: () => this.addresses,
     report: () => report,
-    isUrgent: () => this.isHurried,
+    isUrgent: () => this.isUrgent,
     isWatched: address => address === 'a',
     onStatement: address => { this.statements.push(address) },
     onSilence: address => { this.silent.push(address) },
@@ -50,17 +50,17 @@
   }
 }
 
-describe('StatusReports', () => {
+describe('StatusReporter', () => {
   beforeEach(() => { vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance'] }) })
   afterEach(() => { vi.useRealTimers() })
 
   function run (host: TestHost, milliseconds: number): void {
-    host.reports.start()
+    host.reporter.start()
     vi.advanceTimersByTime(milliseconds)
-    host.reports.stop()
+    host.reporter.stop()
   }
 
-  it('ask the watched control host twice as often as the others, whatever those do', () => {
+  it('reports to the watched control host twice as often as to the others, even if one of those does not respond', () => {
     const host = new TestHost()
     host.isAnswered = address => address !== 'b'
     run(host, 10_000)
@@ -71,17 +71,17 @@
     expect(host.longestPauseMs('c')).toBeLessThan(1000)
   })
 
-  it('make a lost datagram good before a lease of a second could end', () => {
+  it('repeats a lost request before a lease of one second could expire', () => {
     const host = new TestHost()
-    host.isAnswered = (_address, question) => question % 3 !== 1
+    host.isAnswered = (_address, requestIndex) => requestIndex % 3 !== 1
     run(host, 10_000)
-    const answered = (host.requestTimes.get('a') ?? []).filter((_time, question) => question % 3 !== 1)
+    const answered = (host.requestTimes.get('a') ?? []).filter((_time, requestIndex) => requestIndex % 3 !== 1)
     const pauses = answered.slice(1).map((time, index) => time - (answered[index] ?? 0))
     expect(Math.max(...pauses)).toBeLessThan(1000)
     expect(host.silent).toEqual([])
   })
 
-  it('tell of a control host that leaves three questions unanswered, within two', () => {
+  it('reports silence of a control host that leaves three requests unanswered, within 2.5 seconds', () => {
     const host = new TestHost()
     run(host, 3000)
     expect(host.silent).toEqual([])
@@ -91,32 +91,32 @@
     expect(host.silent).not.toContain('a')
   })
 
-  it('hurry while the host waits for what it needs to serve', () => {
+  it('reports at shorter intervals while the host cannot serve yet', () => {
     const host = new TestHost()
-    host.isHurried = true
+    host.isUrgent = true
     run(host, 1000)
     expect(host.requestCount('a')).toBeGreaterThanOrEqual(9)
   })
 
-  it('depart from each other by chance, so that hosts that start together do not ask together', () => {
+  it('varies the interval randomly, so that hosts that start together do not report together', () => {
     const hosts = Array.from({ length: 200 }, () => new TestHost())
-    for (const { reports } of hosts) reports.start()
+    for (const { reporter } of hosts) reporter.start()
     vi.advanceTimersByTime(20_000)
-    for (const { reports } of hosts) reports.stop()
+    for (const { reporter } of hosts) reporter.stop()
     const last = hosts.map(({ requestTimes }) => requestTimes.get('a')?.at(-1) ?? 0)
     const busiest = Math.max(...Array.from({ length: 50 }, (_, slot) =>
       last.filter(time => Math.floor(time % 500 / 10) === slot).length))
-    // A fiftieth of the interval has 4 of 200 in the mean.
+    // With 200 hosts spread evenly over 50 slots, a slot has 4 hosts on average.
     expect(busiest).toBeLessThan(20)
   })
 
-  it('go to control hosts that were learnt since, and no more to those that are gone', () => {
+  it('reports to newly learned control hosts and no longer to removed ones', () => {
     const host = new TestHost()
     run(host, 1000)
-    const before = host.requestCount('c')
+    const countBefore = host.requestCount('c')
     host.addresses = ['a', 'd']
     run(host, 1000)
     expect(host.requestCount('d')).toBeGreaterThan(0)
-    expect(host.requestCount('c')).toBe(before)
+    expect(host.requestCount('c')).toBe(countBefore)
   })
 })
--- a/packages/view/src/lib/StatusReporter.ts
+++ b/packages/view/src/lib/StatusReporter.ts
@@ -1,76 +1,75 @@
 /**
- * Tells each control host how this host is, again and again, and takes their statements.
+ * Periodically reports the status of this host to each control host and receives their statements.
  *
- * Statements are what the freshness lease and the knowledge of the leader rest on. Each is a
- * question and an answer of one datagram; one that is lost is asked for again before the
- * lease could notice.
+ * The freshness lease and the known leader depend on these statements. Request and response are
+ * one datagram each; a lost one is repeated soon enough for the lease not to expire.
  */
 import type { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { reportStatus, type StatusRequest, type StatusResponse } from '@eelgrassmux/rpc/methods/controlMethods'
 
 /**
- * Interval between questions to the control host that is watched, in milliseconds: if one is lost, the next is
- * answered before what that host vouches for runs out, a second after it was asked.
+ * Interval between reports to the watched control hosts, in milliseconds. If one is lost, the next one is
+ * answered before the confirmations of that host expire, a second after the request.
  */
 const REPORT_INTERVAL_MS = 400
 
-/** Every so many looks the others are asked as well: a quarter of the usual lease. Each answer wakes this host. */
-const UNWATCHED_REPORT_ROUNDS = 2
+/** Number of rounds per report to the other control hosts: a quarter of the usual lease. Each response wakes this host, so fewer reports save processor time. */
+const ROUNDS_PER_UNWATCHED_REPORT = 2
 
-/** Interval between looks while this host waits for what it needs to serve, in milliseconds; its callers wait, too. */
+/** Interval between reports while this host cannot serve yet, in milliseconds; short because callers are waiting. */
 const URGENT_REPORT_INTERVAL_MS = 100
 
-/** Part of an interval by which looks depart from it by chance, so that hosts that started together don't ask together. */
+/** Random deviation from the interval, as a fraction of it, so that hosts that start together do not report together. */
 const JITTER_RATIO = 0.1
 
-/** Age from which a question counts as unanswered, in milliseconds: many times what an answer takes between data centres. */
+/** Time after which a request counts as unanswered, in milliseconds; many times the round trip between data centres. */
 const RESPONSE_TIMEOUT_MS = 90
 
-/** Questions in a row without an answer after which a control host counts as silent; one or two may be lost. */
-const MAX_UNANSWERED_REQUESTS = 3
+/** Consecutive unanswered requests after which a control host counts as silent; one or two may be lost. */
+const UNANSWERED_REQUESTS_UNTIL_SILENT = 3
 
-/** What is asked of a control host, and heard from it. */
+/** Latest request to a control host and latest response from it. Times are monotonic milliseconds. */
 interface RequestState {
   askedAt: number
   answeredAt: number
   unanswered: number
 }
 
-/** What the reports are made of, and who takes the answers. */
+/** Source of the reports and receiver of the responses. */
 export interface StatusReporterPorts {
-  /** Control hosts, as of now. */
+  /** Current addresses of the control hosts. */
   addresses (): Iterable<string>
-  /** Whether a control host is watched, as of now. */
+  /** Whether a control host is currently watched. */
   isWatched (address: string): boolean
-  /** This host's report, as of now. */
+  /** Current status of this host. */
   report (): StatusRequest
-  /** Whether this host waits for what it needs to serve. */
+  /** Whether this host is still missing something that it needs to serve. */
   isUrgent (): boolean
   /**
-   * @param address - control host
-   * @param statement - its answer
-   * @param askedAt - monotonic milliseconds when it was asked
+   * @param address - address of the control host
+   * @param statement - response of the control host
+   * @param askedAt - monotonic milliseconds at which the request was sent
    */
   onStatement (address: string, statement: StatusResponse, askedAt: number): void
-  /** @param address - control host that has left several questions unanswered */
+  /** @param address - address of a control host that did not answer several consecutive requests */
   onSilence (address: string): void
-  /** @param lateMs - milliseconds by which the last look was late */
+  /** @param lateMs - milliseconds by which the report timer fired late */
   onTimer (lateMs: number): void
 }
 
-/** Reports until stopped. */
+/** Sends reports from `start` until `stop`. */
 export class StatusReporter {
   readonly #requests = new Map<string, RequestState>()
   #timer: NodeJS.Timeout | undefined
   #rounds = 0
 
   /**
-   * @param datagrams - asks
-   * @param ports - surroundings
+   * @param datagrams - sends the requests
+   * @param ports - source of the reports and receiver of the responses
    */
   constructor (private readonly datagrams: Pick<DatagramClient, 'ask'>, private readonly ports: StatusReporterPorts) {}
 
-  /** Begins to report. */
+  /** Sends the reports that are due and schedules the next round. */
   start (): void {
     const now = performance.now()
     this.#reportDue(now)
@@ -81,12 +80,12 @@
     }, intervalMs)
   }
 
-  /** Ends reporting. */
+  /** Cancels the next round. */
   stop (): void {
     clearTimeout(this.#timer)
   }
 
-  /** Reports to all at once, because something has changed. */
+  /** Reports to all control hosts at once, after a change of the status. */
   reportToAll (): void {
     const now = performance.now()
     for (const address of new Set(this.ports.addresses())) this.#reportTo(address, now)
@@ -97,7 +96,7 @@
     for (const address of this.#requests.keys()) {
       if (!addresses.has(address)) this.#requests.delete(address)
     }
-    const includesUnwatched = this.ports.isUrgent() || this.#rounds % UNWATCHED_REPORT_ROUNDS === 0
+    const includesUnwatched = this.ports.isUrgent() || this.#rounds % ROUNDS_PER_UNWATCHED_REPORT === 0
     this.#rounds += 1
     for (const address of addresses) {
       if (includesUnwatched || this.ports.isWatched(address) || this.#isUnanswered(address, now)) this.#reportTo(address, now)
@@ -105,25 +104,25 @@
   }
 
   #isUnanswered (address: string, now: number): boolean {
-    const asked = this.#requests.get(address)
-    return asked === undefined || isUnanswered(asked, now)
+    const request = this.#requests.get(address)
+    return request === undefined || isUnanswered(request, now)
   }
 
   #reportTo (address: string, now: number): void {
-    const asked = this.#requests.get(address) ?? { askedAt: now, answeredAt: now, unanswered: 0 }
-    if (isUnanswered(asked, now)) this.#recordUnanswered(address, asked)
-    asked.askedAt = now
-    this.#requests.set(address, asked)
+    const request = this.#requests.get(address) ?? { askedAt: now, answeredAt: now, unanswered: 0 }
+    if (isUnanswered(request, now)) this.#recordUnanswered(address, request)
+    request.askedAt = now
+    this.#requests.set(address, request)
     this.datagrams.ask(address, reportStatus, this.ports.report(), (statement, askedAt) => {
-      asked.answeredAt = performance.now()
-      asked.unanswered = 0
+      request.answeredAt = performance.now()
+      request.unanswered = 0
       this.ports.onStatement(address, statement, askedAt)
     })
   }
 
-  #recordUnanswered (address: string, asked: RequestState): void {
-    asked.unanswered += 1
-    if (asked.unanswered >= MAX_UNANSWERED_REQUESTS) this.ports.onSilence(address)
+  #recordUnanswered (address: string, request: RequestState): void {
+    request.unanswered += 1
+    if (request.unanswered >= UNANSWERED_REQUESTS_UNTIL_SILENT) this.ports.onSilence(address)
   }
 }
 
--- a/packages/view/src/lib/StoredPartsFollower.ts
+++ b/packages/view/src/lib/StoredPartsFollower.ts
@@ -1,23 +1,24 @@
-/** Follows what stores hold through one control host at a time. */
+/** Follows the contents of the stores through one control host at a time. */
 import { watchStoredParts, type WatchedState } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { StoreChange } from '@eelgrassmux/schema/site/storedParts'
 import { WatchRotation } from './WatchRotation.js'
 
 /**
- * Silence after which what is known is not vouched for any more, in
- * milliseconds. Control hosts free parts that others may still believe in, so
- * this belongs to the agreement between them and is not a matter of taste.
+ * How long the known contents may be relied on after the watched control host
+ * last confirmed them, in milliseconds. Control hosts free parts that other
+ * hosts may still consider stored, so this value is part of the protocol
+ * between them and must not be changed on one side only.
  */
 export const STORED_PARTS_LEASE_MS = 1000
 
-/** Told of changes; `reset` comes first whenever another control host is watched. */
+/** Receives changes; `reset` is called first whenever a new watch starts. */
 export interface StoredPartsListener {
   reset (): void
   apply (change: StoreChange): void
 }
 
-/** Keeps in step with one control host. */
+/** Stays synchronized with one control host. */
 export class StoredPartsFollower {
   #confirmedAt = Number.NEGATIVE_INFINITY
   #clockOffsetMs: number | undefined
@@ -26,8 +27,8 @@
 
   /**
    * @param rpc - client for the watch
-   * @param candidates - control hosts to watch, the preferred one first, as of now
-   * @param listener - told of changes
+   * @param candidates - returns the control hosts to watch, the preferred one first
+   * @param listener - receives the changes
    */
   constructor (private readonly rpc: RpcClient, candidates: () => readonly string[], private readonly listener: StoredPartsListener) {
     this.#rotation = new WatchRotation(candidates)
@@ -35,7 +36,7 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether what is known may be acted on
+   * @returns whether the known contents may be relied on
    */
   isLeaseValid (now: number): boolean {
     return now - this.#confirmedAt < STORED_PARTS_LEASE_MS
@@ -43,13 +44,13 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns the stores' clock, or undefined before any control host has stated it
+   * @returns the clock of the stores in milliseconds, or undefined before any control host has reported it
    */
   storeClockMs (now: number): number | undefined {
     return this.#clockOffsetMs === undefined ? undefined : now + this.#clockOffsetMs
   }
 
-  /** @param signal - ends the following */
+  /** @param signal - stops the watch */
   async run (signal: AbortSignal): Promise<void> {
     await this.#rotation.run(signal, async (address, watch) => {
       this.#confirmedAt = Number.NEGATIVE_INFINITY
@@ -67,11 +68,11 @@
   }
 
   /**
-   * Takes a control host's word that there is nothing newer than what the watch has told.
+   * Renews the lease if a control host confirms that it has nothing newer than the watch has delivered.
    *
-   * @param address - control host
-   * @param state - how many changes it has seen
-   * @param askedAt - monotonic milliseconds when it was asked
+   * @param address - address of the control host
+   * @param state - versions of the control host's data
+   * @param askedAt - monotonic milliseconds at which the status request was sent
    */
   confirm (address: string, { incarnation, storedParts, storeClockMs }: WatchedState, askedAt: number): void {
     const watch = this.#rotation.openAt(address)
--- a/packages/view/src/lib/ViewFollower.ts
+++ b/packages/view/src/lib/ViewFollower.ts
@@ -1,4 +1,4 @@
-/** The view that is in force on one host. Its revision only rises. */
+/** The view in force on one host. Its revision only increases. */
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { ConfigurationDocument } from '@eelgrassmux/schema/configuration'
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
@@ -7,10 +7,10 @@
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { DesiredWeights, Shard } from '@eelgrassmux/state/commands'
 
-/** What a message did. */
+/** Effect of a view message: applied, ignored as outdated, or not applicable because changes are missing. */
 export type ViewOutcome = 'advanced' | 'stale' | 'gap'
 
-/** Follows the agreed view through snapshots and changes, from any control host. */
+/** Follows the replicated view through snapshots and changes from any control host. */
 export class ViewFollower {
   #viewRevision = 0
   #shards: readonly Shard[] = []
@@ -26,17 +26,17 @@
   get configuration (): ConfigurationIndex { return this.#index }
   get shards (): readonly Shard[] { return this.#shards }
   get site (): Site | undefined { return this.#site }
-  /** Weight version that each model should run. */
+  /** Version of the weights that each model should run. */
   get weights (): readonly DesiredWeights[] { return this.#weights }
-  /** Data centres whose endpoints get no new work. */
+  /** Data centres whose endpoints receive no new requests. */
   get evacuated (): ReadonlySet<string> { return this.#evacuated }
 
   /**
-   * Takes a message of a watch. One from a control host that lags is ignored.
+   * Applies a message of a watch. Messages with a view that is not newer are ignored, since the control host may lag.
    *
    * @param message - snapshot or changes
    * @param now - monotonic milliseconds
-   * @returns what it did; after a gap the watch must start again
+   * @returns the effect; after `gap` the watch must be restarted
    */
   apply (message: ViewMessage, now: number): ViewOutcome {
     if (message.viewRevision <= this.#viewRevision) return 'stale'
@@ -55,14 +55,14 @@
 
   #replaceSite (site: Site): void {
     assertInvariant(site.version >= (this.#site?.version ?? 0), 'configuration-never-reverts',
-      () => `site ${site.version} after ${this.#site?.version}`)
+      () => `received site version ${site.version} after version ${this.#site?.version}`)
     this.#site = site
   }
 
   #advance (message: ViewMessage): void {
     const { viewRevision, revision } = message
     assertInvariant(viewRevision > this.#viewRevision && revision >= this.#index.revision, 'configuration-never-reverts',
-      () => `view ${viewRevision} revision ${revision} after ${this.#viewRevision} revision ${this.#index.revision}`)
+      () => `received view revision ${viewRevision} with configuration revision ${revision} after view revision ${this.#viewRevision} with configuration revision ${this.#index.revision}`)
     const isNewRevision = revision !== this.#index.revision
     this.#viewRevision = viewRevision
     this.#shards = message.shards
--- a/packages/view/src/lib/WatchRotation.ts
+++ b/packages/view/src/lib/WatchRotation.ts
@@ -1,46 +1,46 @@
-/** Keeps one watch open, at another control host whenever the present one fails or falls silent. */
+/** Keeps one watch open and switches to another control host whenever the current one fails or becomes silent. */
 import { setTimeout as sleep } from 'node:timers/promises'
 
-/** Silence after which the watched control host is left, in milliseconds; it answers status reports twice a second. */
+/** Silence after which another control host is watched, in milliseconds; a healthy one responds to status reports twice a second. */
 const SILENCE_TIMEOUT_MS = 1200
 
-/** Pause before the next watch, in milliseconds. */
+/** Delay before the next watch is opened, in milliseconds. */
 const RETRY_DELAY_MS = 100
 
-/** A watch that lasted this long was a good one: the next begins again with the preferred control host; in milliseconds. */
+/** Duration, in milliseconds, after which a watch counts as stable; when it ends, the next one starts at the preferred control host again. */
 const STABLE_WATCH_MS = 5000
 
-/** One watch as its owner sees it. */
+/** Handle of an open watch. */
 export interface OpenWatch {
-  /** Ends the watch. */
+  /** Aborted when the watch must end. */
   readonly signal: AbortSignal
-  /** Monotonic milliseconds when it began. */
+  /** Monotonic milliseconds at which the watch started. */
   readonly startedAt: number
-  /** Call for each message, and for each statement that there is none to send. */
+  /** Restarts the silence timeout. Call for each message, and for each confirmation that there is nothing newer. */
   markAlive (): void
-  /** Leaves this control host for another. */
+  /** Ends the watch so that another control host is watched. */
   leave (): void
 }
 
-/** Opens watches by turns until stopped. */
+/** Opens watches at the candidates in turn until stopped. */
 export class WatchRotation {
   #attempt = 0
   #open: { readonly address: string, readonly watch: OpenWatch } | undefined
 
-  /** @param candidates - control hosts to watch, the preferred one first, as of now */
+  /** @param candidates - returns the control hosts to watch, the preferred one first */
   constructor (private readonly candidates: () => readonly string[]) {}
 
   /**
-   * @param address - a control host
-   * @returns the watch that is open there, if there is one
+   * @param address - address of a control host
+   * @returns the open watch at this control host, if there is one
    */
   openAt (address: string): OpenWatch | undefined {
     return this.#open?.address === address ? this.#open.watch : undefined
   }
 
   /**
-   * @param signal - ends the rotation
-   * @param open - opens a watch and resolves when it has ended
+   * @param signal - stops the rotation
+   * @param open - opens a watch; the promise resolves when the watch has ended
    */
   async run (signal: AbortSignal, open: (address: string, watch: OpenWatch) => Promise<void>): Promise<void> {
     while (!signal.aborted) {
