--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -146,7 +146,7 @@
   const orders = new OrderTask(raft, address => new EngineClient(address), outcome => { orderOutcomes.count(outcome) })
   const service = new SiteService(raft, rpc)
   const rejected = new RejectedEntries(telemetry)
-  const endpoints = platform === undefined ? undefined : new EndpointListTask(platform.endpoints, settings.endpointListMs, () => state.sites.current?.site, rejected, telemetry)
+  const endpoints = platform === undefined ? undefined : new EndpointListTask(platform.endpoints, settings.endpointListMs, () => state.sites.put?.site, rejected, telemetry)
   const rollout = platform === undefined || endpoints === undefined
     ? undefined
     : new RolloutTask(raft, endpoints, platform.engines, settings.host, settings.orderLeaseMs, telemetry)
@@ -157,7 +157,7 @@
   const surroundings = {
     probe: platform?.probe,
     endpoints: () => endpoints?.endpointsOfSite ?? [],
-    service: (name: string) => state.sites.current?.site.services.find(service => service.type === 'replicated' && service.name === name) as ReplicatedService | undefined,
+    service: (name: string) => state.sites.put?.site.services.find(service => service.type === 'replicated' && service.name === name) as ReplicatedService | undefined,
     telemetry
   }
   const quarantine = new QuarantineTask({
--- a/apps/control/src/lib/ControlServer.ts
+++ b/apps/control/src/lib/ControlServer.ts
@@ -183,7 +183,7 @@
     const { viewRevision, revision } = state
     const shards = [...state.shards]
     const changes = known === 0 ? undefined : state.changesSince(known)
-    const { weights, current: put } = state.sites
+    const { weights, put } = state.sites
     const { evacuated } = state.evacuations
     const evacuation = evacuated.length === 0 ? {} : { evacuated }
     const site = put === undefined || changes?.some(change => change.replacesSite) === false ? {} : { site: put.site }
--- a/apps/control/src/lib/rollout/rolloutEngines.test.ts
+++ b/apps/control/src/lib/rollout/rolloutEngines.test.ts
@@ -84,7 +84,7 @@
   it('tells the list of a start that an engine states, and orders only engines of the site', async () => {
     const telemetry = new Telemetry('test')
     const reading: EndpointReading = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
-    const list = new EndpointListTask({ list: async () => succeed(reading) }, LIST_MS, () => RAFT.state.sites.current?.site, new RejectedEntries(telemetry), telemetry)
+    const list = new EndpointListTask({ list: async () => succeed(reading) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
     const engines = new RestartedEngines()
     const task = new RolloutTask(RAFT, list, engines, 'host', 3000, telemetry)
     task.start()
--- a/apps/control/src/lib/site/SiteService.ts
+++ b/apps/control/src/lib/site/SiteService.ts
@@ -88,7 +88,7 @@
     const { core } = this.raft
     if (core.role !== 'leader') return { kind: 'unconfirmed', leader: core.leader?.address ?? '' }
     if (!await this.raft.confirmRead()) return { kind: 'unconfirmed', leader: '' }
-    const { current: put } = this.raft.state.sites
+    const { put } = this.raft.state.sites
     return put === undefined ? { kind: 'none' } : { kind: 'site', version: put.site.version, source: put.source }
   }
 
--- a/apps/control/src/lib/stores/StoreTask.ts
+++ b/apps/control/src/lib/stores/StoreTask.ts
@@ -115,7 +115,7 @@
   }
 
   #followSite (): void {
-    const stores = (this.raft.state.sites.current?.site.services ?? []).filter(service => service.type === 'store')
+    const stores = (this.raft.state.sites.put?.site.services ?? []).filter(service => service.type === 'store')
     for (const [name, follower] of this.#followers) {
       const present = stores.find(store => store.name === name)
       if (present?.address === follower.store.address) continue
--- a/packages/state/src/lib/EvacuationRegistry.test.ts
+++ b/packages/state/src/lib/EvacuationRegistry.test.ts
@@ -29,14 +29,14 @@
     expect(state.evacuations.orders[0]).toMatchObject({ dataCentre: 'north', isEvacuated: true, orderedAt: 0 })
   })
 
-  it('are not started by a delayed order after an end order was acknowledged that had nothing to end', () => {
+  it('are not started by an order that arrives after a later end order, even if that one had nothing to end', () => {
     const state = new StateMachine()
     expect(apply(state, order('north', false)).kind).toBe('accepted')
     expect(apply(state, order('north', true)).kind).toBe('revision-conflict')
     expect(state.evacuations.evacuated).toEqual([])
   })
 
-  it('are not restarted by a delayed order that the end order preceded', () => {
+  it('are not restarted by an order that was issued before the end order but arrives after it', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     apply(state, order('north', false, 1))
@@ -44,7 +44,7 @@
     expect(state.evacuations.evacuated).toEqual([])
   })
 
-  it('are not ended by a delayed order that a newer start order preceded', () => {
+  it('are not ended by an order that was issued before a newer start order but arrives after it', () => {
     const state = new StateMachine()
     apply(state, order('north', true))
     apply(state, order('north', false, 1))
--- a/packages/state/src/lib/QuarantineRegistry.test.ts
+++ b/packages/state/src/lib/QuarantineRegistry.test.ts
@@ -18,7 +18,7 @@
   return state
 }
 
-describe('QuarantineRegister', () => {
+describe('QuarantineRegistry', () => {
   it('moves an entry from suspected to quarantined to released and then removes it', () => {
     const state = stateAfter([0, changeQuarantine('suspect')], [10, changeQuarantine('quarantine', 1000)])
     expect(state.quarantine.find(FINGERPRINT)).toMatchObject({ state: 'quarantined', endsAt: 1010, quarantines: 1 })
--- a/packages/state/src/lib/SiteRegistry.test.ts
+++ b/packages/state/src/lib/SiteRegistry.test.ts
@@ -10,19 +10,19 @@
 const put = (version: number, text: string): { kind: 'put-site', site: Site, source: Uint8Array } =>
   ({ kind: 'put-site', site: site(version), source: Buffer.from(text) })
 
-describe('SiteRegister', () => {
+describe('SiteRegistry', () => {
   it('keeps the highest version and acknowledges lower ones', () => {
     const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(3, 'three'))).toEqual({ result: { kind: 'site-accepted', version: 5 }, hasChanged: false })
-    expect(register.current?.site.version).toBe(5)
+    expect(register.put?.site.version).toBe(5)
   })
 
   it('never replaces the content of the version that it holds', () => {
     const register = new SiteRegistry()
     register.putSite(put(5, 'five'))
     expect(register.putSite(put(5, 'other')).hasChanged).toBe(false)
-    expect(Buffer.from(register.current?.source ?? []).toString()).toBe('five')
+    expect(Buffer.from(register.put?.source ?? []).toString()).toBe('five')
   })
 
   it('accepts only higher versions of desired weights', () => {
@@ -47,7 +47,7 @@
     state.apply({ stampedAt: 0, command: { kind: 'name-weights', model: 'm', version: 2 } })
     const restored = new StateMachine()
     restored.restore(state.image())
-    expect(restored.sites.current?.site.version).toBe(5)
+    expect(restored.sites.put?.site.version).toBe(5)
     expect(restored.sites.weights).toEqual([{ model: 'm', version: 2 }])
     expect(restored.viewRevision).toBe(state.viewRevision)
   })
--- a/packages/state/src/lib/SiteRegistry.ts
+++ b/packages/state/src/lib/SiteRegistry.ts
@@ -15,7 +15,8 @@
   #weights = new Map<string, number>()
   #orderHolder: OrderHolder | undefined
 
-  get current (): StoredSite | undefined { return this.#put }
+  /** The site in force; undefined before the first one. */
+  get put (): StoredSite | undefined { return this.#put }
   get orderHolder (): OrderHolder | undefined { return this.#orderHolder }
 
   /** Version of the weights that each model should run. */
