--- a/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
+++ b/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
@@ -3,7 +3,7 @@
 import { quarantineMessage } from '@eelgrassmux/control/quarantine/quarantineMessage'
 import { CrashEvidence } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { CrashCorrelator } from '@eelgrassmux/routing/quarantine/CrashCorrelator'
-import { MOST_REPORTS_OF_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
+import { MAX_REPORTS_PER_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
 import { requestFingerprint } from '@eelgrassmux/routing/quarantine/requestFingerprint'
 import { encodeMessage } from '@eelgrassmux/rpc/RpcMethod'
 import type { QuarantineEntry } from '@eelgrassmux/schema/quarantineEntry'
@@ -30,7 +30,7 @@
   const report = slopeReport(print)
   const sizes = [2000, 8000, 32_000]
   report('memory of a reported loss on the leader', 'bytes', heapOf(sizes, size => ({ correlator: correlatorOf(size) })))
-  report('memory of a loss on an entry host', 'bytes', heapOf([64, 128, MOST_REPORTS_OF_HOST], size => ({ evidence: evidenceOf(size) })))
+  report('memory of a loss on an entry host', 'bytes', heapOf([64, 128, MAX_REPORTS_PER_HOST], size => ({ evidence: evidenceOf(size) })))
   report('memory of an entry', 'bytes', heapOf([100, 300, 500], size => ({ register: registerOf(size) })))
   report('processor time of a reported loss on the leader', 'seconds', secondsOf(sizes, size => { correlatorOf(size) }))
   report('processor time of a look of the leader, for each loss that it holds', 'seconds', sizes.map(size => timedLook(size)))
@@ -38,7 +38,7 @@
     const body = Buffer.alloc(size)
     for (let count = 0; count < REPEATS; count += 1) requestFingerprint({ customer: 'ward', method: 'POST', target: '/a', body })
   }).map(({ size, value }) => ({ size, value: value / REPEATS })))
-  const losses = evidenceOf(MOST_REPORTS_OF_HOST).reports(0)
+  const losses = evidenceOf(MAX_REPORTS_PER_HOST).reports(0)
   print(`size of the largest report of losses: ${encodeMessage({ host: '10.0.0.1:7400', losses, completed: [] }).length} bytes, of one with 8: ${encodeMessage({ host: '10.0.0.1:7400', losses: losses.slice(0, 8), completed: [] }).length}`)
   const register = registerOf(500)
   print(`size of 500 entries in a view: ${encodeMessage(quarantineMessage(register, undefined, 0)).length} bytes, of one: ${encodeMessage(quarantineMessage(register, [fingerprintOf(1)], 0)).length}`)
@@ -66,7 +66,7 @@
 
 function evidenceOf (size: number): CrashEvidence {
   const evidence = new CrashEvidence()
-  for (let loss = 0; loss < size; loss += 1) evidence.note({ fingerprint: freshFingerprint(), service: 'pool', endpoint: 'i-0123456789', ranMs: 123.456 }, 0)
+  for (let loss = 0; loss < size; loss += 1) evidence.record({ fingerprint: freshFingerprint(), service: 'pool', endpoint: 'i-0123456789', ranMs: 123.456 }, 0)
   return evidence
 }
 
@@ -80,7 +80,7 @@
 function timedLook (size: number): Point {
   const correlator = correlatorOf(size)
   const agreed = new QuarantineRegistry()
-  for (const endpoint of correlator.unconfirmedCrashes(agreed)) correlator.settle(endpoint, true, 0)
+  for (const endpoint of correlator.unconfirmedCrashes(agreed)) correlator.recordCrashCheck(endpoint, true, 0)
   const now = size / REQUESTS_OF_END * END_GAP_MS
   const startedAt = performance.now()
   const looks = 10
--- a/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
@@ -4,7 +4,7 @@
  * hosts in time, and that keyed calls run at most once.
  */
 import type { LogEntry, PersistentState, RaftMessage, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
-import type { AtMostOnce } from '@eelgrassmux/entry/plain/AtMostOnce'
+import type { AtMostOnceExecutor } from '@eelgrassmux/entry/plain/AtMostOnceExecutor'
 import type { Command } from '@eelgrassmux/state/commands'
 import { FreshnessLease } from '@eelgrassmux/view/FreshnessLease'
 import { ViewFollower } from '@eelgrassmux/view/ViewFollower'
@@ -33,7 +33,7 @@
   readonly name: string
   follower: ViewFollower
   lease: FreshnessLease
-  once: AtMostOnce
+  once: AtMostOnceExecutor
   incarnation: number
   frozenUntil: number
 }
@@ -122,7 +122,7 @@
       name,
       follower: new ViewFollower(),
       lease: new FreshnessLease(FRESHNESS_MS),
-      once: undefined as unknown as AtMostOnce,
+      once: undefined as unknown as AtMostOnceExecutor,
       incarnation: 0,
       frozenUntil: 0
     }
--- a/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
@@ -2,7 +2,7 @@
  * Endpoints that come back cold before many entry hosts, some of which stand still, start anew or know too few of
  * the others. Checks that all of them together send a cold endpoint no more in any second than it takes.
  */
-import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
+import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
 import { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Ledger, PromiseName } from '../Ledger.js'
@@ -53,13 +53,13 @@
     for (const arrivals of this.#arrivals) this.#check(arrivals)
   }
 
-  #allowanceOf (host: SimulatedHost): ColdAllowance {
+  #allowanceOf (host: SimulatedHost): ColdEndpointLimiter {
     const knownHosts = (): number => this.broken === 'cold-endpoints-are-spared' ? 1 : host.knownHosts
-    return new ColdAllowance(host.name, knownHosts)
+    return new ColdEndpointLimiter(host.name, knownHosts)
   }
 
   /** Requests come faster than the endpoints take them, and each host would send all of them there. */
-  #placeLoop (host: SimulatedHost, allowance: ColdAllowance): void {
+  #placeLoop (host: SimulatedHost, allowance: ColdEndpointLimiter): void {
     this.simulation.after(this.simulation.random() * 60, () => {
       this.#placeLoop(host, allowance)
       const now = this.simulation.now()
@@ -67,7 +67,7 @@
       const index = this.simulation.pick(ENDPOINTS)
       const endpoint = host.endpoints[index]
       if (endpoint === undefined || !allowance.admits(endpoint, RATE, now)) return
-      endpoint.begin(0, 0, now)
+      endpoint.beginRequest(0, 0, now)
       this.simulation.after(this.simulation.random() * LONGEST_WAY_MS, () => {
         this.#arrivals[index]?.push({ sentAt: now, at: this.simulation.now() })
       })
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
@@ -173,7 +173,7 @@
 
   #noteLost (host: SimulatedHost, { request, endpoint, startedAt }: PoolRun): void {
     const now = this.simulation.now()
-    host.evidence.note({ fingerprint: request.fingerprint, service: 'pool', endpoint, ranMs: now - startedAt }, now)
+    host.evidence.record({ fingerprint: request.fingerprint, service: 'pool', endpoint, ranMs: now - startedAt }, now)
     host.hasUnreported = true
   }
 
@@ -229,7 +229,7 @@
     for (const end of ends) correlator.observe(end, now)
     if (this.broken === 'bystanders-are-served') return
     const cleared = completed.flatMap((fingerprint): QuarantineDecision[] => {
-      correlator.clear(fingerprint, now)
+      correlator.recordCompletion(fingerprint, now)
       return replica.state.quarantine.find(fingerprint) === undefined ? [] : [{ fingerprint, service: 'pool', decision: 'clear', forMs: 0 }]
     })
     if (cleared.length > 0) replica.propose({ kind: 'change-quarantine', decisions: cleared }, () => {})
@@ -305,7 +305,7 @@
   /** Asks the endpoint, which takes a moment. */
   #check (correlator: CrashCorrelator, endpoint: string): void {
     this.simulation.after(this.#between(1, 300), () => {
-      correlator.settle(endpoint, this.broken === 'bystanders-are-served' || this.#pool.hasCrashed(endpoint), this.simulation.now())
+      correlator.recordCrashCheck(endpoint, this.broken === 'bystanders-are-served' || this.#pool.hasCrashed(endpoint), this.simulation.now())
     })
   }
 
--- a/apps/bench/src/lib/prove/worlds/RunWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/RunWorld.ts
@@ -10,7 +10,7 @@
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { Placer } from '@eelgrassmux/entry/runs/Placer'
 import { Run } from '@eelgrassmux/entry/runs/Run'
-import { UNGUARDED } from '@eelgrassmux/entry/quarantine/CallQuarantine'
+import { NO_QUARANTINE } from '@eelgrassmux/entry/quarantine/CallQuarantine'
 import { RunTask } from '@eelgrassmux/entry/runs/RunTask'
 import { EndpointTable } from '@eelgrassmux/policy/health/EndpointTable'
 import { EngineLoadTable } from '@eelgrassmux/policy/health/EngineLoadTable'
@@ -174,7 +174,7 @@
   cacheListing = unsupported
   stageImport = unsupported
   exportBlocks = unsupported
-  order = unsupported
+  sendOrder = unsupported
   async discardImport (): Promise<void> {}
 }
 
@@ -256,10 +256,10 @@
         fleet: this.#fleet,
         placer: this.#placer,
         importer: { stage: async () => undefined },
-        exporter: { consider: async () => {} },
-        announce: () => {},
+        exporter: { exportIfWorthwhile: async () => {} },
+        announceDispatch: () => {},
         budget: new RetryBudget(),
-        guard: UNGUARDED,
+        guard: NO_QUARANTINE,
         retries: SILENT,
         promptTokens: SILENT
       })
--- a/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
@@ -2,7 +2,7 @@
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
 import type { ServiceAnswer } from '@eelgrassmux/backends/ServiceClient'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import { AtMostOnce } from '@eelgrassmux/entry/plain/AtMostOnce'
+import { AtMostOnceExecutor } from '@eelgrassmux/entry/plain/AtMostOnceExecutor'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { Ledger, PromiseName } from '../Ledger.js'
 import type { Simulation } from '../Simulation.js'
@@ -13,7 +13,7 @@
   readonly name: string
   readonly incarnation: number
   readonly frozenUntil: number
-  readonly once: AtMostOnce
+  readonly once: AtMostOnceExecutor
 }
 
 /** Keys in use at the same time, and how long, in milliseconds. */
@@ -44,10 +44,10 @@
    * @param host - that runs calls
    * @returns what it runs them with in its present incarnation
    */
-  newOnce (host: KeyedHost): AtMostOnce {
+  newOnce (host: KeyedHost): AtMostOnceExecutor {
     const { incarnation } = host
     const isAlive = (): boolean => host.incarnation === incarnation
-    return new AtMostOnce({
+    return new AtMostOnceExecutor({
       clock: this.simulation,
       outcomes: { count: () => {} },
       work: new WorkGate(),
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { decodeLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
-import { NO_WORK, type EndpointWork, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
+import { NO_ENDPOINT_LOAD, type EndpointLoad, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
 import type { DatagramMethod } from '@eelgrassmux/rpc/datagrams/DatagramMethod'
 import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
@@ -11,7 +11,7 @@
 /** Its name with its start. */
 const INCARNATION = 'e@zzz'
 const service = { type: 'replicated' as const, name: 's', connectionsPerEndpoint: 1, healthPath: '/well' }
-const silent: EndpointWork = { ...NO_WORK, endpoint: INCARNATION, inFlight: 4, lastByteAgoMs: 900, waitedMs: 900 }
+const silent: EndpointLoad = { ...NO_ENDPOINT_LOAD, endpoint: INCARNATION, inFlight: 4, lastByteAgoMs: 900, waitedMs: 900 }
 
 type Answer = (report: LoadReport) => Uint8Array | undefined
 
@@ -26,7 +26,7 @@
   constructor (ports: Partial<LoadBoardPorts> = {}) {
     this.task = new LoadBoardTask({
       probe: {
-        answers: async () => {
+        isResponsive: async () => {
           this.questions += 1
           return await Promise.resolve(this.isAlive)
         },
@@ -41,12 +41,12 @@
     this.task.register(datagrams as unknown as DatagramServer)
   }
 
-  tell (work: EndpointWork[]): void {
+  tell (work: EndpointLoad[]): void {
     this.#answers.get(tellLoad)?.({ host: 'h', sequence: ++this.#sequence, work, links: [] })
   }
 
   /** @returns what the host hears of the endpoint */
-  ask (): EndpointWork | undefined {
+  ask (): EndpointLoad | undefined {
     const bytes = this.#answers.get(askLoad)?.({ host: 'h', sequence: ++this.#sequence, work: [], links: [] })
     return bytes === undefined ? undefined : decodeLoadTotals(Buffer.from(bytes)).work.find(({ endpoint }) => endpoint === INCARNATION)
   }
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -6,9 +6,9 @@
  * one is made good by the next.
  */
 import { incarnationName } from '@eelgrassmux/routing/endpoints/incarnationName'
-import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
+import { LoadAggregator, type AggregatedLoad } from '@eelgrassmux/routing/load/LoadAggregator'
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
-import { SilentEndpoints, type ResponseChange } from '@eelgrassmux/routing/load/SilentEndpoints'
+import { UnresponsiveEndpointDetector, type ResponsivenessChange } from '@eelgrassmux/routing/load/UnresponsiveEndpointDetector'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
 import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -25,7 +25,7 @@
    * @param service - that it belongs to
    * @returns whether it gave any answer, good or bad, in good time
    */
-  answers (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
+  isResponsive (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
 
   /**
    * @param endpoint - whom to ask
@@ -48,9 +48,9 @@
 
 /** Adds up while hosts report. */
 export class LoadBoardTask {
-  readonly #board = new LoadBoard()
-  readonly #silence = new SilentEndpoints()
-  #encoded: { readonly totals: Totals, readonly bytes: Uint8Array } | undefined
+  readonly #board = new LoadAggregator()
+  readonly #silence = new UnresponsiveEndpointDetector()
+  #encoded: { readonly totals: AggregatedLoad, readonly bytes: Uint8Array } | undefined
   #timer: NodeJS.Timeout | undefined
 
   /** @param ports - surroundings */
@@ -101,7 +101,7 @@
       return
     }
     for (const change of this.#silence.observe(work, now)) this.#note(change)
-    const due = this.#silence.takeDue(now)
+    const due = this.#silence.takeDueProbes(now)
     if (due.length > 0) this.#askAll(due)
     this.#board.setUnresponsive(this.#silence.unresponsive)
   }
@@ -117,12 +117,12 @@
 
   async #ask (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
     const service = this.ports.service(endpoint.service)
-    const hasAnswered = service === undefined || await this.ports.probe?.answers(endpoint, service) === true
-    const change = this.#silence.settle(incarnation, hasAnswered, performance.now())
+    const hasAnswered = service === undefined || await this.ports.probe?.isResponsive(endpoint, service) === true
+    const change = this.#silence.recordProbeResult(incarnation, hasAnswered, performance.now())
     if (change !== undefined) this.#note(change)
   }
 
-  #note ({ endpoint, isUnresponsive }: ResponseChange): void {
+  #note ({ endpoint, isUnresponsive }: ResponsivenessChange): void {
     const work = this.#board.totals(performance.now()).work.find(entry => entry.endpoint === endpoint)
     this.ports.telemetry.stateChanged(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
       endpoint, inFlight: work?.inFlight ?? 0, lastByteAgoMs: Math.round(work?.lastByteAgoMs ?? -1), avoiders: work?.avoiders ?? 0
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -126,7 +126,7 @@
 
   #settle (endpoint: string, hasCrashed: boolean): void {
     const now = performance.now()
-    this.#correlator.settle(endpoint, hasCrashed, now)
+    this.#correlator.recordCrashCheck(endpoint, hasCrashed, now)
     this.ports.telemetry.stateChanged('endpoint-crash-checked', { endpoint, hasCrashed })
     this.#wake(now)
   }
@@ -134,7 +134,7 @@
   #clear (fingerprints: readonly string[], now: number): void {
     const decisions = fingerprints.flatMap((fingerprint): QuarantineDecision[] => {
       const entry = this.ports.register.find(fingerprint)
-      this.#correlator.clear(fingerprint, now)
+      this.#correlator.recordCompletion(fingerprint, now)
       return entry === undefined ? [] : [{ fingerprint, service: entry.service, decision: 'clear', forMs: 0 }]
     })
     this.#propose(decisions)
--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -14,9 +14,9 @@
 import { CompletionHandler } from './callers/CompletionHandler.js'
 import { DispatchNotices } from './fleet/DispatchNotices.js'
 import { FleetWatcher } from './fleet/FleetWatcher.js'
-import { AtMostOnce } from './plain/AtMostOnce.js'
+import { AtMostOnceExecutor } from './plain/AtMostOnceExecutor.js'
 import { PlainHandler } from './plain/PlainHandler.js'
-import { PlannedStop, type CallerEdge } from './PlannedStop.js'
+import { GracefulShutdown, type CallerEdge } from './GracefulShutdown.js'
 import { CallQuarantine } from './quarantine/CallQuarantine.js'
 import { CrashReporter } from './quarantine/CrashReporter.js'
 import { RequestQuarantine } from './quarantine/RequestQuarantine.js'
@@ -71,7 +71,7 @@
 async function startEntry (settings: EntrySettings, telemetry: Telemetry): Promise<RunningDaemon> {
   const clock = new SystemClock()
   const work = new WorkGate()
-  const stop = new PlannedStop(work, {
+  const stop = new GracefulShutdown(work, {
     balancerLagMs: settings.balancerLagMs,
     graceMs: settings.stopGraceSeconds * MILLISECONDS_PER_SECOND
   }, telemetry)
@@ -106,7 +106,7 @@
     telemetry.labelledCounter('dispatch_notices_total', 'Notices of dispatches among entry hosts by outcome', 'outcome'))
   notices.register(peerServer)
   // Policies that never import would export for nothing.
-  const exporter = usesStores(settings.policy) ? storeExporter : { consider: async () => {} }
+  const exporter = usesStores(settings.policy) ? storeExporter : { exportIfWorthwhile: async () => {} }
   const gate = new AdmissionGate(INITIAL_CAPACITY_TOKENS, settings.queueLimit)
   const firstToken = telemetry.durationHistogram('first_token_seconds', 'Time to first token', FIRST_TOKEN_BUCKETS)
   const crashReporter = new CrashReporter(peerAddress, { rpc, leader: () => link.leader, telemetry })
@@ -118,12 +118,12 @@
     placer,
     importer,
     exporter,
-    announce: (engine, tokens) => { notices.announce(engine, tokens) },
+    announceDispatch: (engine, tokens) => { notices.announce(engine, tokens) },
     retries,
     promptTokens: telemetry.labelledCounter('prompt_tokens_total', 'Prompt tokens computed and reused', 'kind')
   })
   servePeerRuns(peerServer, runs)
-  const once = new AtMostOnce({
+  const once = new AtMostOnceExecutor({
     propose: async (command, deadlineMs) => await link.propose(command, deadlineMs),
     clock,
     work,
--- a/apps/entry/src/lib/PlannedStop.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -6,7 +6,7 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import { admitWhileStopping } from '@eelgrassmux/policy/limits/admitWhileStopping'
+import { admitDuringShutdown } from '@eelgrassmux/policy/limits/admitDuringShutdown'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** What a stop may take. */
@@ -58,7 +58,7 @@
 const LAG_SHARE = 0.5
 
 /** One planned stop; does nothing until it begins. */
-export class PlannedStop {
+export class GracefulShutdown {
   #signalledAt: number | undefined
   #cutTimer: NodeJS.Timeout | undefined
   #endCut: () => void = () => {}
@@ -104,7 +104,7 @@
    */
   admits ({ remainingMs, expectedMs }: RequestTime): boolean {
     if (!this.isStopping) return true
-    return admitWhileStopping({ leftMs: this.#leftMs, remainingMs, expectedMs, isBalancerLagOver: this.sinceSignalMs >= this.#lagMs })
+    return admitDuringShutdown({ timeToKillMs: this.#leftMs, remainingMs, expectedMs, hasBalancerLagElapsed: this.sinceSignalMs >= this.#lagMs })
   }
 
   /**
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -6,14 +6,14 @@
 import { dataCentresSetting } from '@eelgrassmux/daemon/dataCentresSetting'
 import { addressListSetting, boundSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
 import { composeMechanisms, mechanismSchema } from '@eelgrassmux/routing/mechanisms/mechanisms'
-import { OlderWeights } from '@eelgrassmux/routing/prompts/OlderWeights'
+import { OutdatedWeightsDeadlines } from '@eelgrassmux/routing/prompts/OutdatedWeightsDeadlines'
 import { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { ControlLink } from '@eelgrassmux/view/ControlLink'
 import { LoadExchange } from './load/LoadExchange.js'
-import { PlannedStop } from './PlannedStop.js'
+import { GracefulShutdown } from './GracefulShutdown.js'
 import { CrashReporter } from './quarantine/CrashReporter.js'
 import { RequestQuarantine } from './quarantine/RequestQuarantine.js'
 import type { RequestCodec } from './routed/RequestCodec.js'
@@ -43,9 +43,9 @@
 export interface RoutedPlatform {
   readonly codec: RequestCodec
   /** The callers' port, if it was opened before the program was loaded. */
-  readonly early?: EarlyListener | undefined
+  readonly earlyListener?: EarlyListener | undefined
   /** Opens what else the platform calls on an entry host. */
-  openEdges (isReady: () => boolean): Promise<{ close (): Promise<void> }>
+  openPlatformServers (isReady: () => boolean): Promise<{ close (): Promise<void> }>
 }
 
 const MILLISECONDS_PER_SECOND = 1000
@@ -60,9 +60,9 @@
  * @param telemetry - log and metrics
  * @param platform - words and edges
  */
-export async function startRouted (settings: RoutedSettings, telemetry: Telemetry, platform: RoutedPlatform): Promise<RunningDaemon> {
+export async function startRoutedDaemon (settings: RoutedSettings, telemetry: Telemetry, platform: RoutedPlatform): Promise<RunningDaemon> {
   const work = new WorkGate()
-  const stop = new PlannedStop(work, {
+  const stop = new GracefulShutdown(work, {
     balancerLagMs: settings.balancerLagMs,
     graceMs: settings.stopGraceSeconds * MILLISECONDS_PER_SECOND
   }, telemetry)
@@ -92,18 +92,18 @@
     board: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
-    others: fleet.others,
+    others: fleet.otherHostsLoad,
     onAnswer: () => {
-      fleet.noteObservations()
+      fleet.applyObservations()
       server.releaseWaiting()
     }
   }, telemetry)
-  fleet.onWork(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
+  fleet.onWorkChange(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
   loads.start()
   const mayAct = (): boolean => settings.staleView === 'serve' ? link.site !== undefined : link.isReady()
   const crashReporter = new CrashReporter(address, { rpc, leader: () => link.leader, telemetry })
   const quarantine = new RequestQuarantine(link.quarantine, crashReporter, telemetry)
-  const olderWeights = new OlderWeights(settings.weightsBoundMs)
+  const olderWeights = new OutdatedWeightsDeadlines(settings.weightsBoundMs)
   const server = new RoutedServer({
     fleet,
     codec: platform.codec,
@@ -114,18 +114,18 @@
     regions: new Map(Object.entries(settings.dataCentres)),
     budget: { ratio: settings.retryRatio, slack: settings.retrySlack },
     liveHosts: () => link.liveEntries,
-    leftMsOn: (model, version) => olderWeights.leftMs(model, version, performance.now()),
+    remainingMsForVersion: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
-    mayAct,
+    isSiteUsable: mayAct,
     // Parts that nobody vouches for may have been freed meanwhile.
-    storesUsable: now => mechanisms.usesStores && stored.isLeaseValid(now),
+    areStoresUsable: now => mechanisms.usesStores && stored.isLeaseValid(now),
     storeClockMs: now => stored.storeClockMs(now),
-    beforePlacing: place => { loads.beforePlacing(place) },
+    withRecentLoad: place => { loads.beforePlacing(place) },
     isLagging: () => link.eventLoopLagMs > LAGGING_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
-  const port = await server.listen(settings.host, settings.port, platform.early)
-  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
-  const edges = await platform.openEdges(isReady)
+  const port = await server.listen(settings.host, settings.port, platform.earlyListener)
+  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.hasEndpoints && mayAct()
+  const edges = await platform.openPlatformServers(isReady)
 
   let siteVersion = -1
   const putInForce = (site: Site | undefined): void => {
--- a/apps/entry/src/lib/callers/CallerServer.ts
+++ b/apps/entry/src/lib/callers/CallerServer.ts
@@ -10,7 +10,7 @@
 import type { Refusal } from '@eelgrassmux/schema/Refusal'
 import type { Result } from '@eelgrassmux/schema/Result'
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { PlainHandler } from '../plain/PlainHandler.js'
 import type { CompletionHandler } from './CompletionHandler.js'
 import { problemResponse } from './problem.js'
@@ -23,7 +23,7 @@
   isFresh (): boolean
   readonly refusals: LabelledCounter
   readonly work: WorkGate
-  readonly stop: PlannedStop
+  readonly stop: GracefulShutdown
 }
 
 /** Answers a request of a known customer; nothing is left to send after a stream. */
--- a/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
+++ b/apps/entry/src/lib/callers/refuseWhileStopping.test.ts
@@ -1,7 +1,7 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { PlannedStop, type CallerEdge } from '../PlannedStop.js'
+import { GracefulShutdown, type CallerEdge } from '../GracefulShutdown.js'
 import { refuseWhileStopping } from './refuseWhileStopping.js'
 
 class IdleEdge implements CallerEdge {
@@ -13,9 +13,9 @@
 }
 
 describe('refuseWhileStopping', () => {
-  let stop: PlannedStop
+  let stop: GracefulShutdown
 
-  beforeEach(() => { stop = new PlannedStop(new WorkGate(), { balancerLagMs: 1000, graceMs: 60_000 }, new Telemetry('test')) })
+  beforeEach(() => { stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 1000, graceMs: 60_000 }, new Telemetry('test')) })
 
   it('refuses nothing before the stop', () => {
     expect(refuseWhileStopping(stop, { remainingMs: 3_600_000, expectedMs: 3_600_000 })).toBeUndefined()
--- a/apps/entry/src/lib/fleet/FleetWatcher.ts
+++ b/apps/entry/src/lib/fleet/FleetWatcher.ts
@@ -63,8 +63,8 @@
    * @param dataCentres - whose endpoints get no new work
    */
   evacuate (configuration: ConfigurationIndex, dataCentres: ReadonlySet<string>): void {
-    this.engineTable.evacuate(namesIn(configuration.engines, dataCentres))
-    this.serviceTable.evacuate(namesIn(configuration.plainEndpoints, dataCentres))
+    this.engineTable.setEvacuated(namesIn(configuration.engines, dataCentres))
+    this.serviceTable.setEvacuated(namesIn(configuration.plainEndpoints, dataCentres))
   }
 
   /**
@@ -156,8 +156,8 @@
     const list = await this.#membership?.list()
     // A list that can't be read, or has stopped, changes nothing: it is no evidence of life.
     if (list?.ok !== true) return
-    this.engineTable.observeList(list.value.members)
-    this.serviceTable.observeList(list.value.members)
+    this.engineTable.observeMemberList(list.value.members)
+    this.serviceTable.observeMemberList(list.value.members)
   }
 }
 
--- a/apps/entry/src/lib/load/LoadExchange.test.ts
+++ b/apps/entry/src/lib/load/LoadExchange.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
-import { NO_WORK, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
-import { OthersWork, type HostWork } from '@eelgrassmux/routing/load/OthersWork'
+import { NO_ENDPOINT_LOAD, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
+import { PeerLoad, type HostLoad } from '@eelgrassmux/routing/load/PeerLoad'
 import { askLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { LoadExchange } from './LoadExchange.js'
@@ -11,8 +11,8 @@
   asked = 0
   reports: LoadReport[] = []
   answers = true
-  own: HostWork = { work: [], links: [] }
-  readonly others = new OthersWork()
+  own: HostLoad = { work: [], links: [] }
+  readonly others = new PeerLoad()
   board: string | undefined = 'board'
   readonly exchange = new LoadExchange('h', {
     datagrams: {
@@ -21,7 +21,7 @@
         this.asked += 1
         const askedAt = performance.now()
         const { sequence } = request as LoadReport
-        const totals = frameLoadTotals(sequence, encodeLoadTotals({ work: [{ ...NO_WORK, endpoint: 'e', inFlight: 5 }], links: [] }))
+        const totals = frameLoadTotals(sequence, encodeLoadTotals({ work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'e', inFlight: 5 }], links: [] }))
         if (this.answers) setTimeout(() => { onAnswer(totals as never, askedAt) }, 2)
       },
       tell: (_address, _method, request) => { this.reports.push(request as LoadReport) }
@@ -51,7 +51,7 @@
     expect(placed.at).toBeUndefined()
     vi.advanceTimersByTime(2)
     expect(placed.at).toBe(2)
-    expect(world.others.at('e').inFlight).toBe(5)
+    expect(world.others.forEndpoint('e').inFlight).toBe(5)
     vi.advanceTimersByTime(10)
     expect(world.place().at).toBe(12)
     expect(world.asked).toBe(1)
@@ -81,7 +81,7 @@
     const world = new World()
     vi.advanceTimersByTime(1000)
     expect(world.reports).toHaveLength(0)
-    world.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
+    world.own = { work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'e', inFlight: 1 }], links: [] }
     world.exchange.noteSend()
     expect(world.reports.at(-1)?.work[0]?.inFlight).toBe(1)
     vi.advanceTimersByTime(1000)
@@ -99,7 +99,7 @@
       world.place()
       vi.advanceTimersByTime(100)
     }
-    world.own = { work: [{ ...NO_WORK, endpoint: 'e', inFlight: 1 }], links: [] }
+    world.own = { work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'e', inFlight: 1 }], links: [] }
     world.exchange.noteSend()
     expect(world.reports).toHaveLength(0)
     vi.advanceTimersByTime(249)
--- a/apps/entry/src/lib/load/LoadExchange.ts
+++ b/apps/entry/src/lib/load/LoadExchange.ts
@@ -1,8 +1,8 @@
 /** Tells a control host of this host's work at endpoints, and asks it for that of all hosts. */
-import { ANSWER_WAIT_MS, ExchangePlan } from '@eelgrassmux/routing/load/ExchangePlan'
-import { decodeLoadTotals, NameList } from '@eelgrassmux/routing/load/loadCodec'
+import { MAX_ANSWER_WAIT_MS, LoadExchangeScheduler } from '@eelgrassmux/routing/load/LoadExchangeScheduler'
+import { decodeLoadTotals, EndpointNameCache } from '@eelgrassmux/routing/load/loadCodec'
 import type { LoadReport, LoadTotals } from '@eelgrassmux/routing/load/loadReport'
-import type { HostWork, OthersWork } from '@eelgrassmux/routing/load/OthersWork'
+import type { HostLoad, PeerLoad } from '@eelgrassmux/routing/load/PeerLoad'
 import type { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -21,18 +21,18 @@
   /** Entry hosts that exchange, as of now. */
   liveHosts (): number
   /** This host's work, as of now. */
-  ownWork (): HostWork
+  ownWork (): HostLoad
   /** Told of the others' work. */
-  readonly others: OthersWork
+  readonly others: PeerLoad
   /** Called when the others' work was heard. */
   onAnswer (): void
 }
 
 /** Exchanges until stopped. */
 export class LoadExchange {
-  readonly #plan: ExchangePlan
+  readonly #plan: LoadExchangeScheduler
   readonly #malformed: LabelledCounter
-  readonly #endpointNames = new NameList()
+  readonly #endpointNames = new EndpointNameCache()
   #sequence = 0
   #startup: NodeJS.Timeout | undefined
   #tellTimer: NodeJS.Timeout | undefined
@@ -47,7 +47,7 @@
    * @param telemetry - metrics
    */
   constructor (private readonly host: string, private readonly ports: LoadExchangePorts, telemetry: Telemetry) {
-    this.#plan = new ExchangePlan(() => ports.liveHosts())
+    this.#plan = new LoadExchangeScheduler(() => ports.liveHosts())
     this.#malformed = telemetry.labelledCounter('load_totals_malformed_total', 'Answers to load reports that could not be read')
     telemetry.gauge('others_work_recent', '1 while the work of other hosts is known', () => ports.others.isRecent(performance.now()) ? 1 : 0)
   }
@@ -74,25 +74,25 @@
    * @param place - called once
    */
   beforePlacing (place: () => void): void {
-    const { asks, waits } = this.#plan.place(performance.now())
+    const { asks, waits } = this.#plan.planPlacement(performance.now())
     const isAsked = asks ? this.#ask() : true
     if (!waits || !isAsked) {
       place()
       return
     }
     this.#waiting.push(place)
-    this.#waitTimer ??= setTimeout(() => { this.#releaseWaiting() }, ANSWER_WAIT_MS)
+    this.#waitTimer ??= setTimeout(() => { this.#releaseWaiting() }, MAX_ANSWER_WAIT_MS)
   }
 
   /** Call after a request was sent to an endpoint. */
   noteSend (): void {
-    if (this.#plan.noteSend(performance.now())) this.#tell()
+    if (this.#plan.recordSend(performance.now())) this.#tell()
     else this.#scheduleTelling()
   }
 
   /** Call when an endpoint has less to do for this host. */
   noteChange (): void {
-    this.#plan.noteChange(performance.now())
+    this.#plan.recordChange(performance.now())
     this.#scheduleTelling()
   }
 
@@ -101,7 +101,7 @@
     const board = this.ports.board()
     if (board === undefined) return false
     const report = this.#report()
-    this.#plan.asked(performance.now())
+    this.#plan.recordQuery(performance.now())
     this.ports.datagrams.ask(board, askLoad, report, (totals, askedAt) => { this.#take(Buffer.from(totals), askedAt) })
     this.#noteReported(report)
     return true
@@ -118,20 +118,20 @@
   #report (): LoadReport {
     const own = this.ports.ownWork()
     this.#sequence += 1
-    this.ports.others.sent(this.#sequence, own)
+    this.ports.others.recordOwnReport(this.#sequence, own)
     return { host: this.host, sequence: this.#sequence, ...own }
   }
 
-  #noteReported ({ work, links }: HostWork): void {
-    this.#plan.reported(work.length > 0 || links.length > 0, performance.now())
+  #noteReported ({ work, links }: HostLoad): void {
+    this.#plan.recordReport(work.length > 0 || links.length > 0, performance.now())
     this.#scheduleTelling()
   }
 
   #take (bytes: Buffer, askedAt: number): void {
     const totals = this.#read(bytes)
     if (totals === undefined) return
-    this.ports.others.answered(totals, performance.now())
-    this.#plan.answered(askedAt)
+    this.ports.others.recordTotals(totals, performance.now())
+    this.#plan.recordAnswer(askedAt)
     this.ports.onAnswer()
     this.#releaseWaiting()
   }
@@ -153,13 +153,13 @@
 
   /** One timer, moved only if it would fire too late: one that fires too early looks again. */
   #scheduleTelling (): void {
-    const { tellAt } = this.#plan
+    const { nextReportAt: tellAt } = this.#plan
     if (tellAt === undefined || this.#tellTimerAt <= tellAt) return
     clearTimeout(this.#tellTimer)
     this.#tellTimerAt = tellAt
     this.#tellTimer = setTimeout(() => {
       this.#tellTimerAt = Number.POSITIVE_INFINITY
-      if ((this.#plan.tellAt ?? Number.POSITIVE_INFINITY) <= performance.now()) this.#tell()
+      if ((this.#plan.nextReportAt ?? Number.POSITIVE_INFINITY) <= performance.now()) this.#tell()
       else this.#scheduleTelling()
     }, Math.max(0, tellAt - performance.now()))
   }
--- a/apps/entry/src/lib/plain/AtMostOnce.ts
+++ b/apps/entry/src/lib/plain/AtMostOnceExecutor.ts
@@ -53,7 +53,7 @@
 const CLOCK_SLACK_MS = 2000
 
 /** Makes calls at most once. */
-export class AtMostOnce {
+export class AtMostOnceExecutor {
   /** @param ports - surroundings */
   constructor (private readonly ports: OncePorts) {}
 
--- a/apps/entry/src/lib/plain/PlainHandler.ts
+++ b/apps/entry/src/lib/plain/PlainHandler.ts
@@ -8,11 +8,11 @@
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
 import { refuseWhileStopping } from '../callers/refuseWhileStopping.js'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { CallGuard, CallQuarantine } from '../quarantine/CallQuarantine.js'
 import { readBody, refuseUnseen } from '../callers/readBody.js'
 import type { FleetWatcher } from '../fleet/FleetWatcher.js'
-import type { AtMostOnce } from './AtMostOnce.js'
+import type { AtMostOnceExecutor } from './AtMostOnceExecutor.js'
 
 type PlainService = Extract<Service, { type: 'plain' }>
 
@@ -50,11 +50,11 @@
    */
   constructor (
     private readonly fleet: FleetWatcher,
-    private readonly once: AtMostOnce,
+    private readonly once: AtMostOnceExecutor,
     private readonly configuration: () => ConfigurationIndex,
     private readonly retries: LabelledCounter,
     private readonly windowHours: number,
-    private readonly stop: PlannedStop,
+    private readonly stop: GracefulShutdown,
     private readonly quarantine: CallQuarantine
   ) {}
 
@@ -142,7 +142,7 @@
       const isUnstarted = isNotStarted(answer.error)
       if (isUnstarted) dispatch.markNotStarted()
       if (answer.error.kind !== 'not-started') this.fleet.serviceTable.observeFailure(endpoint.name, performance.now())
-      const mayRepeat = isUnstarted || (profile.retries > 0 && budget.tryRetry())
+      const mayRepeat = isUnstarted || (profile.retries > 0 && budget.tryConsume())
       if (!mayRepeat || tried.size > Math.max(profile.retries, 1) || performance.now() >= deadline) {
         return fail(refuse({ reason: 'endpoint-failed', status: 502, detail: `the last attempt ended with ${answer.error.kind}`, retryAfterSeconds: 1 }, dispatch))
       }
--- a/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.test.ts
@@ -4,14 +4,14 @@
 import { ServiceClient } from '@eelgrassmux/backends/ServiceClient'
 import { EndpointTable } from '@eelgrassmux/policy/health/EndpointTable'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import type { LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import type { ConfigurationDocument, Customer } from '@eelgrassmux/schema/configuration'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { FleetWatcher } from '../fleet/FleetWatcher.js'
-import { PlannedStop } from '../PlannedStop.js'
-import type { AtMostOnce } from '../plain/AtMostOnce.js'
+import { GracefulShutdown } from '../GracefulShutdown.js'
+import type { AtMostOnceExecutor } from '../plain/AtMostOnceExecutor.js'
 import { PlainHandler } from '../plain/PlainHandler.js'
 import { CallQuarantine } from './CallQuarantine.js'
 import { RequestQuarantine } from './RequestQuarantine.js'
@@ -21,7 +21,7 @@
 
 /** One endpoint of one plain service behind the handler. */
 class World {
-  readonly lost: LostRun[] = []
+  readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly quarantined = new QuarantineTable()
   readonly table = new EndpointTable()
@@ -48,10 +48,10 @@
     this.table.observeReport('app-0', { leaving: false, incarnation: 7 }, performance.now())
     const fleet = { serviceTable: this.table, service: () => this.#client } as unknown as FleetWatcher
     const telemetry = new Telemetry('test')
-    const reporter = { noteLost: (run: LostRun) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
+    const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     const quarantine = new CallQuarantine(new RequestQuarantine(this.quarantined, reporter, telemetry), () => performance.now())
-    const stop = new PlannedStop(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
-    this.handler = new PlainHandler(fleet, {} as AtMostOnce, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
+    const stop = new GracefulShutdown(new WorkGate(), { balancerLagMs: 100, graceMs: 1000 }, telemetry)
+    this.handler = new PlainHandler(fleet, {} as AtMostOnceExecutor, () => configuration, telemetry.labelledCounter('retries_total', 'retries'), 1, stop, quarantine)
   }
 
   async get (path: string): Promise<{ readonly status: number, readonly reason: string | undefined, readonly run: string | undefined }> {
--- a/apps/entry/src/lib/quarantine/CallQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/CallQuarantine.ts
@@ -37,7 +37,7 @@
   guard (service: string, table: EndpointTable, identity: RequestIdentity): CallGuard {
     const guard = new QuarantineGuard(service, identity, this.quarantine)
     return {
-      refusal: () => toRefusal(guard.heldBack(this.now())),
+      refusal: () => toRefusal(guard.rejection(this.now())),
       noteLost: (endpoint, ranMs) => {
         // One that leaves ends anyway.
         if (!table.isLeaving(endpoint)) guard.noteLost(configuredIncarnationName({ endpoint, incarnation: table.incarnation(endpoint) }), ranMs)
@@ -53,4 +53,4 @@
 }
 
 /** For callers of the tasks that have no quarantine. */
-export const UNGUARDED: CallGuard = { refusal: () => undefined, noteLost: () => {}, noteWhole: () => {} }
+export const NO_QUARANTINE: CallGuard = { refusal: () => undefined, noteLost: () => {}, noteWhole: () => {} }
--- a/apps/entry/src/lib/quarantine/CrashReporter.ts
+++ b/apps/entry/src/lib/quarantine/CrashReporter.ts
@@ -2,8 +2,8 @@
  * Tells the leading control host of requests that were lost with endpoints, and of suspected
  * ones that came through. What is held is told again whenever another control host leads.
  */
-import { CrashEvidence, type LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
-import { MOST_REPORTS_OF_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
+import { CrashEvidence, type LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import { MAX_REPORTS_PER_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
 import { reportCrashes } from '@eelgrassmux/rpc/methods/quarantineMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -44,8 +44,8 @@
   }
 
   /** @param run - a request that was lost with its endpoint */
-  noteLost (run: LostRun): void {
-    this.#evidence.note(run, performance.now())
+  noteLost (run: LostRequest): void {
+    this.#evidence.record(run, performance.now())
     this.#hasUnreported = true
     this.#schedule(GATHER_MS)
   }
@@ -53,7 +53,7 @@
   /** @param fingerprint - of a request with an entry, which came through whole */
   noteWhole (fingerprint: string): void {
     this.#evidence.forget(fingerprint)
-    if (this.#completed.size >= MOST_REPORTS_OF_HOST) return
+    if (this.#completed.size >= MAX_REPORTS_PER_HOST) return
     this.#completed.add(fingerprint)
     this.#hasUnreported = true
     this.#schedule(GATHER_MS)
--- a/apps/entry/src/lib/quarantine/QuarantineGuard.ts
+++ b/apps/entry/src/lib/quarantine/QuarantineGuard.ts
@@ -30,7 +30,7 @@
    * @param now - monotonic milliseconds
    * @returns undefined if the request may be sent
    */
-  heldBack (now: number): QuarantineRejection | undefined {
+  rejection (now: number): QuarantineRejection | undefined {
     if (this.quarantine.isIdle) return undefined
     const forMs = this.quarantine.quarantinedForMs(this.fingerprint, now)
     if (forMs === undefined) return undefined
--- a/apps/entry/src/lib/quarantine/RequestQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/RequestQuarantine.ts
@@ -1,5 +1,5 @@
 /** What an entry host does about requests that crash the endpoints that run them: reports them, and quarantines those that are known. */
-import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import type { LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import type { LocalQuarantineEntry, QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { CrashReporter } from './CrashReporter.js'
@@ -32,7 +32,7 @@
   }
 
   /** @param run - a request that was lost with its endpoint */
-  noteLost (run: LostRun): void {
+  noteLost (run: LostRequest): void {
     this.reporter.noteLost(run)
   }
 
--- a/apps/entry/src/lib/quarantine/quarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/quarantine.test.ts
@@ -1,13 +1,13 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
-import type { LostRun } from '@eelgrassmux/routing/quarantine/CrashEvidence'
+import type { LostRequest } from '@eelgrassmux/routing/quarantine/CrashEvidence'
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { ReportCrashesRequest } from '@eelgrassmux/rpc/methods/quarantineMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import { fail, succeed } from '@eelgrassmux/schema/Result'
 import type { QuarantineState } from '@eelgrassmux/schema/quarantineEntry'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { answerOk, EndpointStandin, resetConnection, streamEvent, type Behaviour } from '../routed/harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, resetConnection, streamEvent, type Behaviour } from '../routed/harness/FakeEndpoint.js'
 import { RoutedHost } from '../routed/harness/RoutedHost.js'
 import { CrashReporter } from './CrashReporter.js'
 import { RequestQuarantine } from './RequestQuarantine.js'
@@ -16,19 +16,19 @@
 
 /** A host whose reports a test reads and whose entries it sets. */
 class QuarantinedHost {
-  readonly lost: LostRun[] = []
+  readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly table = new QuarantineTable()
-  readonly endpoints: EndpointStandin[]
+  readonly endpoints: FakeEndpoint[]
   readonly host: RoutedHost
 
   constructor (...behaviours: Behaviour[]) {
-    this.endpoints = behaviours.map((behaviour, index) => new EndpointStandin(`e${index}`, behaviour))
-    const reporter = { noteLost: (run: LostRun) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
+    this.endpoints = behaviours.map((behaviour, index) => new FakeEndpoint(`e${index}`, behaviour))
+    const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     this.host = new RoutedHost(this.endpoints, { quarantine: new RequestQuarantine(this.table, reporter, new Telemetry('test')) })
   }
 
-  get seen (): number { return this.endpoints.reduce((sum, { seen }) => sum + seen.length, 0) }
+  get seen (): number { return this.endpoints.reduce((sum, { receivedRequests: seen }) => sum + seen.length, 0) }
 
   decide (fingerprint: string, state: QuarantineState): void {
     this.table.replace([{ fingerprint, service: 'app', state, quarantines: 1, leftMs: 15 * MINUTE_MS }], performance.now())
@@ -38,8 +38,8 @@
   async fingerprintOf (path: string): Promise<string> {
     const behaviours = this.endpoints.map(({ behaviour }) => behaviour)
     for (const endpoint of this.endpoints) endpoint.behaviour = resetConnection
-    await this.host.ask(path)
-    for (const [index, endpoint] of this.endpoints.entries()) endpoint.behaviour = behaviours[index] ?? answerOk
+    await this.host.sendRequest(path)
+    for (const [index, endpoint] of this.endpoints.entries()) endpoint.behaviour = behaviours[index] ?? respondOk
     return this.lost.splice(0)[0]?.fingerprint ?? ''
   }
 }
@@ -61,15 +61,15 @@
   describe('reports a request that was lost with its endpoint', () => {
     it('once for each endpoint, under the same fingerprint whatever its id', async () => {
       const { host, lost } = await hostWith(resetConnection, resetConnection)
-      await host.ask('/safe/a')
-      await host.ask('/safe/a')
+      await host.sendRequest('/safe/a')
+      await host.sendRequest('/safe/a')
       expect(new Set(lost.map(({ fingerprint }) => fingerprint)).size).toBe(1)
       expect(new Set(lost.map(({ endpoint }) => endpoint))).toEqual(new Set(['e0', 'e1']))
     })
 
     it('and tells different requests apart', async () => {
       const { host, lost } = await hostWith(resetConnection)
-      for (const path of ['/unsafe/a', '/unsafe/b']) await host.ask(path)
+      for (const path of ['/unsafe/a', '/unsafe/b']) await host.sendRequest(path)
       expect(new Set(lost.map(({ fingerprint }) => fingerprint)).size).toBe(2)
     })
 
@@ -79,18 +79,18 @@
         response.end()
       }
       const { host, lost } = await hostWith(failing)
-      await host.ask('/unsafe/a')
+      await host.sendRequest('/unsafe/a')
       expect(lost).toEqual([])
     })
   })
 
   describe('quarantines a request that is quarantined', () => {
     it('at once, as not run, and says for how long', async () => {
-      const world = await hostWith(answerOk)
+      const world = await hostWith(respondOk)
       const fingerprint = await world.fingerprintOf('/unsafe/a')
       const before = world.seen
       world.decide(fingerprint, 'quarantined')
-      const answer = await world.host.ask('/unsafe/a')
+      const answer = await world.host.sendRequest('/unsafe/a')
       expect(answer.status).toBe(503)
       const problem = JSON.parse(answer.body) as Record<string, unknown>
       expect(problem).toMatchObject({ run: 'not-run' })
@@ -102,14 +102,14 @@
     })
 
     it('and serves every other one as before', async () => {
-      const world = await hostWith(answerOk)
+      const world = await hostWith(respondOk)
       world.decide(await world.fingerprintOf('/unsafe/a'), 'quarantined')
-      expect((await world.host.ask('/unsafe/b')).status).toBe(200)
-      expect((await world.host.ask('/safe/a')).status).toBe(200)
+      expect((await world.host.sendRequest('/unsafe/b')).status).toBe(200)
+      expect((await world.host.sendRequest('/safe/a')).status).toBe(200)
     })
 
     it('also between two endpoints of one attempt', async () => {
-      const world = await hostWith(answerOk, answerOk)
+      const world = await hostWith(respondOk, respondOk)
       const fingerprint = await world.fingerprintOf('/safe/a')
       const before = world.seen
       const judged: Behaviour = (request, response, body) => {
@@ -117,14 +117,14 @@
         resetConnection(request, response, body)
       }
       for (const endpoint of world.endpoints) endpoint.behaviour = judged
-      const answer = await world.host.ask('/safe/a')
+      const answer = await world.host.sendRequest('/safe/a')
       // It has run once, so nothing may say that it has not.
       expect(answer.status).toBe(502)
       expect(world.seen).toBe(before + 1)
     })
 
     it('also when a stream that has begun would go on elsewhere', async () => {
-      const world = await hostWith(answerOk, answerOk)
+      const world = await hostWith(respondOk, respondOk)
       const fingerprint = await world.fingerprintOf('/resumable/a')
       const before = world.seen
       for (const endpoint of world.endpoints) {
@@ -135,24 +135,24 @@
           setTimeout(() => { request.socket.resetAndDestroy() }, 50)
         }
       }
-      const answer = await world.host.ask('/resumable/a')
+      const answer = await world.host.sendRequest('/resumable/a')
       expect(answer.isWhole).toBe(false)
       expect(world.seen).toBe(before + 1)
     })
 
     it.each(['suspected', 'released'] as const)('but runs one that is only %s, and tells when it comes through', async state => {
-      const world = await hostWith(answerOk)
+      const world = await hostWith(respondOk)
       const fingerprint = await world.fingerprintOf('/unsafe/a')
       world.decide(fingerprint, state)
-      expect((await world.host.ask('/unsafe/a')).status).toBe(200)
-      await world.host.ask('/unsafe/b')
+      expect((await world.host.sendRequest('/unsafe/a')).status).toBe(200)
+      await world.host.sendRequest('/unsafe/b')
       expect(world.whole).toEqual([fingerprint])
     })
   })
 })
 
 describe('CrashReporter', () => {
-  const run: LostRun = { fingerprint: 'a'.repeat(32), service: 's', endpoint: 'e1', ranMs: 5 }
+  const run: LostRequest = { fingerprint: 'a'.repeat(32), service: 's', endpoint: 'e1', ranMs: 5 }
   let reporter: CrashReporter | undefined
 
   afterEach(() => { reporter?.stop() })
--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -1,5 +1,5 @@
 /** What the failed attempts of one request say of endpoints and of the request itself. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { QuarantineGuard } from '../quarantine/QuarantineGuard.js'
 import type { AnswerTimes } from './AnswerTimes.js'
--- a/apps/entry/src/lib/routed/AttemptRecord.ts
+++ b/apps/entry/src/lib/routed/AttemptRecord.ts
@@ -1,5 +1,5 @@
 /** How often a request was sent and may have run, and whether it may be sent again. */
-import { nextStep, type AttemptFailure, type NextStep } from '@eelgrassmux/routing/attempts/nextStep'
+import { decideRetry, type AttemptFailure, type RetryDecision } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { Route } from '@eelgrassmux/schema/site/siteSchema'
 import { DispatchRecord } from '@eelgrassmux/schema/Refusal'
 
@@ -41,7 +41,7 @@
    * @param remainingMs - that its caller has left
    * @param hasBegun - whether its caller has part of the answer
    */
-  nextStep ({ kind, isResumable, attempts }: Route, failure: AttemptFailure, remainingMs: number, hasBegun: boolean): NextStep {
-    return nextStep({ kind, isResumable, failure, runs: this.#runs, sends: this.#sends, maximumRuns: attempts, remainingMs, hasBegun })
+  nextStep ({ kind, isResumable, attempts }: Route, failure: AttemptFailure, remainingMs: number, hasBegun: boolean): RetryDecision {
+    return decideRetry({ kind, isResumable, failure, runs: this.#runs, sends: this.#sends, maxRuns: attempts, remainingMs, hasPartialAnswer: hasBegun })
   }
 }
--- a/apps/entry/src/lib/routed/AttemptSender.ts
+++ b/apps/entry/src/lib/routed/AttemptSender.ts
@@ -1,5 +1,5 @@
 /** Sends one routed request to the endpoints chosen for it. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { CallerExchange } from './CallerExchange.js'
 import { endpointFields, type SendState } from './endpointFields.js'
 import type { PromptContext } from './PromptContext.js'
@@ -43,7 +43,7 @@
     const { fleet, codec } = this.ports
     fleet.limits.noteSend(attempt.choice.endpoint, now)
     const fields = endpointFields(this.request, attempt.choice, fleet, { ...state, prompt: this.prompt }, now)
-    attempt.send(this.exchange.toEndpoint(headers => codec.writeEndpoint(headers, fields), this.request.body))
+    attempt.send(this.exchange.toEndpoint(headers => codec.writeRequestHeaders(headers, fields), this.request.body))
     this.prompt?.recordSend(attempt.choice)
   }
 }
--- a/apps/entry/src/lib/routed/EndpointLimits.test.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
-import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
-import { EndpointState, RETURN_MS } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
+import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
+import { EndpointState, ASSUMED_COLD_MS } from '@eelgrassmux/routing/endpoints/EndpointState'
+import { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -25,7 +25,7 @@
   const north = new EndpointState(listed('n', 'north'))
   const south = new EndpointState(listed('s', 'south'))
   const plain = new EndpointState(listed('p', 'north', 'plain'))
-  const limits = new EndpointLimits(new ColdAllowance('host', () => 1), new RateShare('host', () => 1), () => [north, south, plain], new Telemetry('test'))
+  const limits = new EndpointLimits(new ColdEndpointLimiter('host', () => 1), new SharedRateLimiter('host', () => 1), () => [north, south, plain], new Telemetry('test'))
   limits.configure(SITE)
 
   it('takes the endpoints of a data centre for cold for a while after its evacuation', () => {
@@ -33,8 +33,8 @@
     expect([...limits.evacuated]).toEqual(['north'])
     limits.evacuate(new Set(), 60_000)
     expect(limits.evacuated.size).toBe(0)
-    expect(north.isCold(60_000 + RETURN_MS - 1)).toBe(true)
-    expect(north.isCold(60_000 + RETURN_MS)).toBe(false)
+    expect(north.isCold(60_000 + ASSUMED_COLD_MS - 1)).toBe(true)
+    expect(north.isCold(60_000 + ASSUMED_COLD_MS)).toBe(false)
     expect(south.isCold(60_000)).toBe(false)
   })
 
@@ -42,9 +42,9 @@
     const engine = new EndpointState({ ...listed('c', 'north'), isCold: true })
     const app = new EndpointState({ ...listed('a', 'north', 'plain'), isCold: true })
     expect(limits.hold(engine, 70_000)).toBeUndefined()
-    engine.begin(0, 0, 70_000)
+    engine.beginRequest(0, 0, 70_000)
     expect(limits.hold(engine, 70_001)).toEqual({ reason: 'cold', until: 70_001 })
-    app.begin(0, 0, 70_000)
+    app.beginRequest(0, 0, 70_000)
     expect(limits.hold(app, 70_001)).toBeUndefined()
   })
 
@@ -56,7 +56,7 @@
     it('sends it this host\'s part, says when the next may go, and everything again once it names none', () => {
       const endpoint = new EndpointState(listed('r', 'south', 'plain'))
       limits.observeAnswer(endpoint, head(0.5), 0)
-      for (const now of [0, 100]) endpoint.begin(0, 0, now)
+      for (const now of [0, 100]) endpoint.beginRequest(0, 0, now)
       expect(limits.hold(endpoint, 200)).toMatchObject({ reason: 'rate-limited' })
       const until = limits.firstRelease([plain, endpoint], 200)
       expect(until).toBeGreaterThan(4000)
--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -1,8 +1,8 @@
 /** What operators, services and endpoints themselves forbid of endpoints: data centres that are evacuated, rates that are not to be exceeded. */
-import type { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
-import type { HoldReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
+import type { HoldBackReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import type { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
+import type { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
 import type { RateLimitStatement } from '@eelgrassmux/routing/endpoints/StatedRateLimit'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -19,7 +19,7 @@
 
 /** That an endpoint is held back from this host. */
 export interface EndpointHold {
-  readonly reason: HoldReason
+  readonly reason: HoldBackReason
   /** Monotonic milliseconds before which it gets nothing from this host. */
   readonly until: number
 }
@@ -38,8 +38,8 @@
    * @param telemetry - log and metrics
    */
   constructor (
-    private readonly coldAllowance: ColdAllowance,
-    private readonly rateShare: RateShare,
+    private readonly coldAllowance: ColdEndpointLimiter,
+    private readonly rateShare: SharedRateLimiter,
     private readonly endpoints: () => readonly EndpointState[],
     private readonly telemetry: Telemetry
   ) {
@@ -72,7 +72,7 @@
     for (const dataCentre of changed) {
       const endpoints = this.endpoints().filter(endpoint => endpoint.listed.dataCentre === dataCentre)
       // They may start anew meanwhile, and the list lags.
-      for (const endpoint of endpoints) endpoint.observeAbsence(now)
+      for (const endpoint of endpoints) endpoint.markUnavailable(now)
       const underWay = endpoints.reduce((sum, endpoint) => sum + endpoint.inFlight, 0)
       this.telemetry.stateChanged('evacuation-in-force', { dataCentre, isEvacuated: evacuated.has(dataCentre), endpoints: endpoints.length, underWay })
     }
@@ -86,9 +86,9 @@
   hold (endpoint: EndpointState, now: number): EndpointHold | undefined {
     // Nobody can tell how soon it is warm.
     if (!this.#admitsCold(endpoint, now)) return { reason: 'cold', until: now }
-    const pauseUntil = endpoint.requestedPause.heldUntil(endpoint.sends.newest(1), now)
+    const pauseUntil = endpoint.requestedPause.pausedUntil(endpoint.sends.newest(1), now)
     if (pauseUntil !== undefined) return { reason: 'asked-to-pause', until: pauseUntil }
-    const until = this.rateShare.heldUntil(endpoint, now)
+    const until = this.rateShare.heldBackUntil(endpoint, now)
     return until === undefined ? undefined : { reason: 'rate-limited', until }
   }
 
@@ -113,7 +113,7 @@
     if (instance === undefined ? status === MISDIRECTED : instance !== endpoint.id) return
     if (isLeaving) this.#takeLeaving(endpoint)
     if (endpoint.rateLimit.observeAnswer(requestsPerSecond, now)) this.#logRateLimit(endpoint, now)
-    if (status !== UNAVAILABLE) endpoint.requestedPause.accept(now)
+    if (status !== UNAVAILABLE) endpoint.requestedPause.recordAccepted(now)
     else if (retryAfterMs !== undefined) this.#takePause(endpoint, retryAfterMs, now)
   }
 
@@ -133,7 +133,7 @@
    * @param now - monotonic milliseconds
    */
   noteSend (endpoint: EndpointState, now: number): void {
-    if (endpoint.requestedPause.isUnderWay(now)) this.#sentDespitePause.count(endpoint.listed.service)
+    if (endpoint.requestedPause.isActive(now)) this.#sentDespitePause.count(endpoint.listed.service)
     if (endpoint.rateLimit.requestsPerSecond !== undefined) this.#sentDespiteLimit.count(endpoint.listed.service)
   }
 
@@ -144,7 +144,7 @@
   }
 
   #takePause (endpoint: EndpointState, pauseMs: number, now: number): void {
-    if (!endpoint.requestedPause.request(pauseMs, now)) return
+    if (!endpoint.requestedPause.extend(pauseMs, now)) return
     this.telemetry.stateChanged('endpoint-asked-to-pause', {
       endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - LATELY_MS)
     })
@@ -167,7 +167,7 @@
   }
 
   #countPausing (now: number): number {
-    return this.endpoints().filter(endpoint => endpoint.requestedPause.isUnderWay(now)).length
+    return this.endpoints().filter(endpoint => endpoint.requestedPause.isActive(now)).length
   }
 
   #countCold (now: number): number {
--- a/apps/entry/src/lib/routed/PlacementWaits.ts
+++ b/apps/entry/src/lib/routed/PlacementWaits.ts
@@ -1,5 +1,5 @@
 /** Waits of one request for an endpoint that can take it: for memory, or until one is not held back from this host any more. */
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { RoutedRequest } from './RoutedRequest.js'
 
--- a/apps/entry/src/lib/routed/PromptContext.test.ts
+++ b/apps/entry/src/lib/routed/PromptContext.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { NOTHING_TO_READ } from '@eelgrassmux/routing/endpoints/promptReading'
+import { EMPTY_PREFILL_PLAN } from '@eelgrassmux/routing/endpoints/prefillPlan'
 import type { ReplicatedService, Route, StoreService } from '@eelgrassmux/schema/site/siteSchema'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { PromptContext } from './PromptContext.js'
@@ -29,7 +29,7 @@
 function choice (partsFromStores: number): EndpointChoice {
   const endpoint = new EndpointState({ id: 'e', service: 'pool', address: '10.0.0.1:1', dataCentre: 'north', slots: 8, isLeaving: false, isBusy: false, models: [] })
   return {
-    endpoint, version: 1, reading: { ...NOTHING_TO_READ, partsFromStores }, tokensHeld: 0, estimatedMs: 0, costMs: 0, waitMs: 0, memoryWaitMs: 0, workMs: 0, memoryShare: 0, load: { tokensToRead: 0, tokensAhead: 0, requests: 0 }
+    endpoint, version: 1, prefill: { ...EMPTY_PREFILL_PLAN, partsFromStores }, tokensHeld: 0, estimatedMs: 0, costMs: 0, waitMs: 0, memoryWaitMs: 0, workMs: 0, memoryShare: 0, load: { tokensToRead: 0, tokensAhead: 0, requests: 0 }
   }
 }
 
--- a/apps/entry/src/lib/routed/PromptContext.ts
+++ b/apps/entry/src/lib/routed/PromptContext.ts
@@ -1,5 +1,5 @@
 /** What concerns the prompt of one routed request: where its parts are kept, and what is asked of engines and stores. */
-import type { EndpointChoice, PromptAsk } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, PromptQuery } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { cacheScope } from '@eelgrassmux/routing/prompts/cacheScope'
 import type { PromptDescription, PromptPart } from '@eelgrassmux/routing/prompts/promptDescription'
 import type { StorePlan } from '@eelgrassmux/routing/stores/StoredPartsIndex'
@@ -44,14 +44,14 @@
    *
    * @param requiredVersion - set when the request must go on under the weights it began with
    */
-  ask (requiredVersion: number | undefined): { readonly prompt: PromptAsk } {
+  ask (requiredVersion: number | undefined): { readonly prompt: PromptQuery } {
     const { route, service, arrivedAt } = this.request
     return {
       prompt: {
         description: this.description,
         desiredVersion: this.ports.desiredVersion(this.description.model),
-        leftToObjectiveMs: arrivedAt + route.targetLatencyMs - performance.now(),
-        leftMsOn: version => this.ports.leftMsOn(this.description.model, version),
+        objectiveRemainingMs: arrivedAt + route.targetLatencyMs - performance.now(),
+        remainingMsOn: version => this.ports.leftMsOn(this.description.model, version),
         requiredVersion,
         engine: this.ports.fleet.engineModel(service.name),
         memoryTokens: this.engine.cacheTokens,
@@ -88,7 +88,7 @@
     if (clockMs === undefined) return { fetches: [], saves, fetchUntilMs: undefined }
     // A request that has waited needs its fetch all the more: without it the engine reads
     // the whole prompt, its queue grows, and the fetches of all others come too late as well.
-    const fetches = this.#eachPart(index => index < choice.reading.partsFromStores ? plan.fetches[index]?.address : undefined)
+    const fetches = this.#eachPart(index => index < choice.prefill.partsFromStores ? plan.fetches[index]?.address : undefined)
     return { fetches, saves, fetchUntilMs: clockMs + deadline - now }
   }
 
--- a/apps/entry/src/lib/routed/RepeatReservation.ts
+++ b/apps/entry/src/lib/routed/RepeatReservation.ts
@@ -1,5 +1,5 @@
 /** Whether a request may be sent once more, within its route and the budget that all hosts share. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { AttemptRecord } from './AttemptRecord.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
--- a/apps/entry/src/lib/routed/RequestPlacement.ts
+++ b/apps/entry/src/lib/routed/RequestPlacement.ts
@@ -1,5 +1,5 @@
 /** Which endpoint one request goes to next, and whether it is sent there. */
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { admitRouted, type RoutedAdmission } from './admitRouted.js'
 import type { AnswerTimes } from './AnswerTimes.js'
 import { isHeldBack } from './PlacementWaits.js'
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -1,16 +1,16 @@
 /** One send of a routed request to one endpoint, from its connection to the end of the answer. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { CancelRequest, EndpointConnection, EndpointRequest } from './EndpointConnection.js'
 import type { EndpointConnections } from './EndpointConnections.js'
-import type { AnswerFields, RequestCodec } from './RequestCodec.js'
+import type { ResponseFields, RequestCodec } from './RequestCodec.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 
 /** An answer's head, read. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: readonly string[]
-  readonly fields: AnswerFields
+  readonly fields: ResponseFields
 }
 
 /** Told of the answer; after `failed` or `complete` nothing more comes. */
@@ -62,8 +62,8 @@
 
   /** @param request - what to send */
   send (request: EndpointRequest): void {
-    this.choice.endpoint.begin(this.choice.reading.tokensToRead, this.choice.tokensHeld, performance.now())
-    this.fleet.storeLinks.begin(this.choice.reading.transfers)
+    this.choice.endpoint.beginRequest(this.choice.prefill.tokensToRead, this.choice.tokensHeld, performance.now())
+    this.fleet.storeLinks.beginTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('sent')
     this.#cancel = this.connection.send(request, {
       sending: () => {
@@ -89,7 +89,7 @@
   #end (): void {
     this.#hasCrashed = true
     this.#endReading()
-    this.choice.endpoint.end(this.choice.tokensHeld)
+    this.choice.endpoint.endRequest(this.choice.tokensHeld)
     this.fleet.noteWork('eased')
   }
 
@@ -97,15 +97,15 @@
   #endReading (): void {
     if (!this.#isReading) return
     this.#isReading = false
-    this.choice.endpoint.firstEvent(this.choice.reading.tokensToRead)
-    this.fleet.storeLinks.end(this.choice.reading.transfers)
+    this.choice.endpoint.recordFirstEvent(this.choice.prefill.tokensToRead)
+    this.fleet.storeLinks.endTransfers(this.choice.prefill.transfers)
     this.fleet.noteWork('eased')
   }
 
   #onHead (status: number, headers: string[], resume: () => void): void {
     if (this.#hasCrashed) return
     this.choice.endpoint.observeBytes(performance.now())
-    const fields = this.codec.readAnswer(status, headers)
+    const fields = this.codec.readResponseHeaders(status, headers)
     if (fields.requestId !== undefined && fields.requestId !== this.requestId) {
       // An extra answer to an earlier request: what follows on this connection can't be trusted.
       this.#fail('lost', `the answer bears the id ${fields.requestId}`)
--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { NO_WORK } from '@eelgrassmux/routing/load/loadReport'
+import { NO_ENDPOINT_LOAD } from '@eelgrassmux/routing/load/loadReport'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { RoutedFleet } from './RoutedFleet.js'
@@ -29,21 +29,21 @@
       const connections = fleet.connectionsTo(former)
       const now = performance.now()
       fleet.memory.recordSend('v1', PARTS, former.incarnation, now)
-      fleet.others.sent(1, { work: [], links: [] })
-      fleet.others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
+      fleet.otherHostsLoad.recordOwnReport(1, { work: [], links: [] })
+      fleet.otherHostsLoad.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
       fleet.update([listed(2000)])
       const [present] = fleet.endpointsOf('pool')
       if (present === undefined) throw new Error('no endpoint')
       expect(fleet.connectionsTo(present)).not.toBe(connections)
       expect(fleet.memory.holders('v1', PARTS, now).tokensAt(present.incarnation)).toBe(0)
-      expect(fleet.others.at(present.incarnation)).toEqual(NO_WORK)
+      expect(fleet.otherHostsLoad.forEndpoint(present.incarnation)).toEqual(NO_ENDPOINT_LOAD)
     })
 
     it('tells of its own work at the present incarnation only', () => {
       const { fleet, incarnations: [former, present] } = fleetAfter(1000, 2000)
-      former?.begin(10, 10, 0)
+      former?.beginRequest(10, 10, 0)
       expect(fleet.ownWork()).toEqual({ work: [], links: [] })
-      present?.begin(20, 30, 0)
+      present?.beginRequest(20, 30, 0)
       expect(fleet.ownWork().work).toMatchObject([{ endpoint: present?.incarnation, inFlight: 1, pendingTokens: 20, heldTokens: 30 }])
     })
   })
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -1,18 +1,18 @@
 /** Endpoints of routed requests: what is known of each, and this host's connections to it. */
 import { chooseEndpoint } from '@eelgrassmux/routing/endpoints/chooseEndpoint'
-import { ColdAllowance } from '@eelgrassmux/routing/endpoints/ColdAllowance'
-import { RateShare } from '@eelgrassmux/routing/endpoints/RateShare'
-import type { EndpointAsk, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
+import { SharedRateLimiter } from '@eelgrassmux/routing/endpoints/SharedRateLimiter'
+import type { EndpointQuery, EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { EngineModel } from '@eelgrassmux/routing/endpoints/EngineModel'
 import { isUnresponsive } from '@eelgrassmux/routing/endpoints/sharedObservations'
 import { EndpointPool } from '@eelgrassmux/routing/endpoints/EndpointPool'
 import type { Slowness } from '@eelgrassmux/routing/endpoints/Slowness'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
-import { EjectionWatch, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionWatch'
-import type { HostWork, OthersWork } from '@eelgrassmux/routing/load/OthersWork'
+import { EjectionTracker, type EjectionChange } from '@eelgrassmux/routing/endpoints/EjectionTracker'
+import type { HostLoad, PeerLoad } from '@eelgrassmux/routing/load/PeerLoad'
 import { composeMechanisms, type RoutingMechanisms } from '@eelgrassmux/routing/mechanisms/mechanisms'
-import { PromptMemory } from '@eelgrassmux/routing/prompts/PromptMemory'
-import type { LinkChange } from '@eelgrassmux/routing/stores/LinkSpeeds'
+import { PromptResidencyTracker } from '@eelgrassmux/routing/prompts/PromptResidencyTracker'
+import type { LinkSpeedChange } from '@eelgrassmux/routing/stores/LinkSpeeds'
 import type { StoreLinks } from '@eelgrassmux/routing/stores/StoreLinks'
 import { StoredPartsIndex } from '@eelgrassmux/routing/stores/StoredPartsIndex'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
@@ -49,16 +49,16 @@
 /** Follows the list, chooses endpoints and keeps connections to them. */
 export class RoutedFleet {
   readonly #pool: EndpointPool
-  readonly memory = new PromptMemory()
+  readonly memory = new PromptResidencyTracker()
   readonly limits: EndpointLimits
-  readonly others: OthersWork
+  readonly otherHostsLoad: PeerLoad
   readonly storedParts = new StoredPartsIndex()
   readonly storeLinks: StoreLinks
   readonly #connections = new Map<string, EndpointConnections>()
   readonly #routes = new Map<string, Slowness>()
   readonly #engines = new Map<string, EngineModel>()
   readonly #opened: LabelledCounter
-  readonly #ejections = new EjectionWatch()
+  readonly #ejections = new EjectionTracker()
   readonly #estimateError: (milliseconds: number) => void
   #workListener: (change: WorkChange) => void = () => {}
   #ejectionsLookedAt = Number.NEGATIVE_INFINITY
@@ -77,10 +77,10 @@
     readonly mechanisms: RoutingMechanisms = composeMechanisms(),
     host = ''
   ) {
-    this.#pool = new EndpointPool(mechanisms.slowness)
-    this.limits = new EndpointLimits(new ColdAllowance(host, liveHosts), new RateShare(host, liveHosts), () => this.#pool.all, telemetry)
-    this.others = mechanisms.others
-    this.storeLinks = mechanisms.storeLinks(liveHosts)
+    this.#pool = new EndpointPool(mechanisms.createSlownessEstimator)
+    this.limits = new EndpointLimits(new ColdEndpointLimiter(host, liveHosts), new SharedRateLimiter(host, liveHosts), () => this.#pool.all, telemetry)
+    this.otherHostsLoad = mechanisms.peerLoad
+    this.storeLinks = mechanisms.createStoreLinks(liveHosts)
     this.#opened = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
     this.#estimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS)
     telemetry.gauge('endpoints_known', 'Endpoints that the platform lists', () => this.#pool.all.length)
@@ -99,7 +99,7 @@
   routeSlowness (route: string): Slowness {
     const present = this.#routes.get(route)
     if (present !== undefined) return present
-    const fresh = this.mechanisms.slowness()
+    const fresh = this.mechanisms.createSlownessEstimator()
     this.#routes.set(route, fresh)
     return fresh
   }
@@ -111,7 +111,7 @@
   engineModel (service: string): EngineModel {
     const present = this.#engines.get(service)
     if (present !== undefined) return present
-    const fresh = this.mechanisms.engineModel()
+    const fresh = this.mechanisms.createEngineModel()
     this.#engines.set(service, fresh)
     return fresh
   }
@@ -127,9 +127,9 @@
   }
 
   /** Whether the work of other hosts is known, so that estimates may decide about refusals. */
-  get isLoadKnown (): boolean { return this.others.isRecent(performance.now()) }
+  get isLoadKnown (): boolean { return this.otherHostsLoad.isRecent(performance.now()) }
   /** Whether any endpoint is known. */
-  get isKnown (): boolean { return this.#pool.all.length > 0 }
+  get hasEndpoints (): boolean { return this.#pool.all.length > 0 }
 
   /** @param listed - the platform's list as last read */
   update (listed: readonly ListedEndpoint[]): void {
@@ -147,27 +147,27 @@
   }
 
   /** Notes what other hosts have told since the last time; call when it was heard. */
-  noteObservations (): void {
+  applyObservations (): void {
     const now = performance.now()
-    for (const change of this.storeLinks.observeOthers(this.others.links, now)) this.#logLink(change)
+    for (const change of this.storeLinks.observePeers(this.otherHostsLoad.links, now)) this.#logLink(change)
     this.#noteLimits(now)
     if (now - this.#ejectionsLookedAt < EJECTION_LOOK_MS) return
     this.#ejectionsLookedAt = now
     for (const service of this.#pool.services) {
-      for (const change of this.#ejections.look(this.#pool.ofService(service), this.others, now)) this.#logEjection(change)
+      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
     }
   }
 
   #noteLimits (now: number): void {
-    if (this.others.limits.length === 0) return
-    const stated = new Map(this.others.limits.map(limit => [limit.endpoint, limit]))
+    if (this.otherHostsLoad.limits.length === 0) return
+    const stated = new Map(this.otherHostsLoad.limits.map(limit => [limit.endpoint, limit]))
     for (const endpoint of this.#pool.all) {
       const statement = stated.get(endpoint.incarnation)
       if (statement !== undefined) this.limits.observeStatement(endpoint, statement, now)
     }
   }
 
-  #logLink ({ link, isSlow, slowerBy, samples }: LinkChange): void {
+  #logLink ({ link, isSlow, slowerBy, samples }: LinkSpeedChange): void {
     this.telemetry.stateChanged(isSlow ? 'store-link-slow' : 'store-link-sound', {
       link, slowerBy: Number(slowerBy.toFixed(2)), samples: Number(samples.toFixed(1))
     })
@@ -202,9 +202,9 @@
    * @param service - service name
    * @param ask - what is asked
    */
-  choose (service: string, ask: Pick<EndpointAsk, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
+  choose (service: string, ask: Pick<EndpointQuery, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
-    const others = this.others.isRecent(now) ? this.others : undefined
+    const others = this.otherHostsLoad.isRecent(now) ? this.otherHostsLoad : undefined
     const hasConnection = (endpoint: EndpointState): boolean => this.#connections.get(endpoint.incarnation)?.hasIdle === true
     return chooseEndpoint(this.#pool.ofService(service), {
       ...ask,
@@ -212,7 +212,7 @@
       others,
       hasConnection,
       evacuated: this.limits.evacuated,
-      holdBack: endpoint => this.limits.hold(endpoint, now)?.reason,
+      holdBackReason: endpoint => this.limits.hold(endpoint, now)?.reason,
       homeEndpoint: this.mechanisms.homeEndpoint
     }, this.memory, now, Math.random())
   }
@@ -232,11 +232,11 @@
    */
   isSilent (endpoint: EndpointState): boolean {
     const now = performance.now()
-    return endpoint.isSilent(now) || (this.others.isRecent(now) && isUnresponsive(endpoint, this.others.at(endpoint.incarnation), now))
+    return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.forEndpoint(endpoint.incarnation), now))
   }
 
   /** @param listener - told of each change of this host's work at endpoints */
-  onWork (listener: (change: WorkChange) => void): void {
+  onWorkChange (listener: (change: WorkChange) => void): void {
     this.#workListener = listener
   }
 
@@ -246,15 +246,15 @@
   }
 
   /** @returns this host's work at each endpoint that has any, or of which there is something to tell, and on links */
-  ownWork (): HostWork {
+  ownWork (): HostLoad {
     const now = performance.now()
-    const work = this.#pool.all.filter(endpoint => endpoint.hasWork(now))
+    const work = this.#pool.all.filter(endpoint => endpoint.hasAnythingToReport(now))
       .map(endpoint => ({ endpoint: endpoint.incarnation, ...endpoint.work(now) }))
       .filter(({ inFlight, avoiders, outcomes }) => inFlight > 0 || avoiders > 0 || outcomes >= LEAST_REPORTED_OUTCOMES)
-    return { work, links: this.storeLinks.ownWork(now), ...this.#ownLimits(now) }
+    return { work, links: this.storeLinks.localLoad(now), ...this.#ownLimits(now) }
   }
 
-  #ownLimits (now: number): Pick<HostWork, 'limits'> {
+  #ownLimits (now: number): Pick<HostLoad, 'limits'> {
     const limits = this.#pool.all.flatMap(endpoint => {
       const statement = endpoint.rateLimit.statement(now)
       return statement === undefined ? [] : [{ endpoint: endpoint.incarnation, ...statement }]
@@ -295,7 +295,7 @@
     const peersShare = peers.reduce((sum, peer) => sum + peer.health.failureShare, 0) / Math.max(1, peers.length)
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
     // A connection to a host that is gone without a word would take one more request with it.
-    if (endpoint.health.isOutOfReach(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
+    if (endpoint.health.isUnreachable(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
     this.telemetry.stateChanged('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
     })
--- a/apps/entry/src/lib/routed/RoutedRequest.ts
+++ b/apps/entry/src/lib/routed/RoutedRequest.ts
@@ -4,7 +4,7 @@
 import type { RetryAllowance } from '@eelgrassmux/routing/attempts/RetryAllowance'
 import type { ReplicatedService, Route, SiteCustomer } from '@eelgrassmux/schema/site/siteSchema'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { RequestQuarantine } from '../quarantine/RequestQuarantine.js'
 import type { PromptPorts } from './PromptPorts.js'
 import type { CallerFields, RequestCodec } from './RequestCodec.js'
@@ -34,7 +34,7 @@
   readonly refusals: LabelledCounter
   readonly firstEvent: (milliseconds: number) => void
   readonly telemetry: Telemetry
-  readonly stop: PlannedStop
+  readonly stop: GracefulShutdown
   readonly durations: RouteDurations
   readonly quarantine: RequestQuarantine
   /** Looks at requests whose endpoints may fall silent. */
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -3,8 +3,8 @@
  * on, and goes on elsewhere where that is allowed. The bytes of request and
  * answer are not looked into, but for the numbers of a resumable stream's events.
  */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
-import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
+import type { EndpointChoice, NoEndpointReason } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import { refuse, type RefusalReason } from '@eelgrassmux/schema/Refusal'
 import type { DecisionEvent, DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { stopDecisions } from '@eelgrassmux/telemetry/events/stopDecisions'
@@ -168,7 +168,7 @@
    * known. It takes an endpoint, with all that runs there, each time.
    */
   #isQuarantineRejection (): boolean {
-    const held = this.#guard.heldBack(performance.now())
+    const held = this.#guard.rejection(performance.now())
     if (held !== undefined) this.#refuse('request-quarantined', 503, held.detail, held.forMs)
     return held !== undefined
   }
@@ -301,7 +301,7 @@
   /** A request that no other endpoint takes stays where it is: silence alone is no reason to end an answer. */
   #openStandby (): RoutedAttempt | undefined {
     const now = performance.now()
-    if (this.#guard.heldBack(now) !== undefined || now < this.#placement.tried.askAgainAt) return undefined
+    if (this.#guard.rejection(now) !== undefined || now < this.#placement.tried.askAgainAt) return undefined
     const choice = this.#placement.choose()
     if (typeof choice === 'string') {
       if (this.#hasBegun) this.#placement.tried.allowAgain(this.#attempt?.choice.endpoint.id)
--- a/apps/entry/src/lib/routed/admitRouted.ts
+++ b/apps/entry/src/lib/routed/admitRouted.ts
@@ -1,6 +1,6 @@
 /** Whether a routed request is sent to the endpoint chosen for it, waits, or is refused. */
 import { admitStream } from '@eelgrassmux/routing/admission/admitStream'
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { PromptContext } from './PromptContext.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
 
@@ -41,12 +41,12 @@
     remainingMs: state.deadline - now,
     ownMemoryShare: state.prompt?.memoryShareOf(choice) ?? 0,
     memoryShare: choice.memoryShare,
-    tokensToRead: choice.reading.tokensToRead,
+    tokensToRead: choice.prefill.tokensToRead,
     tokensAhead: choice.load.tokensAhead
   }, fleet.mechanisms.admission)
   if (admission.kind !== 'refuse') return admission
   const detail = admission.cause === 'engine-memory'
     ? `no engine has memory for ${Math.round(choice.tokensHeld)} tokens: the best, ${choice.endpoint.id}, would be ${Math.round(choice.memoryShare * 100)}% full`
     : `the first event would take ${Math.round(expectedMs)} ms at the best engine, ${choice.endpoint.id}`
-  return { kind: 'refuse', detail, returnAfterMs: admission.returnAfterMs }
+  return { kind: 'refuse', detail, returnAfterMs: admission.retryAfterMs }
 }
--- a/apps/entry/src/lib/routed/describePlacement.ts
+++ b/apps/entry/src/lib/routed/describePlacement.ts
@@ -1,5 +1,5 @@
 /** What decided where a request went, for its line. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { DecisionFields } from '@eelgrassmux/telemetry/events/eventFields'
 import type { PromptContext } from './PromptContext.js'
 import type { RoutedRequest } from './RoutedRequest.js'
@@ -13,7 +13,7 @@
 export function describePlacement (
   choice: EndpointChoice, request: RoutedRequest, prompt: PromptContext | undefined, firstEventMs: number | undefined
 ): Omit<DecisionFields<'answered'>, 'status' | 'endpoint'> {
-  const { estimatedMs, waitMs, reading, version } = choice
+  const { estimatedMs, waitMs, prefill: reading, version } = choice
   return {
     estimatedMs: Math.round(estimatedMs),
     waitMs: Math.round(waitMs),
--- a/apps/entry/src/lib/routed/endpointFields.ts
+++ b/apps/entry/src/lib/routed/endpointFields.ts
@@ -1,5 +1,5 @@
 /** What an endpoint is told with a request. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { PromptContext } from './PromptContext.js'
 import type { EndpointFields } from './RequestCodec.js'
 import type { RoutedPorts, RoutedRequest } from './RoutedRequest.js'
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -4,14 +4,14 @@
  * Hosts exchange their work as in service: through the bytes of load reports, with the host that adds up.
  */
 import { vi } from 'vitest'
-import { LoadBoard, type Totals } from '@eelgrassmux/routing/load/LoadBoard'
+import { LoadAggregator, type AggregatedLoad } from '@eelgrassmux/routing/load/LoadAggregator'
 import { decodeLoadReport, decodeLoadTotals, encodeLoadReport, encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { LoadTotals } from '@eelgrassmux/routing/load/loadReport'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { AnswerHead } from '../RoutedAttempt.js'
-import type { AnswerFields } from '../RequestCodec.js'
+import type { ResponseFields } from '../RequestCodec.js'
 import { learnFromFailure } from '../learnFromFailure.js'
 import { RoutedFleet } from '../RoutedFleet.js'
 
@@ -28,7 +28,7 @@
 const SERVICE = 'pool'
 
 /** What an endpoint says in its answers; they are whole unless it says otherwise. */
-export interface Statement extends Partial<Pick<AnswerFields, 'requestsPerSecond'>> {
+export interface Statement extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
   /** It rejects what comes and wants nothing more from that host for so long; 0 if it asks for no pause. */
   readonly rejectsForMs?: number
 }
@@ -66,12 +66,12 @@
 /** Hosts, endpoints and the requests between them. */
 export class HostsSimulation {
   readonly #hosts: readonly Host[]
-  readonly #board = new LoadBoard()
+  readonly #board = new LoadAggregator()
   readonly #arrivals = new Map<string, Arrival[]>()
   readonly #statements = new Map<string, Statement>()
   readonly #requestsPerSecond: number
   #pending: PendingAnswer[] = []
-  #readTotals: { readonly totals: Totals, readonly read: LoadTotals } | undefined
+  #readTotals: { readonly totals: AggregatedLoad, readonly read: LoadTotals } | undefined
   /** Requests for which no endpoint was to be had. */
   unplaced = 0
   /** Requests that an endpoint has rejected. */
@@ -137,7 +137,7 @@
       return
     }
     const { endpoint } = choice
-    endpoint.begin(0, 0, now)
+    endpoint.beginRequest(0, 0, now)
     this.#arrivalsOf(endpoint.id).push({ host: host.name, at: now })
     this.#pending.push({ host, endpoint, sentAt: now, hasHead: false, hasEnded: false })
   }
@@ -164,13 +164,13 @@
     host.fleet.limits.observeAnswer(endpoint, head, now)
     if (!head.fields.isNotExecuted) return
     learnFromFailure(host.fleet, endpoint, 'rejected', head)
-    endpoint.end(0)
+    endpoint.endRequest(0)
     pending.hasEnded = true
     this.rejected += 1
   }
 
   #end (pending: PendingAnswer): void {
-    pending.endpoint.end(0)
+    pending.endpoint.endRequest(0)
     pending.host.fleet.observe(pending.endpoint, 'success')
     pending.hasEnded = true
   }
@@ -180,15 +180,15 @@
     host.exchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
-    host.fleet.others.sent(host.sequence, own)
+    host.fleet.otherHostsLoad.recordOwnReport(host.sequence, own)
     this.#board.observe(decodeLoadReport(encodeLoadReport({ host: host.name, sequence: host.sequence, ...own })), now)
     const totals = this.#board.totals(now)
     const sequence = totals.sequences.get(host.name)
     if (sequence === undefined) return
     // Read once for all hosts, whatever their sequence.
     if (this.#readTotals?.totals !== totals) this.#readTotals = { totals, read: decodeLoadTotals(frameLoadTotals(0, encodeLoadTotals(totals))) }
-    host.fleet.others.answered({ ...this.#readTotals.read, sequence }, now)
-    host.fleet.noteObservations()
+    host.fleet.otherHostsLoad.recordTotals({ ...this.#readTotals.read, sequence }, now)
+    host.fleet.applyObservations()
   }
 }
 
--- a/apps/entry/src/lib/routed/learnFromFailure.ts
+++ b/apps/entry/src/lib/routed/learnFromFailure.ts
@@ -1,5 +1,5 @@
 /** What a failed attempt says of its endpoint. */
-import type { AttemptFailure } from '@eelgrassmux/routing/attempts/nextStep'
+import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { AnswerHead } from './RoutedAttempt.js'
--- a/apps/entry/src/lib/routed/learnFromFirstEvent.ts
+++ b/apps/entry/src/lib/routed/learnFromFirstEvent.ts
@@ -1,5 +1,5 @@
 /** What the time to a first event says of the endpoint, of the link that its prompt came over, and of the route. */
-import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointAsk'
+import type { EndpointChoice } from '@eelgrassmux/routing/endpoints/endpointQuery'
 import type { RoutedAttempt } from './RoutedAttempt.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 import type { RoutedRequest } from './RoutedRequest.js'
@@ -18,7 +18,7 @@
 export function learnFromFirstEvent (fleet: RoutedFleet, { route, service }: RoutedRequest, { choice, startedAt }: RoutedAttempt): void {
   const now = performance.now()
   const actualMs = now - startedAt
-  const { endpoint, reading, workMs, estimatedMs, memoryWaitMs } = choice
+  const { endpoint, prefill: reading, workMs, estimatedMs, memoryWaitMs } = choice
   fleet.noteEstimate(estimatedMs, actualMs)
   learnOfLink(fleet, choice, actualMs, now)
   if (reading.fetchMs > workMs * FETCHING_SHARE) return
@@ -28,7 +28,7 @@
 }
 
 /** What requests without a fetch have shown of the engine is not the link's fault. */
-function learnOfLink (fleet: RoutedFleet, { endpoint, reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
+function learnOfLink (fleet: RoutedFleet, { endpoint, prefill: reading, workMs }: EndpointChoice, actualMs: number, now: number): void {
   const { slowest, fetchMs } = reading
   if (slowest === undefined) return
   const { transfer: { store, dataCentre }, doublings } = slowest
--- a/apps/entry/src/lib/routed/learnFromHead.ts
+++ b/apps/entry/src/lib/routed/learnFromHead.ts
@@ -10,5 +10,5 @@
  */
 export function learnFromHead (endpoint: EndpointState, model: string | undefined, { fields }: AnswerHead, now: number): void {
   if (fields.load !== undefined) endpoint.observeLoad(fields.load, now)
-  if (model !== undefined && fields.version !== undefined) endpoint.learnVersion(model, fields.version)
+  if (model !== undefined && fields.version !== undefined) endpoint.recordVersion(model, fields.version)
 }
--- a/apps/entry/src/lib/runs/RunManager.ts
+++ b/apps/entry/src/lib/runs/RunManager.ts
@@ -6,7 +6,7 @@
 import { refuse, type Refusal } from '@eelgrassmux/schema/Refusal'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import { refuseWhileStopping } from '../callers/refuseWhileStopping.js'
-import type { PlannedStop } from '../PlannedStop.js'
+import type { GracefulShutdown } from '../GracefulShutdown.js'
 import type { CallGuard, CallQuarantine } from '../quarantine/CallQuarantine.js'
 import type { AdmissionGate } from './AdmissionGate.js'
 import { Run } from './Run.js'
@@ -58,7 +58,7 @@
     private readonly settings: RunManagerSettings,
     private readonly gate: AdmissionGate,
     private readonly work: WorkGate,
-    private readonly plannedStop: PlannedStop,
+    private readonly plannedStop: GracefulShutdown,
     private readonly quarantine: CallQuarantine,
     private readonly ports: Omit<RunPorts, 'budget' | 'guard'>
   ) {
--- a/apps/entry/src/lib/runs/RunTask.ts
+++ b/apps/entry/src/lib/runs/RunTask.ts
@@ -49,7 +49,7 @@
 
 /** Decides what is kept of a finished run. */
 export interface BlockExporter {
-  consider (run: FinishedRun): Promise<void>
+  exportIfWorthwhile (run: FinishedRun): Promise<void>
 }
 
 /** What a run needs from around it. */
@@ -60,7 +60,7 @@
   readonly importer: BlockImporter
   readonly exporter: BlockExporter
   /** Tells other hosts of a dispatch. */
-  announce (engine: string, tokens: number): void
+  announceDispatch (engine: string, tokens: number): void
   readonly budget: RetryBudget
   /** Tells whether this request ended engines before. */
   readonly guard: CallGuard
@@ -200,7 +200,7 @@
     const engine = this.ports.fleet.engine(name)
     if (engine === undefined) return { kind: 'retry', reason: 'connect-failed' }
     this.ports.fleet.loads.recordDispatch(name, placed.placement.recomputedTokens, this.ports.clock.now())
-    this.ports.announce(name, placed.placement.recomputedTokens)
+    this.ports.announceDispatch(name, placed.placement.recomputedTokens)
     const importId = await this.ports.importer.stage(engine, placed, this.#abort.signal)
     const engineRun = `${this.run.id}-a${this.#attempts}`
     const abort = new AbortController()
@@ -250,7 +250,7 @@
       this.ports.clock.sleep(hedgeAfterMs, timer.signal).then(() => !timer.signal.aborted)
     ])
     timer.abort()
-    if (!isLate || !this.ports.budget.tryRetry()) return primary
+    if (!isLate || !this.ports.budget.tryConsume()) return primary
     const ranked = await this.ports.placer.place({
       customer: this.request.customer,
       model: this.request.model,
@@ -352,7 +352,7 @@
     this.ports.promptTokens.count('reused', cachedTokens)
     this.ports.guard.noteWhole()
     this.run.finish({ kind: 'complete', finishReason: end.finishReason, promptTokens: end.promptTokens, cachedTokens })
-    void this.ports.exporter.consider({
+    void this.ports.exporter.exportIfWorthwhile({
       customer: this.request.customer,
       model: this.request.model,
       profile: this.request.profile,
@@ -369,7 +369,7 @@
     if (isSafe && this.#hasBegun) this.#patience.noteRefusal()
     const isWithinProfile = this.#attempts - this.#patience.refusals <= this.request.profile.retries
     // A refusal by a full or leaving engine costs nothing; only work that may be done twice spends the budget.
-    if (isWithinProfile && (isSafe || this.ports.budget.tryRetry())) {
+    if (isWithinProfile && (isSafe || this.ports.budget.tryConsume())) {
       this.ports.retries.count(reason)
       return true
     }
--- a/apps/soak/src/entry.ts
+++ b/apps/soak/src/entry.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod'
 import { runDaemon, type DaemonProgram } from '@eelgrassmux/daemon/runDaemon'
 import { booleanSetting } from '@eelgrassmux/daemon/settings'
-import { routedSettingsShape, startRouted } from '@eelgrassmux/entry/RoutedDaemon'
+import { routedSettingsShape, startRoutedDaemon } from '@eelgrassmux/entry/RoutedDaemon'
 import { SoakCodec } from './lib/SoakCodec.js'
 
 const settingsSchema = z.object({
@@ -14,10 +14,10 @@
   name: 'soak-entry',
   description: 'Takes the soak\'s requests and runs them on endpoints',
   settings: settingsSchema,
-  start: async (settings, telemetry) => await startRouted(settings, telemetry, {
+  start: async (settings, telemetry) => await startRoutedDaemon(settings, telemetry, {
     codec: new SoakCodec(settings.deaf),
     // Readiness is asked for on the admin port.
-    openEdges: async () => ({ close: async () => {} })
+    openPlatformServers: async () => ({ close: async () => {} })
   })
 }
 
--- a/packages/routing/src/lib/admission/admitStream.ts
+++ b/packages/routing/src/lib/admission/admitStream.ts
@@ -18,7 +18,7 @@
   | { readonly kind: 'send', readonly isExpectedLate: boolean }
   /** No engine has memory for it now; look again in a moment. */
   | { readonly kind: 'wait' }
-  | { readonly kind: 'refuse', readonly cause: 'engine-memory' | 'wait', readonly returnAfterMs: number }
+  | { readonly kind: 'refuse', readonly cause: 'engine-memory' | 'wait', readonly retryAfterMs: number }
 
 /** What is known of a stream and of the best engine for it. */
 export interface StreamSituation {
@@ -111,12 +111,12 @@
   // Alone on an engine it will never find more room than it has.
   const isAlone = memoryShare <= ownMemoryShare
   if (needsRoom && !isAlone) {
-    return waitedMs < route.targetLatencyMs ? { kind: 'wait' } : { kind: 'refuse', cause: 'engine-memory', returnAfterMs: route.targetLatencyMs }
+    return waitedMs < route.targetLatencyMs ? { kind: 'wait' } : { kind: 'refuse', cause: 'engine-memory', retryAfterMs: route.targetLatencyMs }
   }
   const isLongRead = situation.tokensToRead > LONG_READ && situation.tokensAhead > limits.tokensAhead
   if (isLongRead && firstEventMs < route.targetLatencyMs * READ_WAIT_SHARE) return { kind: 'wait' }
   if (isLate && isDeferred(situation, awaitedMs, limits)) return { kind: 'wait' }
-  if (estimatedMs > awaitedMs * DOUBT) return { kind: 'refuse', cause: 'wait', returnAfterMs: estimatedMs - awaitedMs / 2 }
+  if (estimatedMs > awaitedMs * DOUBT) return { kind: 'refuse', cause: 'wait', retryAfterMs: estimatedMs - awaitedMs / 2 }
   return { kind: 'send', isExpectedLate: isLate }
 }
 
--- a/packages/routing/src/lib/admission/returnAfter.ts
+++ b/packages/routing/src/lib/admission/retryAfter.ts
@@ -18,7 +18,7 @@
  * @param random - number in [0, 1) that spreads callers
  * @returns milliseconds after which to return
  */
-export function returnAfterMs (wantedMs: number, remainingMs: number, random: number): number {
+export function retryAfterMs (wantedMs: number, remainingMs: number, random: number): number {
   const honouredMs = Math.max(0, remainingMs) * HONOURED_SHARE
   const spreadMs = SPREAD_MS.least + random * (SPREAD_MS.most - SPREAD_MS.least)
   return Math.min(honouredMs, Math.max(wantedMs, 0) + spreadMs)
--- a/packages/routing/src/lib/attempts/attempts.test.ts
+++ b/packages/routing/src/lib/attempts/attempts.test.ts
@@ -1,50 +1,50 @@
 import { describe, expect, it } from 'vitest'
-import { nextStep, type AttemptSituation } from './nextStep.js'
+import { decideRetry, type AttemptSituation } from './decideRetry.js'
 import { RetryAllowance } from './RetryAllowance.js'
 
 function situation (overrides: Partial<AttemptSituation>): AttemptSituation {
-  return { kind: 'safe', isResumable: false, failure: 'lost', runs: 1, sends: 1, maximumRuns: 2, remainingMs: 500, hasBegun: false, ...overrides }
+  return { kind: 'safe', isResumable: false, failure: 'lost', runs: 1, sends: 1, maxRuns: 2, remainingMs: 500, hasPartialAnswer: false, ...overrides }
 }
 
 describe('nextStep', () => {
   describe('a request that may run once', () => {
     it.each(['unsafe', 'stream'] as const)('is never repeated after it may have run (%s)', kind => {
       for (const failure of ['lost', 'failed', 'broken-stream'] as const) {
-        expect(nextStep(situation({ kind, failure }))).toEqual({ kind: 'give-up' })
+        expect(decideRetry(situation({ kind, failure }))).toEqual({ kind: 'give-up' })
       }
     })
 
     it.each(['unsafe', 'stream'] as const)('goes on when it certainly did not run (%s)', kind => {
       for (const failure of ['rejected', 'misdirected'] as const) {
-        expect(nextStep(situation({ kind, failure, runs: 0, maximumRuns: 1 }))).toEqual({ kind: 'repeat', spendsBudget: true })
+        expect(decideRetry(situation({ kind, failure, runs: 0, maxRuns: 1 }))).toEqual({ kind: 'repeat', spendsBudget: true })
       }
     })
   })
 
   describe('a request that may run again', () => {
     it('is repeated under the budget, up to the operator\'s number of runs', () => {
-      expect(nextStep(situation({}))).toEqual({ kind: 'repeat', spendsBudget: true })
-      expect(nextStep(situation({ runs: 2 }))).toEqual({ kind: 'give-up' })
+      expect(decideRetry(situation({}))).toEqual({ kind: 'repeat', spendsBudget: true })
+      expect(decideRetry(situation({ runs: 2 }))).toEqual({ kind: 'give-up' })
     })
 
     it('includes streams that may be resumed', () => {
-      expect(nextStep(situation({ kind: 'stream', isResumable: true, failure: 'broken-stream' })).kind).toBe('repeat')
+      expect(decideRetry(situation({ kind: 'stream', isResumable: true, failure: 'broken-stream' })).kind).toBe('repeat')
     })
   })
 
   it('spends no budget where no byte was sent', () => {
-    expect(nextStep(situation({ kind: 'unsafe', failure: 'not-connected', runs: 0 }))).toEqual({ kind: 'repeat', spendsBudget: false })
+    expect(decideRetry(situation({ kind: 'unsafe', failure: 'not-connected', runs: 0 }))).toEqual({ kind: 'repeat', spendsBudget: false })
   })
 
   it('gives up when no time is left or the whole service is full', () => {
-    expect(nextStep(situation({ remainingMs: 5 })).kind).toBe('give-up')
-    expect(nextStep(situation({ failure: 'rejected', sends: 4 })).kind).toBe('give-up')
+    expect(decideRetry(situation({ remainingMs: 5 })).kind).toBe('give-up')
+    expect(decideRetry(situation({ failure: 'rejected', sends: 4 })).kind).toBe('give-up')
   })
 
   it('asks more endpoints, but not without end, once the caller has part of the answer', () => {
     const begun = { kind: 'stream', isResumable: true, failure: 'rejected', hasBegun: true } as const
-    expect(nextStep(situation({ ...begun, sends: 9 })).kind).toBe('repeat')
-    expect(nextStep(situation({ ...begun, sends: 10 })).kind).toBe('give-up')
+    expect(decideRetry(situation({ ...begun, sends: 9 })).kind).toBe('repeat')
+    expect(decideRetry(situation({ ...begun, sends: 10 })).kind).toBe('give-up')
   })
 })
 
--- a/packages/routing/src/lib/attempts/nextStep.ts
+++ b/packages/routing/src/lib/attempts/decideRetry.ts
@@ -31,14 +31,14 @@
   /** Endpoints to which it was sent, this attempt included. */
   readonly sends: number
   /** Endpoints on which the operator lets one request run. */
-  readonly maximumRuns: number
+  readonly maxRuns: number
   readonly remainingMs: number
   /** Whether its caller has part of the answer. */
-  readonly hasBegun: boolean
+  readonly hasPartialAnswer: boolean
 }
 
 /** Whether a further attempt makes sense, and whether it counts against the shared budget. */
-export type NextStep =
+export type RetryDecision =
   | { readonly kind: 'give-up' }
   | { readonly kind: 'repeat', readonly spendsBudget: boolean }
 
@@ -55,8 +55,8 @@
  * @param situation - what is known
  * @returns what to do
  */
-export function nextStep (situation: AttemptSituation): NextStep {
-  const { failure, sends, runs, maximumRuns, remainingMs, hasBegun } = situation
+export function decideRetry (situation: AttemptSituation): RetryDecision {
+  const { failure, sends, runs, maxRuns: maximumRuns, remainingMs, hasPartialAnswer: hasBegun } = situation
   if (remainingMs < LEAST_REMAINING_MS || sends >= (hasBegun ? MAXIMUM_SENDS_ONCE_BEGUN : MAXIMUM_SENDS)) return { kind: 'give-up' }
   if (failure === 'not-connected') return { kind: 'repeat', spendsBudget: false }
   if (failure === 'rejected' || failure === 'misdirected') return { kind: 'repeat', spendsBudget: true }
--- a/packages/routing/src/lib/endpoints/ColdAllowance.ts
+++ b/packages/routing/src/lib/endpoints/ColdEndpointLimiter.ts
@@ -21,7 +21,7 @@
 export const COLD_WINDOW_MS = 1100
 
 /** Decides without any exchange. */
-export class ColdAllowance {
+export class ColdEndpointLimiter {
   /**
    * @param host - name of this host, unlike those of all others
    * @param liveHosts - entry hosts that may be alive, as of now
--- a/packages/routing/src/lib/endpoints/EjectionWatch.ts
+++ b/packages/routing/src/lib/endpoints/EjectionTracker.ts
@@ -1,6 +1,6 @@
 /** Notices when what all hosts have seen turns this host away from an endpoint, or back to it. */
-import type { OthersWork } from '../load/OthersWork.js'
-import type { WorkFigures } from '../load/loadReport.js'
+import type { PeerLoad } from '../load/PeerLoad.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 import { sharedFailureShare, ejectionReason, type EjectionReason } from './sharedObservations.js'
 
@@ -9,13 +9,13 @@
   readonly endpoint: EndpointState
   /** Undefined when the endpoint gets work again. */
   readonly reason: EjectionReason | undefined
-  readonly others: WorkFigures
+  readonly others: LoadFigures
   readonly failureShare: number
   readonly meanShare: number
 }
 
 /** Remembers which endpoints are ejected. */
-export class EjectionWatch {
+export class EjectionTracker {
   readonly #reasons = new Map<string, EjectionReason>()
 
   /**
@@ -26,9 +26,9 @@
    * @param now - monotonic milliseconds
    * @returns what has changed since the last look
    */
-  look (endpoints: readonly EndpointState[], others: OthersWork, now: number): EjectionChange[] {
+  detectChanges (endpoints: readonly EndpointState[], others: PeerLoad, now: number): EjectionChange[] {
     const observed = endpoints.map(endpoint => {
-      const figures = others.at(endpoint.incarnation)
+      const figures = others.forEndpoint(endpoint.incarnation)
       return { endpoint, others: figures, failureShare: sharedFailureShare(endpoint, figures, now) }
     })
     const meanShare = observed.reduce((sum, entry) => sum + entry.failureShare, 0) / Math.max(1, observed.length)
--- a/packages/routing/src/lib/endpoints/EndpointHealth.ts
+++ b/packages/routing/src/lib/endpoints/EndpointHealth.ts
@@ -63,7 +63,7 @@
    * @param now - monotonic milliseconds
    * @returns whether it pauses because it could not be reached or did not answer
    */
-  isOutOfReach (now: number): boolean {
+  isUnreachable (now: number): boolean {
     return this.#isOutOfReach && this.isPaused(now)
   }
 
--- a/packages/routing/src/lib/endpoints/EndpointState.ts
+++ b/packages/routing/src/lib/endpoints/EndpointState.ts
@@ -1,6 +1,6 @@
 /** What one entry host knows of one endpoint. */
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { LONG_AGO_MS, type WorkFigures } from '../load/loadReport.js'
+import { MAX_REPORTED_AGE_MS, type LoadFigures } from '../load/loadReport.js'
 import { EndpointHealth } from './EndpointHealth.js'
 import { incarnationName } from './incarnationName.js'
 import { RequestedPause } from './RequestedPause.js'
@@ -28,7 +28,7 @@
  * Time for which an endpoint that is back may be cold without the list saying so, in milliseconds: lists lag by up
  * to a second, and are read once a second.
  */
-export const RETURN_MS = 3000
+export const ASSUMED_COLD_MS = 3000
 
 /** Weight of the newest sample in the mean latency. */
 const LATENCY_SMOOTHING = 0.1
@@ -83,8 +83,8 @@
    * @param now - monotonic milliseconds
    * @returns whether there is anything to tell of it: most endpoints have nothing of this host most of the time
    */
-  hasWork (now: number): boolean {
-    return this.#inFlight > 0 || this.health.hasOutcomes || this.health.isOutOfReach(now)
+  hasAnythingToReport (now: number): boolean {
+    return this.#inFlight > 0 || this.health.hasOutcomes || this.health.isUnreachable(now)
   }
 
   /**
@@ -92,7 +92,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  work (now: number): WorkFigures {
+  work (now: number): LoadFigures {
     const { outcomes, failures } = this.health.recent(now)
     return {
       inFlight: this.#inFlight,
@@ -101,7 +101,7 @@
       lastByteAgoMs: this.lastByteAgoMs(now),
       waitedMs: this.waitedMs(now),
       unresponsive: 0,
-      avoiders: this.health.isOutOfReach(now) ? 1 : 0,
+      avoiders: this.health.isUnreachable(now) ? 1 : 0,
       outcomes,
       failures
     }
@@ -112,7 +112,7 @@
    * @returns milliseconds since any byte came from it to this host
    */
   lastByteAgoMs (now: number): number {
-    return Math.min(LONG_AGO_MS, now - this.#bytesAt)
+    return Math.min(MAX_REPORTED_AGE_MS, now - this.#bytesAt)
   }
 
   /**
@@ -120,7 +120,7 @@
    * @returns milliseconds for which it has had work of this host without a break
    */
   waitedMs (now: number): number {
-    return this.#inFlight === 0 ? 0 : Math.min(LONG_AGO_MS, now - this.#busySince)
+    return this.#inFlight === 0 ? 0 : Math.min(MAX_REPORTED_AGE_MS, now - this.#busySince)
   }
 
   /**
@@ -136,8 +136,8 @@
    *
    * @param now - monotonic milliseconds
    */
-  observeAbsence (now: number): void {
-    this.#mayBeColdUntil = now + RETURN_MS
+  markUnavailable (now: number): void {
+    this.#mayBeColdUntil = now + ASSUMED_COLD_MS
   }
 
   /** Mean time of a plain answer, once there was one, in milliseconds. */
@@ -171,7 +171,7 @@
    * @param model - model name
    * @param version - as stated
    */
-  learnVersion (model: string, version: number): void {
+  recordVersion (model: string, version: number): void {
     this.#versions.set(model, version)
   }
 
@@ -221,7 +221,7 @@
    * @param heldTokens - tokens that the request will hold in its memory
    * @param now - monotonic milliseconds
    */
-  begin (pendingTokens: number, heldTokens: number, now: number): void {
+  beginRequest (pendingTokens: number, heldTokens: number, now: number): void {
     if (this.#inFlight === 0) {
       this.#silentSince = now
       this.#busySince = now
@@ -249,7 +249,7 @@
   }
 
   /** @param pendingTokens - as given at the beginning */
-  firstEvent (pendingTokens: number): void {
+  recordFirstEvent (pendingTokens: number): void {
     this.#pendingTokens -= pendingTokens
   }
 
@@ -258,7 +258,7 @@
    *
    * @param heldTokens - as given at the beginning
    */
-  end (heldTokens: number): void {
+  endRequest (heldTokens: number): void {
     this.#inFlight -= 1
     this.#heldTokens -= heldTokens
   }
--- a/packages/routing/src/lib/endpoints/RequestedPause.ts
+++ b/packages/routing/src/lib/endpoints/RequestedPause.ts
@@ -15,7 +15,7 @@
    * @param now - monotonic milliseconds
    * @returns whether the endpoint wants nothing from this host now
    */
-  isUnderWay (now: number): boolean {
+  isActive (now: number): boolean {
     return now < this.#until
   }
 
@@ -26,15 +26,15 @@
    * @param now - monotonic milliseconds
    * @returns until when the endpoint gets nothing from this host, in monotonic milliseconds; undefined if it may get a request now
    */
-  heldUntil (lastSentAt: number, now: number): number | undefined {
-    if (this.isUnderWay(now)) return this.#until
+  pausedUntil (lastSentAt: number, now: number): number | undefined {
+    if (this.isActive(now)) return this.#until
     const isOnTrial = !this.#hasAcceptedSince && lastSentAt >= this.#until && now - lastSentAt < TRIAL_MS
     return isOnTrial ? now : undefined
   }
 
   /** @param now - monotonic milliseconds at which an answer came that is no rejection */
-  accept (now: number): void {
-    if (!this.isUnderWay(now)) this.#hasAcceptedSince = true
+  recordAccepted (now: number): void {
+    if (!this.isActive(now)) this.#hasAcceptedSince = true
   }
 
   /**
@@ -44,8 +44,8 @@
    * @param now - monotonic milliseconds
    * @returns whether no pause was under way before
    */
-  request (milliseconds: number, now: number): boolean {
-    const isNew = !this.isUnderWay(now)
+  extend (milliseconds: number, now: number): boolean {
+    const isNew = !this.isActive(now)
     this.#until = Math.max(this.#until, now + milliseconds)
     this.#hasAcceptedSince = false
     return isNew
--- a/packages/routing/src/lib/endpoints/RateShare.ts
+++ b/packages/routing/src/lib/endpoints/SharedRateLimiter.ts
@@ -24,7 +24,7 @@
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Decides without any exchange. */
-export class RateShare {
+export class SharedRateLimiter {
   /**
    * @param host - name of this host, unlike those of all others
    * @param liveHosts - entry hosts that may be alive, as of now
@@ -36,7 +36,7 @@
    * @param now - monotonic milliseconds
    * @returns until when this host may not send it another request, in monotonic milliseconds; undefined if it may now
    */
-  heldUntil (endpoint: EndpointState, now: number): number | undefined {
+  heldBackUntil (endpoint: EndpointState, now: number): number | undefined {
     const { requestsPerSecond, statedAt } = endpoint.rateLimit
     if (requestsPerSecond === undefined) return undefined
     const share = this.#requestsInWindow(endpoint.incarnation, requestsPerSecond)
--- a/packages/routing/src/lib/endpoints/candidates.ts
+++ b/packages/routing/src/lib/endpoints/candidates.ts
@@ -1,13 +1,13 @@
 /** Who may take a request. */
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
-import type { AllHeldBack, EndpointAsk, HoldReason, NoEndpointReason, PromptAsk } from './endpointAsk.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
+import type { AllHeldBack, EndpointQuery, HoldBackReason, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import { ejectionReason, isAbsent, sharedFailureShare } from './sharedObservations.js'
 
 /** An endpoint with what other hosts have told of it. */
 export interface Candidate {
   readonly endpoint: EndpointState
-  readonly others: WorkFigures
+  readonly others: LoadFigures
   readonly failureShare: number
 }
 
@@ -17,7 +17,7 @@
  * @param now - monotonic milliseconds
  * @returns those that may take the request, or why there is none
  */
-export function candidatesFor (endpoints: readonly EndpointState[], ask: EndpointAsk, now: number): readonly Candidate[] | NoEndpointReason {
+export function candidatesFor (endpoints: readonly EndpointState[], ask: EndpointQuery, now: number): readonly Candidate[] | NoEndpointReason {
   const present = endpoints.filter(endpoint => !endpoint.isLeaving)
   if (present.length === 0) return 'none-listed'
   const allowedThere = present.filter(endpoint => ask.regionBound?.allows(endpoint.listed.dataCentre) !== false)
@@ -30,22 +30,22 @@
   if (able.length === 0) return 'none-of-version'
   const candidates = able.map(endpoint => asCandidate(endpoint, ask, now))
   for (const candidate of candidates) noteAbsence(candidate, now)
-  const held = new Set<HoldReason>()
+  const held = new Set<HoldBackReason>()
   const allowed = candidates.filter(({ endpoint }) => {
-    const reason = ask.holdBack?.(endpoint)
+    const reason = ask.holdBackReason?.(endpoint)
     if (reason !== undefined) held.add(reason)
     return reason === undefined
   })
   return allowed.length === 0 ? allHeldBack(held) : preferred(allowed, now)
 }
 
-function allHeldBack (reasons: ReadonlySet<HoldReason>): AllHeldBack {
+function allHeldBack (reasons: ReadonlySet<HoldBackReason>): AllHeldBack {
   const [reason] = reasons
   return reasons.size > 1 || reason === undefined ? 'all-held-back' : `all-${reason}`
 }
 
 /** The newest weights that may be used; a request that began under a version goes on under it. */
-function ofVersion (endpoints: readonly EndpointState[], prompt: PromptAsk | undefined): readonly EndpointState[] {
+function ofVersion (endpoints: readonly EndpointState[], prompt: PromptQuery | undefined): readonly EndpointState[] {
   if (prompt === undefined) return endpoints
   const { model } = prompt.description
   const serving = endpoints.filter(endpoint => endpoint.version(model) !== undefined)
@@ -54,14 +54,14 @@
   return desired.length > 0 ? desired : serving
 }
 
-function asCandidate (endpoint: EndpointState, ask: EndpointAsk, now: number): Candidate {
-  const others = ask.others?.at(endpoint.incarnation) ?? NO_WORK
+function asCandidate (endpoint: EndpointState, ask: EndpointQuery, now: number): Candidate {
+  const others = ask.others?.forEndpoint(endpoint.incarnation) ?? NO_ENDPOINT_LOAD
   return { endpoint, others, failureShare: sharedFailureShare(endpoint, others, now) }
 }
 
 /** An endpoint that nobody reaches may have started anew by the time that it is reached again. */
 function noteAbsence ({ endpoint, others }: Candidate, now: number): void {
-  if (endpoint.health.isOutOfReach(now) || isAbsent(endpoint, others, now)) endpoint.observeAbsence(now)
+  if (endpoint.health.isUnreachable(now) || isAbsent(endpoint, others, now)) endpoint.markUnavailable(now)
 }
 
 /** Healthy endpoints with room; else any that are healthy, else any. */
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
-import { OthersWork } from '../load/OthersWork.js'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
+import { PeerLoad } from '../load/PeerLoad.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 import type { StorePlan } from '../stores/StoredPartsIndex.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
-import type { EndpointAsk, EndpointChoice, PromptAsk } from './endpointAsk.js'
+import type { EndpointQuery, EndpointChoice, PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
 
@@ -25,7 +25,7 @@
 
 const NOTHING_STORED: StorePlan = { fetches: [], saves: [], storedTokens: 0 }
 
-function promptAsk (overrides: Partial<PromptAsk> = {}): PromptAsk {
+function promptAsk (overrides: Partial<PromptQuery> = {}): PromptQuery {
   return {
     description: {
       model: MODEL,
@@ -34,8 +34,8 @@
       parts: [{ id: 'common', tokens: 500 }, { id: 'trip', tokens: 8600 }, { id: 'own', tokens: 2900 }]
     },
     desiredVersion: 1,
-    leftToObjectiveMs: 600,
-    leftMsOn: () => Number.POSITIVE_INFINITY,
+    objectiveRemainingMs: 600,
+    remainingMsOn: () => Number.POSITIVE_INFINITY,
     requiredVersion: undefined,
     engine: new EngineModel(),
     memoryTokens: 110_000,
@@ -47,7 +47,7 @@
   }
 }
 
-function ask (prompt?: PromptAsk, overrides: Partial<EndpointAsk> = {}): EndpointAsk {
+function ask (prompt?: PromptQuery, overrides: Partial<EndpointQuery> = {}): EndpointQuery {
   return { excluded: new Set(), dataCentre: 'north', others: undefined, ...(prompt === undefined ? {} : { prompt }), ...overrides }
 }
 
@@ -62,22 +62,22 @@
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       for (const random of [0, 0.3, 0.6, 0.99]) {
-        expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, random)).endpoint.id).toBe(home)
+        expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 0, random)).endpoint.id).toBe(home)
       }
     })
 
     it('leave a home whose queue costs more than reading elsewhere', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
-      fleet.find(engine => engine.id === home)?.begin(60_000, 60_000, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      fleet.find(engine => engine.id === home)?.beginRequest(60_000, 60_000, 0)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('go where this host sent them before', () => {
       const fleet = engines(8)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const other = fleet.find(engine => engine.id !== home)
-      const memory = new PromptMemory()
+      const memory = new PromptResidencyTracker()
       memory.recordSend('v1', promptAsk().description.parts.slice(0, 2), other?.id ?? '', 0)
       expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), memory, 1000, 0)).endpoint.id).toBe(other?.id)
     })
@@ -85,15 +85,15 @@
     it('need only their own end read where a store holds the rest', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 590_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
-      const choice = chosen(chooseEndpoint(engines(8), ask(promptAsk({ stored: () => stored })), new PromptMemory(), 0, 0))
-      expect(choice.reading.tokensToRead).toBe(2900)
+      const choice = chosen(chooseEndpoint(engines(8), ask(promptAsk({ stored: () => stored })), new PromptResidencyTracker(), 0, 0))
+      expect(choice.prefill.tokensToRead).toBe(2900)
     })
 
     it('prefer an engine beside the store while its link is what they wait for', () => {
       const store = { type: 'store' as const, name: 's', address: '10.0.0.9:1', dataCentre: 'south', cacheTokens: 1e6, linkMbps: 100_000, firstByteMs: 6, isManaged: true }
       const stored: StorePlan = { fetches: [store, store], saves: [], storedTokens: 9100 }
       const fleet = [new EndpointState(listed('a')), new EndpointState(listed('b', { dataCentre: 'south' }))]
-      const choice = chosen(chooseEndpoint(fleet, ask(promptAsk({ stored: () => stored })), new PromptMemory(), 0, 0))
+      const choice = chosen(chooseEndpoint(fleet, ask(promptAsk({ stored: () => stored })), new PromptResidencyTracker(), 0, 0))
       expect(choice.endpoint.listed.dataCentre).toBe('south')
     })
   })
@@ -102,19 +102,19 @@
     it('do not all choose the engine that is busy with the others\' work', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 6, pendingTokens: 40_000, heldTokens: 70_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: home, inFlight: 6, pendingTokens: 40_000, heldTokens: 70_000 }], links: [] }, 0)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
 
     it('keep away from an engine whose memory is full, though it reads nothing', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint: home, inFlight: 9, pendingTokens: 0, heldTokens: 105_000 }], links: [] }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: home, inFlight: 9, pendingTokens: 0, heldTokens: 105_000 }], links: [] }, 0)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk(), { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
     })
   })
 
@@ -124,8 +124,8 @@
       const home = homeEndpoint('trip', fleet.map(engine => engine.id)) ?? ''
       const slow = fleet.find(engine => engine.id === home)
       for (let request = 0; request < 20; request += 1) slow?.slowness.observe(1500, 200, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).not.toBe(home)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 60_000, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 0, 0)).endpoint.id).not.toBe(home)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 60_000, 0)).endpoint.id).toBe(home)
     })
   })
 
@@ -134,28 +134,28 @@
     const fresh = (): EndpointState => new EndpointState(listed('fresh', { models: [{ model: MODEL, version: 2 }] }))
 
     it('are the newest where any engine holds them', () => {
-      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2 })), new PromptResidencyTracker(), 0, 0)).version).toBe(2)
     })
 
     it('are older ones rather than none', () => {
-      expect(chosen(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2 })), new PromptMemory(), 0, 0)).version).toBe(1)
+      expect(chosen(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2 })), new PromptResidencyTracker(), 0, 0)).version).toBe(1)
     })
 
     it('are not used any more when it would begin on them too late', () => {
-      expect(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2, leftMsOn: () => 0 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
-      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, leftMsOn: () => 0 })), new PromptMemory(), 0, 0)).version).toBe(2)
+      expect(chooseEndpoint([old()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptResidencyTracker(), 0, 0)).toBe('none-of-version')
+      expect(chosen(chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, remainingMsOn: () => 0 })), new PromptResidencyTracker(), 0, 0)).version).toBe(2)
     })
 
     // Guards against a stream that is resumed at another engine long after its weights were to be used no more.
     it('hold a stream that goes on elsewhere to the same time, and it goes on under no others', () => {
       const goesOn = (leftMs: number): ReturnType<typeof chooseEndpoint> =>
-        chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, requiredVersion: 1, leftMsOn: () => leftMs })), new PromptMemory(), 0, 0)
+        chooseEndpoint([old(), fresh()], ask(promptAsk({ desiredVersion: 2, requiredVersion: 1, remainingMsOn: () => leftMs })), new PromptResidencyTracker(), 0, 0)
       expect(goesOn(0)).toBe('none-of-version')
       expect(chosen(goesOn(60_000)).version).toBe(1)
     })
 
     it('never change under a request that has begun', () => {
-      expect(chooseEndpoint([fresh()], ask(promptAsk({ requiredVersion: 1 })), new PromptMemory(), 0, 0)).toBe('none-of-version')
+      expect(chooseEndpoint([fresh()], ask(promptAsk({ requiredVersion: 1 })), new PromptResidencyTracker(), 0, 0)).toBe('none-of-version')
     })
   })
 
@@ -163,60 +163,60 @@
     it('are those that leave, whatever an older list says', () => {
       const leaving = new EndpointState(listed('a', { isLeaving: true }))
       leaving.update(listed('a'))
-      expect(chooseEndpoint([leaving], ask(), new PromptMemory(), 0, 0)).toBe('none-listed')
+      expect(chooseEndpoint([leaving], ask(), new PromptResidencyTracker(), 0, 0)).toBe('none-listed')
     })
 
     it('are those that load weights, while others can take it', () => {
       const fleet = [new EndpointState(listed('a', { isBusy: true })), new EndpointState(listed('b'))]
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).toBe('b')
-      expect(chosen(chooseEndpoint(fleet.slice(0, 1), ask(promptAsk()), new PromptMemory(), 0, 0)).endpoint.id).toBe('a')
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('b')
+      expect(chosen(chooseEndpoint(fleet.slice(0, 1), ask(promptAsk()), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('a')
     })
 
     it('are those that have work and have said nothing for long, while others can take it', () => {
       const fleet = engines(2)
       const home = homeEndpoint('trip', fleet.map(engine => engine.id))
       const dark = fleet.find(engine => engine.id === home)
-      dark?.begin(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 100, 0)).endpoint.id).toBe(home)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 1500, 0)).endpoint.id).not.toBe(home)
+      dark?.beginRequest(0, 0, 0)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 100, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 1500, 0)).endpoint.id).not.toBe(home)
       dark?.observeBytes(1500)
-      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptMemory(), 1600, 0)).endpoint.id).toBe(home)
+      expect(chosen(chooseEndpoint(fleet, ask(promptAsk()), new PromptResidencyTracker(), 1600, 0)).endpoint.id).toBe(home)
     })
 
     it('are those that could not be reached a moment ago, unless all are so', () => {
       const [first, second] = engines(2)
       first?.health.observe('unreachable', 0)
       const both = [first, second].filter(engine => engine !== undefined)
-      expect(chosen(chooseEndpoint(both, ask(), new PromptMemory(), 10, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(both, ask(), new PromptResidencyTracker(), 10, 0)).endpoint.id).toBe('e1')
       second?.health.observe('unreachable', 0)
-      expect(typeof chooseEndpoint(both, ask(), new PromptMemory(), 10, 0)).toBe('object')
+      expect(typeof chooseEndpoint(both, ask(), new PromptResidencyTracker(), 10, 0)).toBe('object')
     })
   })
 
   describe('what other hosts have seen', () => {
-    function othersWith (figures: Partial<WorkFigures>, endpoint = 'e0'): OthersWork {
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({ sequence: 1, work: [{ ...NO_WORK, endpoint, ...figures }], links: [] }, 0)
+    function othersWith (figures: Partial<LoadFigures>, endpoint = 'e0'): PeerLoad {
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint, ...figures }], links: [] }, 0)
       return others
     }
 
-    const chooses = (figures: Partial<WorkFigures>, fleet = engines(2)): string =>
-      chosen(chooseEndpoint(fleet, ask(undefined, { others: othersWith(figures) }), new PromptMemory(), 0, 0)).endpoint.id
+    const chooses = (figures: Partial<LoadFigures>, fleet = engines(2)): string =>
+      chosen(chooseEndpoint(fleet, ask(undefined, { others: othersWith(figures) }), new PromptResidencyTracker(), 0, 0)).endpoint.id
 
     it('keeps a host from an endpoint that sends nothing to anybody, though it never sent there itself', () => {
       expect(chooses({ inFlight: 0 })).toBe('e0')
       expect(chooses({ inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }, engines(1))).toBe('e0')
       const dark = { inFlight: 3, lastByteAgoMs: 501, waitedMs: 900 }
       const busy = [new EndpointState(listed('e0')), new EndpointState(listed('e1'))]
-      for (let request = 0; request < 20; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ ...dark, lastByteAgoMs: 20 }, busy)).toBe('e0')
       expect(chooses(dark, busy)).toBe('e1')
     })
 
     it('does not take an endpoint for silent that has only just got its work', () => {
       const busy = engines(2)
-      for (let request = 0; request < 20; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 20; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ inFlight: 9, lastByteAgoMs: 60_000, waitedMs: 300 }, busy)).toBe('e0')
     })
 
@@ -230,7 +230,7 @@
 
     it('keeps it from one that fails half of what all hosts send there', () => {
       const busy = engines(2)
-      for (let request = 0; request < 60; request += 1) busy[1]?.begin(0, 0, 0)
+      for (let request = 0; request < 60; request += 1) busy[1]?.beginRequest(0, 0, 0)
       expect(chooses({ outcomes: 40, failures: 5 }, busy)).toBe('e0')
       expect(chooses({ outcomes: 40, failures: 36 }, busy)).toBe('e1')
     })
@@ -240,29 +240,29 @@
     it('that are open are used rather than new ones, while the difference is small', () => {
       const fleet = engines(2)
       const hasConnection = (endpoint: EndpointState): boolean => endpoint.id === 'e1'
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
-      for (let request = 0; request < 8; request += 1) fleet[1]?.begin(0, 0, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e0')
+      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e1')
+      for (let request = 0; request < 8; request += 1) fleet[1]?.beginRequest(0, 0, 0)
+      expect(chosen(chooseEndpoint(fleet, ask(undefined, { hasConnection }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e0')
     })
   })
 
   describe('plain services', () => {
     it('use the endpoint with the fewest requests of all hosts', () => {
       const fleet = engines(3)
-      const others = new OthersWork()
-      others.sent(1, { work: [], links: [] })
-      others.answered({
+      const others = new PeerLoad()
+      others.recordOwnReport(1, { work: [], links: [] })
+      others.recordTotals({
         sequence: 1,
-        work: [{ ...NO_WORK, endpoint: 'e0', inFlight: 9, pendingTokens: 0, heldTokens: 0 }, { ...NO_WORK, endpoint: 'e2', inFlight: 7, pendingTokens: 0, heldTokens: 0 }],
+        work: [{ ...NO_ENDPOINT_LOAD, endpoint: 'e0', inFlight: 9, pendingTokens: 0, heldTokens: 0 }, { ...NO_ENDPOINT_LOAD, endpoint: 'e2', inFlight: 7, pendingTokens: 0, heldTokens: 0 }],
         links: []
       }, 0)
-      expect(chosen(chooseEndpoint(fleet, ask(undefined, { others }), new PromptMemory(), 0, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, ask(undefined, { others }), new PromptResidencyTracker(), 0, 0)).endpoint.id).toBe('e1')
     })
 
     it('keep away from an endpoint that fails much of what it gets', () => {
       const fleet = engines(2)
       for (let request = 0; request < 12; request += 1) fleet[0]?.health.observe('failure', 0)
-      expect(chosen(chooseEndpoint(fleet, ask(), new PromptMemory(), 100_000, 0)).endpoint.id).toBe('e1')
+      expect(chosen(chooseEndpoint(fleet, ask(), new PromptResidencyTracker(), 100_000, 0)).endpoint.id).toBe('e1')
     })
   })
 })
--- a/packages/routing/src/lib/endpoints/chooseEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/chooseEndpoint.ts
@@ -9,9 +9,9 @@
  */
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
 import { sharedPartOf } from '../prompts/promptDescription.js'
-import type { PromptHolders, PromptMemory } from '../prompts/PromptMemory.js'
+import type { PromptHolders, PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { candidatesFor, type Candidate } from './candidates.js'
-import type { EndpointAsk, EndpointChoice, NoEndpointReason, PromptAsk } from './endpointAsk.js'
+import type { EndpointQuery, EndpointChoice, NoEndpointReason, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import { estimateEndpoint } from './estimateEndpoint.js'
 import { sample } from './sample.js'
@@ -30,7 +30,7 @@
  * @returns the choice, or why there is none
  */
 export function chooseEndpoint (
-  endpoints: readonly EndpointState[], ask: EndpointAsk, memory: PromptMemory, now: number, random: number
+  endpoints: readonly EndpointState[], ask: EndpointQuery, memory: PromptResidencyTracker, now: number, random: number
 ): EndpointChoice | NoEndpointReason {
   const candidates = candidatesFor(endpoints, ask, now)
   if (typeof candidates === 'string') return candidates
@@ -52,19 +52,19 @@
 }
 
 /** Whether a request that falls back to older weights, or goes on under them, will begin while that is allowed. */
-function beginsInTime ({ version, estimatedMs }: EndpointChoice, prompt: PromptAsk | undefined): boolean {
+function beginsInTime ({ version, estimatedMs }: EndpointChoice, prompt: PromptQuery | undefined): boolean {
   if (prompt === undefined || version === undefined) return true
-  return version >= prompt.desiredVersion || estimatedMs < prompt.leftMsOn(version)
+  return version >= prompt.desiredVersion || estimatedMs < prompt.remainingMsOn(version)
 }
 
-function homeOf (candidates: readonly Candidate[], { prompt, homeEndpoint: findHome = homeEndpoint }: EndpointAsk): string | undefined {
+function homeOf (candidates: readonly Candidate[], { prompt, homeEndpoint: findHome = homeEndpoint }: EndpointQuery): string | undefined {
   const shared = prompt === undefined ? undefined : sharedPartOf(prompt.description)
   return shared === undefined ? undefined : findHome(shared.id, candidates.map(({ endpoint }) => endpoint.id))
 }
 
 /** Looked up once for each version of the weights, whatever the number of engines. */
 function holdersFor (
-  endpoint: EndpointState, prompt: PromptAsk | undefined, memory: PromptMemory, known: Map<number, PromptHolders>, now: number
+  endpoint: EndpointState, prompt: PromptQuery | undefined, memory: PromptResidencyTracker, known: Map<number, PromptHolders>, now: number
 ): PromptHolders | undefined {
   if (prompt === undefined) return undefined
   const version = endpoint.version(prompt.description.model) ?? 0
--- a/packages/routing/src/lib/endpoints/estimateEndpoint.ts
+++ b/packages/routing/src/lib/endpoints/estimateEndpoint.ts
@@ -1,12 +1,12 @@
 /** What a request would take at an endpoint. */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
-import type { WorkFigures } from '../load/loadReport.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { Candidate } from './candidates.js'
-import type { EndpointAsk, EndpointChoice, PromptAsk } from './endpointAsk.js'
+import type { EndpointQuery, EndpointChoice, PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
 import type { EngineLoad } from './EngineModel.js'
 import { planReading } from './planReading.js'
-import { NOTHING_TO_READ } from './promptReading.js'
+import { EMPTY_PREFILL_PLAN } from './prefillPlan.js'
 
 /** Share of the most output tokens that a request has on average: callers' own estimates are about half of it. */
 const EXPECTED_OUTPUT_SHARE = 0.5
@@ -43,14 +43,14 @@
  * @param now - monotonic milliseconds
  */
 export function estimateEndpoint (
-  { endpoint, others, failureShare }: Candidate, ask: EndpointAsk, isHome: boolean, holders: PromptHolders | undefined, now: number
+  { endpoint, others, failureShare }: Candidate, ask: EndpointQuery, isHome: boolean, holders: PromptHolders | undefined, now: number
 ): EndpointChoice {
   const distanceMs = endpoint.listed.dataCentre === ask.dataCentre ? 0 : OTHER_DATA_CENTRE_MS
   const connectionMs = ask.hasConnection?.(endpoint) === false ? NEW_CONNECTION_MS : 0
   const priceMs = distanceMs + connectionMs + failureShare * FAILURE_MS
   if (ask.prompt === undefined || holders === undefined) {
     const estimatedMs = plainMs(endpoint, ask, others, now)
-    return { endpoint, version: undefined, reading: NOTHING_TO_READ, tokensHeld: 0, estimatedMs, costMs: estimatedMs + priceMs, waitMs: estimatedMs, memoryWaitMs: 0, workMs: estimatedMs, load: NO_LOAD, memoryShare: 0 }
+    return { endpoint, version: undefined, prefill: EMPTY_PREFILL_PLAN, tokensHeld: 0, estimatedMs, costMs: estimatedMs + priceMs, waitMs: estimatedMs, memoryWaitMs: 0, workMs: estimatedMs, load: NO_LOAD, memoryShare: 0 }
   }
   const { description, engine } = ask.prompt
   const version = endpoint.version(description.model) ?? 0
@@ -59,15 +59,15 @@
   const ahead = { tokensAhead: endpoint.pendingTokens + others.pendingTokens, requests: requestsAt(endpoint, ask, others, now) }
   const memoryWaitMs = ask.others === undefined ? 0 : Math.max(0, share - MEMORY_SHARE) * MEMORY_TURNOVER_MS
   const waitMs = engine.waitMs(ahead) + memoryWaitMs
-  const reading = planReading(endpoint, { ...ask.prompt, leftToObjectiveMs: ask.prompt.leftToObjectiveMs - engine.fixedMs - waitMs }, version, isHome, holders, now)
+  const reading = planReading(endpoint, { ...ask.prompt, objectiveRemainingMs: ask.prompt.objectiveRemainingMs - engine.fixedMs - waitMs }, version, isHome, holders, now)
   const workMs = engine.fixedMs + waitMs + reading.fetchMs + engine.readMs(reading.tokensToRead)
   const estimatedMs = workMs * endpoint.slowness.factor(now)
   const costMs = estimatedMs + reading.againMs + priceMs
   const load = { ...ahead, tokensToRead: reading.tokensToRead }
-  return { endpoint, version, reading, tokensHeld, estimatedMs, costMs, waitMs, memoryWaitMs, workMs, load, memoryShare: share }
+  return { endpoint, version, prefill: reading, tokensHeld, estimatedMs, costMs, waitMs, memoryWaitMs, workMs, load, memoryShare: share }
 }
 
-function plainMs (endpoint: EndpointState, ask: EndpointAsk, others: WorkFigures, now: number): number {
+function plainMs (endpoint: EndpointState, ask: EndpointQuery, others: LoadFigures, now: number): number {
   const { slots } = endpoint.occupancy(now)
   const requests = requestsAt(endpoint, ask, others, now)
   const serviceMs = endpoint.latencyMs ?? PLAIN_MS
@@ -76,10 +76,10 @@
 }
 
 /** Requests there by all hosts' word, or by the endpoint's last one while the hosts' is not known. */
-function requestsAt (endpoint: EndpointState, ask: EndpointAsk, others: WorkFigures, now: number): number {
+function requestsAt (endpoint: EndpointState, ask: EndpointQuery, others: LoadFigures, now: number): number {
   return ask.others === undefined ? endpoint.occupancy(now).total : endpoint.inFlight + others.inFlight
 }
 
-function memoryShare (endpoint: EndpointState, others: WorkFigures, prompt: PromptAsk, tokensHeld: number): number {
+function memoryShare (endpoint: EndpointState, others: LoadFigures, prompt: PromptQuery, tokensHeld: number): number {
   return prompt.memoryTokens === 0 ? 0 : (endpoint.heldTokens + others.heldTokens + tokensHeld) / prompt.memoryTokens
 }
--- a/packages/routing/src/lib/endpoints/planReading.test.ts
+++ b/packages/routing/src/lib/endpoints/planReading.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoreLinks, type StoreTransfer } from '../stores/StoreLinks.js'
-import type { PromptAsk } from './endpointAsk.js'
+import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
 import { planReading } from './planReading.js'
-import type { PromptReading } from './promptReading.js'
+import type { PrefillPlan } from './prefillPlan.js'
 
 const fast: StoreService = { type: 'store', name: 'fast', address: '10.0.0.1:1', dataCentre: 'north', cacheTokens: 1e6, linkMbps: 400_000, firstByteMs: 1, isManaged: true }
 const other: StoreService = { ...fast, name: 'other', address: '10.0.0.2:1' }
@@ -22,13 +22,13 @@
 const chat = [{ id: 'house', tokens: 120 }, { id: 'flat', tokens: 530 }, { id: 'question', tokens: 180 }]
 
 function plan (
-  fetches: ReadonlyArray<StoreService | undefined>, links: StoreLinks, memory = new PromptMemory(), chain = parts, leftToObjectiveMs = 600
-): PromptReading {
-  const prompt: PromptAsk = {
+  fetches: ReadonlyArray<StoreService | undefined>, links: StoreLinks, memory = new PromptResidencyTracker(), chain = parts, leftToObjectiveMs = 600
+): PrefillPlan {
+  const prompt: PromptQuery = {
     description: { model: 'm', promptTokens: chain.reduce((sum, part) => sum + part.tokens, 0), outputTokens: 20, parts: chain },
     desiredVersion: 1,
-    leftToObjectiveMs,
-    leftMsOn: () => Number.POSITIVE_INFINITY,
+    objectiveRemainingMs: leftToObjectiveMs,
+    remainingMsOn: () => Number.POSITIVE_INFINITY,
     requiredVersion: undefined,
     engine: new EngineModel(),
     memoryTokens: 49_000,
@@ -44,7 +44,7 @@
 function busyWith (prompts: number, store: StoreService): StoreLinks {
   const links = new StoreLinks(() => 1)
   const transfer: StoreTransfer = { store, dataCentre: 'north', bytes: 7500 * BYTES_PER_TOKEN }
-  links.begin(Array.from({ length: prompts }, () => transfer))
+  links.beginTransfers(Array.from({ length: prompts }, () => transfer))
   return links
 }
 
@@ -53,7 +53,7 @@
   const links = new StoreLinks(() => 1)
   for (let now = -3000; now < 0; now += 50) {
     links.observe(store, 'north', { fetchMs: 500, otherMs: 0, doublings: links.doublings(store, 'north', now) }, 500 * 2 ** (2 - links.doublings(store, 'north', now)), now)
-    links.observeOthers(new Map(), now)
+    links.observePeers(new Map(), now)
   }
   return links
 }
@@ -61,14 +61,14 @@
 describe('planReading', () => {
   describe('short prompts', () => {
     it('wait some tens of milliseconds for a sound link rather than being read again', () => {
-      expect(plan([fast, fast], busyWith(1, fast), new PromptMemory(), chat)).toMatchObject({ partsFromStores: 2, tokensToRead: 180 })
+      expect(plan([fast, fast], busyWith(1, fast), new PromptResidencyTracker(), chat)).toMatchObject({ partsFromStores: 2, tokensToRead: 180 })
     })
 
     it('leave a slow link to the long ones that need it', () => {
       const links = slowed(fast)
-      links.begin([{ store: fast, dataCentre: 'north', bytes: 2500 * BYTES_PER_TOKEN }])
+      links.beginTransfers([{ store: fast, dataCentre: 'north', bytes: 2500 * BYTES_PER_TOKEN }])
       expect(links.doublings(fast, 'north', 0)).toBeGreaterThan(1.5)
-      expect(plan([fast, fast], links, new PromptMemory(), chat)).toMatchObject({ partsFromStores: 0, tokensToRead: 830 })
+      expect(plan([fast, fast], links, new PromptResidencyTracker(), chat)).toMatchObject({ partsFromStores: 0, tokensToRead: 830 })
       expect(plan([fast, fast], links).partsFromStores).toBe(2)
     })
   })
@@ -76,11 +76,11 @@
   describe('an answer that would be late for its fetch', () => {
     it('has its prompt read where that is in time', () => {
       expect(plan([fast, fast], busyWith(8, fast)).partsFromStores).toBe(2)
-      expect(plan([fast, fast], busyWith(8, fast), new PromptMemory(), parts, 330).partsFromStores).toBe(0)
+      expect(plan([fast, fast], busyWith(8, fast), new PromptResidencyTracker(), parts, 330).partsFromStores).toBe(0)
     })
 
     it('is fetched all the same where reading would be late as well', () => {
-      expect(plan([fast, fast], busyWith(8, fast), new PromptMemory(), parts, -100).partsFromStores).toBe(2)
+      expect(plan([fast, fast], busyWith(8, fast), new PromptResidencyTracker(), parts, -100).partsFromStores).toBe(2)
     })
   })
 
@@ -98,7 +98,7 @@
     })
 
     it('move nothing that the engine holds, and are named for it all the same', () => {
-      const memory = new PromptMemory()
+      const memory = new PromptResidencyTracker()
       memory.recordSend('v1', parts.slice(0, 1), 'e', 0)
       expect(plan([fast, fast], busyWith(0, fast), memory)).toMatchObject({ partsFromStores: 2, transfers: [{ bytes: 5000 * BYTES_PER_TOKEN }] })
     })
--- a/packages/routing/src/lib/endpoints/planReading.ts
+++ b/packages/routing/src/lib/endpoints/planReading.ts
@@ -6,12 +6,12 @@
  * engine, and other transfers wait behind it. So parts are fetched only while that costs
  * less than reading them, with a price on work that was done once already and on being late.
  */
-import type { PromptHolders } from '../prompts/PromptMemory.js'
+import type { PromptHolders } from '../prompts/PromptResidencyTracker.js'
 import type { PromptPart } from '../prompts/promptDescription.js'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
-import type { PromptAsk } from './endpointAsk.js'
+import type { PromptQuery } from './endpointQuery.js'
 import type { EndpointState } from './EndpointState.js'
-import { NOTHING_TO_READ, type PromptReading } from './promptReading.js'
+import { EMPTY_PREFILL_PLAN, type PrefillPlan } from './prefillPlan.js'
 
 /** Chance that the home of a part holds it although this host has not sent it there: other hosts have. */
 const HOME_CHANCE = 0.6
@@ -57,8 +57,8 @@
  * @param now - monotonic milliseconds
  */
 export function planReading (
-  endpoint: EndpointState, prompt: PromptAsk, version: number, isHome: boolean, holders: PromptHolders, now: number
-): PromptReading {
+  endpoint: EndpointState, prompt: PromptQuery, version: number, isHome: boolean, holders: PromptHolders, now: number
+): PrefillPlan {
   const shared = prompt.description.parts.slice(0, -1)
   const sharedTokens = sumTokens(shared)
   const known = holders.tokensAt(endpoint.incarnation)
@@ -99,10 +99,10 @@
 }
 
 /** The leading parts with the least cost of fetching them and reading the others. */
-function worthFetching (endpoint: EndpointState, prompt: PromptAsk, stored: readonly PartInStore[], now: number): readonly PartInStore[] {
+function worthFetching (endpoint: EndpointState, prompt: PromptQuery, stored: readonly PartInStore[], now: number): readonly PartInStore[] {
   const tokens = stored.at(-1)?.end ?? 0
   let best: readonly PartInStore[] = []
-  let leastMs = costOf(NOTHING_TO_READ, tokens, prompt)
+  let leastMs = costOf(EMPTY_PREFILL_PLAN, tokens, prompt)
   for (let count = 1; count <= stored.length; count += 1) {
     const fetched = stored.slice(0, count)
     const costMs = costOf(transfersOf(endpoint, prompt, fetched, 0, now), tokens - (fetched.at(-1)?.end ?? 0), prompt)
@@ -114,7 +114,7 @@
 }
 
 /** Cost of fetching, and of reading so many tokens that stores hold. */
-function costOf ({ fetchMs, slowest }: Pick<PromptReading, 'fetchMs' | 'slowest'>, tokens: number, { engine, leftToObjectiveMs, description }: PromptAsk): number {
+function costOf ({ fetchMs, slowest }: Pick<PrefillPlan, 'fetchMs' | 'slowest'>, tokens: number, { engine, objectiveRemainingMs: leftToObjectiveMs, description }: PromptQuery): number {
   const ownTokens = description.parts.at(-1)?.tokens ?? 0
   const riskMs = LATE_MS * lateRisk(fetchMs + engine.readMs(tokens + ownTokens), leftToObjectiveMs)
   const slowed = Math.min(1, Math.max(0, slowest?.doublings ?? 0))
@@ -131,14 +131,14 @@
 
 /** Stores send side by side, so the slowest decides; parts that the engine holds move no bytes. */
 function transfersOf (
-  endpoint: EndpointState, prompt: PromptAsk, parts: readonly PartInStore[], held: number, now: number
-): Pick<PromptReading, 'transfers' | 'fetchMs' | 'slowest'> {
+  endpoint: EndpointState, prompt: PromptQuery, parts: readonly PartInStore[], held: number, now: number
+): Pick<PrefillPlan, 'transfers' | 'fetchMs' | 'slowest'> {
   const { dataCentre } = endpoint.listed
   const missing = parts.filter(({ end }) => end > held)
   const transfers = missing.map(({ part, store }) => ({ store, dataCentre, bytes: part.tokens * prompt.bytesPerToken }))
   const sendingMs = new Map<StoreService, number>()
   let fetchMs = 0
-  let slowest: PromptReading['slowest']
+  let slowest: PrefillPlan['slowest']
   for (const transfer of transfers) {
     const { store } = transfer
     const before = sendingMs.get(store) ?? store.firstByteMs + prompt.links.backlogMs(store, now)
--- a/packages/routing/src/lib/endpoints/promptReading.ts
+++ b/packages/routing/src/lib/endpoints/prefillPlan.ts
@@ -2,7 +2,7 @@
 import type { StoreTransfer } from '../stores/StoreLinks.js'
 
 /** What an engine will probably do for a prompt before its first event. */
-export interface PromptReading {
+export interface PrefillPlan {
   /** Prompt tokens that it will have to read. */
   readonly tokensToRead: number
   /** Leading shared parts that it is told to fetch as far as it does not hold them. */
@@ -18,6 +18,6 @@
 }
 
 /** Of a request without a prompt. */
-export const NOTHING_TO_READ: PromptReading = {
+export const EMPTY_PREFILL_PLAN: PrefillPlan = {
   tokensToRead: 0, partsFromStores: 0, transfers: [], fetchMs: 0, slowest: undefined, againMs: 0
 }
--- a/packages/routing/src/lib/endpoints/sample.test.ts
+++ b/packages/routing/src/lib/endpoints/sample.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 import { chooseEndpoint } from './chooseEndpoint.js'
-import type { PromptAsk } from './endpointAsk.js'
+import type { PromptQuery } from './endpointQuery.js'
 import { EndpointState } from './EndpointState.js'
 import { EngineModel } from './EngineModel.js'
 import { sample } from './sample.js'
@@ -44,12 +44,12 @@
     id: `e${number}`, service: 'pool', address: `10.0.0.${number}:1`, dataCentre: 'north', slots: 16, isLeaving: false, isBusy: false, models: [{ model: 'm', version: 1 }]
   })
 
-  function prompt (request: number): PromptAsk {
+  function prompt (request: number): PromptQuery {
     return {
       description: { model: 'm', promptTokens: 12_000, outputTokens: 60, parts: [{ id: `session-${request}`, tokens: 9000 }, { id: `own-${request}`, tokens: 3000 }] },
       desiredVersion: 1,
-      leftToObjectiveMs: 600,
-      leftMsOn: () => Number.POSITIVE_INFINITY,
+      objectiveRemainingMs: 600,
+      remainingMsOn: () => Number.POSITIVE_INFINITY,
       requiredVersion: undefined,
       engine: new EngineModel(),
       memoryTokens: 102_801,
@@ -65,8 +65,8 @@
     const sent = new Map<string, number>()
     for (let request = 0; request < 85; request += 1) {
       const engines = numbered(98).map(number => new EndpointState(listed(number)))
-      engines.forEach((engine, number) => { engine.begin(number === 7 ? 0 : 4000 + number, 40_000, 0) })
-      const choice = chooseEndpoint(engines, { excluded: new Set(), dataCentre: 'north', others: undefined, prompt: prompt(request) }, new PromptMemory(), 0, random())
+      engines.forEach((engine, number) => { engine.beginRequest(number === 7 ? 0 : 4000 + number, 40_000, 0) })
+      const choice = chooseEndpoint(engines, { excluded: new Set(), dataCentre: 'north', others: undefined, prompt: prompt(request) }, new PromptResidencyTracker(), 0, random())
       if (typeof choice === 'string') throw new Error(choice)
       sent.set(choice.endpoint.id, (sent.get(choice.endpoint.id) ?? 0) + 1)
     }
--- a/packages/routing/src/lib/endpoints/sharedObservations.ts
+++ b/packages/routing/src/lib/endpoints/sharedObservations.ts
@@ -8,7 +8,7 @@
  * has seen itself goes before what others say: its own way to an endpoint may be
  * sound while theirs is not.
  */
-import type { WorkFigures } from '../load/loadReport.js'
+import type { LoadFigures } from '../load/loadReport.js'
 import type { EndpointState } from './EndpointState.js'
 
 /**
@@ -45,7 +45,7 @@
  * @param now - monotonic milliseconds
  * @returns whether it has work and has sent nothing to anybody for long
  */
-function isSilentToAll (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+function isSilentToAll (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   if (endpoint.inFlight + others.inFlight < SILENT_REQUESTS) return false
   const lastByteAgoMs = Math.min(endpoint.lastByteAgoMs(now), others.lastByteAgoMs)
   const waitedMs = Math.max(endpoint.waitedMs(now), others.waitedMs)
@@ -58,7 +58,7 @@
  * @param now - monotonic milliseconds
  * @returns whether it answers nobody, and has sent nothing to this host since that was found
  */
-export function isUnresponsive (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+export function isUnresponsive (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return others.unresponsive > 0 && endpoint.lastByteAgoMs(now) > HEARD_MS
 }
 
@@ -68,7 +68,7 @@
  * @param now - monotonic milliseconds
  * @returns whether other hosts could not reach it, and this host knows nothing better
  */
-function isAvoidedByOthers (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+function isAvoidedByOthers (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return others.avoiders >= FOLLOWED_AVOIDERS && endpoint.lastByteAgoMs(now) > OWN_WORD_MS
 }
 
@@ -78,7 +78,7 @@
  * @param now - monotonic milliseconds
  * @returns whether nobody reaches it, as far as all hosts have seen
  */
-export function isAbsent (endpoint: EndpointState, others: WorkFigures, now: number): boolean {
+export function isAbsent (endpoint: EndpointState, others: LoadFigures, now: number): boolean {
   return isUnresponsive(endpoint, others, now) || isAvoidedByOthers(endpoint, others, now)
 }
 
@@ -88,7 +88,7 @@
  * @param now - monotonic milliseconds
  * @returns share of requests that failed there lately, over all hosts
  */
-export function sharedFailureShare (endpoint: EndpointState, others: WorkFigures, now: number): number {
+export function sharedFailureShare (endpoint: EndpointState, others: LoadFigures, now: number): number {
   const own = endpoint.health.recent(now)
   const outcomes = own.outcomes + others.outcomes
   const failures = own.failures + others.failures
@@ -105,7 +105,7 @@
  * @param now - monotonic milliseconds
  * @returns why it is ejected, or undefined if it is not
  */
-export function ejectionReason (endpoint: EndpointState, others: WorkFigures, excessShare: number, now: number): EjectionReason | undefined {
+export function ejectionReason (endpoint: EndpointState, others: LoadFigures, excessShare: number, now: number): EjectionReason | undefined {
   if (isUnresponsive(endpoint, others, now)) return 'unresponsive'
   if (isSilentToAll(endpoint, others, now)) return 'silent-to-all'
   if (isAvoidedByOthers(endpoint, others, now)) return 'avoided-by-others'
--- a/packages/routing/src/lib/load/LoadBoard.ts
+++ b/packages/routing/src/lib/load/LoadAggregator.ts
@@ -7,8 +7,8 @@
  * come when the queue is over. Reports and answers grow with the number of
  * hosts, not with its square; the adding up does not grow with reports at all.
  */
-import { addLinks, IDLE_LINK, type LinkWork } from './linkWork.js'
-import { LONG_AGO_MS, NO_WORK, type EndpointRateLimit, type EndpointWork, type LoadReport } from './loadReport.js'
+import { addLinkLoads, IDLE_LINK, type LinkLoad } from './linkLoad.js'
+import { MAX_REPORTED_AGE_MS, NO_ENDPOINT_LOAD, type EndpointRateLimit, type EndpointLoad, type LoadReport } from './loadReport.js'
 
 /** Silence after which a host's work is taken to have ended with it, in milliseconds: five to twenty reports. */
 const FORGET_MS = 1000
@@ -25,19 +25,19 @@
 }
 
 /** Work of all hosts at one time. */
-export interface Totals {
-  readonly work: readonly EndpointWork[]
-  readonly links: readonly LinkWork[]
+export interface AggregatedLoad {
+  readonly work: readonly EndpointLoad[]
+  readonly links: readonly LinkLoad[]
   readonly limits: readonly EndpointRateLimit[]
   /** The newest report of each host that is in it. */
   readonly sequences: ReadonlyMap<string, number>
 }
 
 /** Latest report of each host. */
-export class LoadBoard {
+export class LoadAggregator {
   readonly #hosts = new Map<string, HostEntry>()
   readonly #limits = new Map<string, { readonly requestsPerSecond: number | undefined, readonly statedAt: number }>()
-  #totals: Totals = { work: [], links: [], limits: [], sequences: new Map() }
+  #totals: AggregatedLoad = { work: [], links: [], limits: [], sequences: new Map() }
   #addedAt = Number.NEGATIVE_INFINITY
   #unresponsive: readonly string[] = []
 
@@ -65,7 +65,7 @@
    * @param now - monotonic milliseconds
    * @returns work of all hosts, for endpoints that have any; the same object until it is added up anew
    */
-  totals (now: number): Totals {
+  totals (now: number): AggregatedLoad {
     if (now - this.#addedAt < TOTALS_LIFETIME_MS) return this.#totals
     this.#addedAt = now
     this.#totals = this.#addUp(now)
@@ -84,9 +84,9 @@
     return [...this.#limits].map(([endpoint, { requestsPerSecond, statedAt }]) => ({ endpoint, requestsPerSecond, statedAgoMs: now - statedAt }))
   }
 
-  #addUp (now: number): Totals {
-    const work = new Map<string, EndpointWork>()
-    const links = new Map<string, LinkWork>()
+  #addUp (now: number): AggregatedLoad {
+    const work = new Map<string, EndpointLoad>()
+    const links = new Map<string, LinkLoad>()
     const sequences = new Map<string, number>()
     for (const [host, { report, receivedAt }] of this.#hosts) {
       if (now - receivedAt > FORGET_MS) {
@@ -95,19 +95,19 @@
       }
       sequences.set(host, report.sequence)
       for (const entry of report.work) work.set(entry.endpoint, add(work.get(entry.endpoint), aged(entry, now - receivedAt)))
-      for (const entry of report.links) links.set(entry.link, { link: entry.link, ...addLinks(links.get(entry.link) ?? IDLE_LINK, entry) })
+      for (const entry of report.links) links.set(entry.link, { link: entry.link, ...addLinkLoads(links.get(entry.link) ?? IDLE_LINK, entry) })
     }
-    for (const endpoint of this.#unresponsive) work.set(endpoint, { ...work.get(endpoint) ?? { ...NO_WORK, endpoint }, unresponsive: 1 })
+    for (const endpoint of this.#unresponsive) work.set(endpoint, { ...work.get(endpoint) ?? { ...NO_ENDPOINT_LOAD, endpoint }, unresponsive: 1 })
     return { work: [...work.values()], links: [...links.values()], limits: this.#recentLimits(now), sequences }
   }
 }
 
 /** As it is some time after it was reported. */
-function aged (work: EndpointWork, ageMs: number): EndpointWork {
-  return { ...work, lastByteAgoMs: Math.min(LONG_AGO_MS, work.lastByteAgoMs + ageMs), waitedMs: work.inFlight === 0 ? 0 : Math.min(LONG_AGO_MS, work.waitedMs + ageMs) }
+function aged (work: EndpointLoad, ageMs: number): EndpointLoad {
+  return { ...work, lastByteAgoMs: Math.min(MAX_REPORTED_AGE_MS, work.lastByteAgoMs + ageMs), waitedMs: work.inFlight === 0 ? 0 : Math.min(MAX_REPORTED_AGE_MS, work.waitedMs + ageMs) }
 }
 
-function add (sum: EndpointWork | undefined, work: EndpointWork): EndpointWork {
+function add (sum: EndpointLoad | undefined, work: EndpointLoad): EndpointLoad {
   if (sum === undefined) return work
   return {
     endpoint: work.endpoint,
--- a/packages/routing/src/lib/load/ExchangePlan.ts
+++ b/packages/routing/src/lib/load/LoadExchangeScheduler.ts
@@ -22,7 +22,7 @@
  * Longest wait for an answer, in milliseconds: three round trips between data centres of the users'
  * sheets, and little against the shortest objective there (120 ms).
  */
-export const ANSWER_WAIT_MS = 10
+export const MAX_ANSWER_WAIT_MS = 10
 
 /** Waits in vain after which requests wait no more until an answer comes: the host that adds up is gone, and another takes over. */
 const MOST_VAIN_WAITS = 2
@@ -54,12 +54,12 @@
 export interface PlacementStep {
   /** Whether to ask now. */
   readonly asks: boolean
-  /** Whether the request waits for an answer, {@link ANSWER_WAIT_MS} at most. */
+  /** Whether the request waits for an answer, {@link MAX_ANSWER_WAIT_MS} at most. */
   readonly waits: boolean
 }
 
 /** Times of one host. */
-export class ExchangePlan {
+export class LoadExchangeScheduler {
   /** When the present view was asked for. */
   #viewAt = Number.NEGATIVE_INFINITY
   /** When the question was asked that has no answer yet. */
@@ -80,23 +80,23 @@
    * @param now - monotonic milliseconds
    * @returns what to do for a request that is to be placed now
    */
-  place (now: number): PlacementStep {
+  planPlacement (now: number): PlacementStep {
     this.#noteInterval(now)
     if (now - this.#viewAt <= FRESH_MS) return { asks: false, waits: false }
-    const isUnderWay = this.#askedAt !== undefined && now - this.#askedAt < ANSWER_WAIT_MS
+    const isUnderWay = this.#askedAt !== undefined && now - this.#askedAt < MAX_ANSWER_WAIT_MS
     if (!isUnderWay && this.#askedAt !== undefined) this.#noteVain()
     const asks = !isUnderWay && this.#takeQuestion(now)
     return { asks, waits: (isUnderWay || asks) && this.#vainWaits < MOST_VAIN_WAITS }
   }
 
   /** @param now - monotonic milliseconds at which a question was sent, which tells this host's work as well */
-  asked (now: number): void {
+  recordQuery (now: number): void {
     this.#askedAt = now
     this.#tellAt = undefined
   }
 
   /** @param askedAt - when the question was asked that has been answered */
-  answered (askedAt: number): void {
+  recordAnswer (askedAt: number): void {
     this.#viewAt = Math.max(this.#viewAt, askedAt)
     this.#askedAt = undefined
     this.#vainWaits = 0
@@ -106,14 +106,14 @@
    * @param now - monotonic milliseconds at which a request was sent to an endpoint
    * @returns whether the others are to be told at once
    */
-  noteSend (now: number): boolean {
+  recordSend (now: number): boolean {
     if (!this.#isFrequent) return true
-    this.noteChange(now)
+    this.recordChange(now)
     return false
   }
 
   /** @param now - monotonic milliseconds at which work at an endpoint changed */
-  noteChange (now: number): void {
+  recordChange (now: number): void {
     const at = now + TELL_CHANGE_MS
     this.#tellAt = Math.min(at, this.#tellAt ?? at)
   }
@@ -122,12 +122,12 @@
    * @param hasWork - whether there was anything to tell
    * @param now - monotonic milliseconds at which it was told
    */
-  reported (hasWork: boolean, now: number): void {
+  recordReport (hasWork: boolean, now: number): void {
     this.#tellAt = hasWork ? now + TELL_AGAIN_MS : undefined
   }
 
   /** Monotonic milliseconds at which the others are to be told; undefined while there is nothing to tell. */
-  get tellAt (): number | undefined { return this.#tellAt }
+  get nextReportAt (): number | undefined { return this.#tellAt }
 
   /** Whether requests come often enough that questions can do without statements. */
   get #isFrequent (): boolean { return this.#intervals >= LEAST_INTERVALS && this.#intervalMs <= FREQUENT_REQUESTS_MS }
--- a/packages/routing/src/lib/load/OthersWork.ts
+++ b/packages/routing/src/lib/load/PeerLoad.ts
@@ -1,28 +1,28 @@
 /** Work of the other entry hosts at each endpoint and on each link, as last heard. */
-import { IDLE_LINK, type LinkFigures, type LinkWork } from './linkWork.js'
-import { NO_WORK, type EndpointRateLimit, type EndpointWork, type LoadReport, type LoadTotals, type WorkFigures } from './loadReport.js'
+import { IDLE_LINK, type LinkLoadFigures, type LinkLoad } from './linkLoad.js'
+import { NO_ENDPOINT_LOAD, type EndpointRateLimit, type EndpointLoad, type LoadReport, type LoadTotals, type LoadFigures } from './loadReport.js'
 
 /** Age after which it says nothing any more, in milliseconds: a few lost datagrams. */
 const LIFETIME_MS = 400
 
 /** Work of one host or of all. */
-export type HostWork = Pick<LoadReport, 'work' | 'links' | 'limits'>
+export type HostLoad = Pick<LoadReport, 'work' | 'links' | 'limits'>
 
 /** What this host reported under one sequence number, to be taken off the totals that answer it. */
 interface OwnReport {
   readonly sequence: number
-  readonly work: ReadonlyMap<string, EndpointWork>
-  readonly links: ReadonlyMap<string, LinkWork>
+  readonly work: ReadonlyMap<string, EndpointLoad>
+  readonly links: ReadonlyMap<string, LinkLoad>
 }
 
 /** Reports kept until they are answered. */
 const KEPT_REPORTS = 16
 
 /** Totals less what this host itself had reported. */
-export class OthersWork {
+export class PeerLoad {
   #reports: OwnReport[] = []
-  #others = new Map<string, WorkFigures>()
-  #links = new Map<string, LinkFigures>()
+  #others = new Map<string, LoadFigures>()
+  #links = new Map<string, LinkLoadFigures>()
   #limits: readonly EndpointRateLimit[] = []
   #receivedAt = Number.NEGATIVE_INFINITY
   #answered = -1
@@ -33,7 +33,7 @@
    * @param sequence - its number
    * @param own - this host's own work
    */
-  sent (sequence: number, { work, links }: HostWork): void {
+  recordOwnReport (sequence: number, { work, links }: HostLoad): void {
     this.#reports.push({
       sequence,
       work: new Map(work.map(entry => [entry.endpoint, entry])),
@@ -48,7 +48,7 @@
    * @param totals - work of all hosts, this one included, with the number of the report
    * @param now - monotonic milliseconds
    */
-  answered ({ sequence, work, links, limits = [] }: LoadTotals, now: number): void {
+  recordTotals ({ sequence, work, links, limits = [] }: LoadTotals, now: number): void {
     const own = this.#reports.find(report => report.sequence === sequence)
     if (own === undefined || sequence < this.#answered) return
     this.#answered = sequence
@@ -72,18 +72,18 @@
    * @param endpoint - incarnation of an endpoint
    * @returns work of all other hosts there
    */
-  at (endpoint: string): WorkFigures {
-    return this.#others.get(endpoint) ?? NO_WORK
+  forEndpoint (endpoint: string): LoadFigures {
+    return this.#others.get(endpoint) ?? NO_ENDPOINT_LOAD
   }
 
   /** What endpoints have said of the rates that they take, as of the last answer. */
   get limits (): readonly EndpointRateLimit[] { return this.#limits }
 
   /** What all other hosts have on links, by the links' names. */
-  get links (): ReadonlyMap<string, LinkFigures> { return this.#links }
+  get links (): ReadonlyMap<string, LinkLoadFigures> { return this.#links }
 }
 
-function subtract (total: EndpointWork, own: WorkFigures = NO_WORK): WorkFigures {
+function subtract (total: EndpointLoad, own: LoadFigures = NO_ENDPOINT_LOAD): LoadFigures {
   return {
     inFlight: Math.max(0, total.inFlight - own.inFlight),
     pendingTokens: Math.max(0, total.pendingTokens - own.pendingTokens),
@@ -98,7 +98,7 @@
   }
 }
 
-function subtractLink (total: LinkFigures, own: LinkFigures = IDLE_LINK): LinkFigures {
+function subtractLink (total: LinkLoadFigures, own: LinkLoadFigures = IDLE_LINK): LinkLoadFigures {
   return {
     pendingBytes: Math.max(0, total.pendingBytes - own.pendingBytes),
     samples: Math.max(0, total.samples - own.samples),
--- a/packages/routing/src/lib/load/SilentEndpoints.test.ts
+++ b/packages/routing/src/lib/load/UnresponsiveEndpointDetector.test.ts
@@ -1,41 +1,41 @@
 import { describe, expect, it } from 'vitest'
-import { NO_WORK, type EndpointWork } from './loadReport.js'
-import { LoadBoard } from './LoadBoard.js'
-import { SilentEndpoints } from './SilentEndpoints.js'
+import { NO_ENDPOINT_LOAD, type EndpointLoad } from './loadReport.js'
+import { LoadAggregator } from './LoadAggregator.js'
+import { UnresponsiveEndpointDetector } from './UnresponsiveEndpointDetector.js'
 
-const work = (endpoint: string, figures: Partial<EndpointWork>): EndpointWork => ({ ...NO_WORK, endpoint, ...figures })
-const silent = (endpoint: string): EndpointWork => work(endpoint, { inFlight: 5, lastByteAgoMs: 900, waitedMs: 900 })
-const busy = (endpoint: string): EndpointWork => work(endpoint, { inFlight: 5, lastByteAgoMs: 20, waitedMs: 900 })
+const work = (endpoint: string, figures: Partial<EndpointLoad>): EndpointLoad => ({ ...NO_ENDPOINT_LOAD, endpoint, ...figures })
+const silent = (endpoint: string): EndpointLoad => work(endpoint, { inFlight: 5, lastByteAgoMs: 900, waitedMs: 900 })
+const busy = (endpoint: string): EndpointLoad => work(endpoint, { inFlight: 5, lastByteAgoMs: 20, waitedMs: 900 })
 
 describe('SilentEndpoints', () => {
   it('asks one that is silent to all, or avoided by several, and no other', () => {
-    const silence = new SilentEndpoints()
+    const silence = new UnresponsiveEndpointDetector()
     silence.observe([
       silent('dark'), busy('busy'), work('idle', {}), work('starting', { inFlight: 2, lastByteAgoMs: 900, waitedMs: 900 }),
       work('avoided', { avoiders: 2 }), work('missed', { avoiders: 1 })
     ], 1000)
-    expect(silence.takeDue(1000)).toEqual(['dark', 'avoided'])
-    expect(silence.takeDue(1001)).toEqual([])
+    expect(silence.takeDueProbes(1000)).toEqual(['dark', 'avoided'])
+    expect(silence.takeDueProbes(1001)).toEqual([])
     expect(silence.unresponsive).toEqual([])
   })
 
   it('trusts one that answers for a while: its requests are slow, and not lost', () => {
-    const silence = new SilentEndpoints()
+    const silence = new UnresponsiveEndpointDetector()
     silence.observe([silent('slow')], 1000)
-    silence.takeDue(1000)
-    expect(silence.settle('slow', true, 1002)).toBeUndefined()
+    silence.takeDueProbes(1000)
+    expect(silence.recordProbeResult('slow', true, 1002)).toBeUndefined()
     silence.observe([silent('slow')], 2500)
-    expect(silence.takeDue(2500)).toEqual([])
+    expect(silence.takeDueProbes(2500)).toEqual([])
     silence.observe([silent('slow')], 3100)
-    expect(silence.takeDue(3100)).toEqual(['slow'])
+    expect(silence.takeDueProbes(3100)).toEqual(['slow'])
   })
 
   describe('one that does not answer', () => {
-    function darkAt (now: number): SilentEndpoints {
-      const silence = new SilentEndpoints()
+    function darkAt (now: number): UnresponsiveEndpointDetector {
+      const silence = new UnresponsiveEndpointDetector()
       silence.observe([silent('dark')], now)
-      silence.takeDue(now)
-      expect(silence.settle('dark', false, now + 250)).toEqual({ endpoint: 'dark', isUnresponsive: true })
+      silence.takeDueProbes(now)
+      expect(silence.recordProbeResult('dark', false, now + 250)).toEqual({ endpoint: 'dark', isUnresponsive: true })
       return silence
     }
 
@@ -44,16 +44,16 @@
       let questions = 0
       for (let now = 300; now < 12_000; now += 100) {
         silence.observe([], now)
-        for (const endpoint of silence.takeDue(now)) {
+        for (const endpoint of silence.takeDueProbes(now)) {
           questions += 1
-          silence.settle(endpoint, false, now + 50)
+          silence.recordProbeResult(endpoint, false, now + 50)
         }
         expect(silence.unresponsive).toEqual(['dark'])
       }
       // Each is priced.
       expect(questions).toBeLessThan(15)
-      const asked = [...Array(20).keys()].map(step => 12_000 + step * 100).find(now => silence.takeDue(now).length > 0) ?? 0
-      expect(silence.settle('dark', true, asked)).toEqual({ endpoint: 'dark', isUnresponsive: false })
+      const asked = [...Array(20).keys()].map(step => 12_000 + step * 100).find(now => silence.takeDueProbes(now).length > 0) ?? 0
+      expect(silence.recordProbeResult('dark', true, asked)).toEqual({ endpoint: 'dark', isUnresponsive: false })
       expect(silence.unresponsive).toEqual([])
     })
 
@@ -82,8 +82,8 @@
         seed = (Math.imul(seed, 1664525) + 1013904223) >>> 0
         return seed / 2 ** 32
       }
-      const board = new LoadBoard()
-      const silence = new SilentEndpoints()
+      const board = new LoadAggregator()
+      const silence = new UnresponsiveEndpointDetector()
       const underWay = Array.from({ length: hosts }, () => new Map<string, number[]>())
       const lastBytes = Array.from({ length: hosts }, () => new Map<string, number>())
       const lost: number[] = []
@@ -105,8 +105,8 @@
         for (let host = now / 100 % 3; host < hosts; host += 3) report(host, now)
         if (!isAsked) continue
         silence.observe(board.totals(now).work, now)
-        for (const endpoint of silence.takeDue(now)) asked.push({ endpoint, at: now })
-        for (const { endpoint } of asked.filter(({ at }) => at === now - 200)) silence.settle(endpoint, !isDark(Number(endpoint.slice(1)), now), now)
+        for (const endpoint of silence.takeDueProbes(now)) asked.push({ endpoint, at: now })
+        for (const { endpoint } of asked.filter(({ at }) => at === now - 200)) silence.recordProbeResult(endpoint, !isDark(Number(endpoint.slice(1)), now), now)
         board.setUnresponsive(silence.unresponsive)
       }
       return lost
--- a/packages/routing/src/lib/load/SilentEndpoints.ts
+++ b/packages/routing/src/lib/load/UnresponsiveEndpointDetector.ts
@@ -9,7 +9,7 @@
  * all, or avoided by several, is asked directly; without an answer it is unresponsive to all hosts, and
  * stays so until it answers such a question or some host hears a byte from it.
  */
-import type { EndpointWork } from './loadReport.js'
+import type { EndpointLoad } from './loadReport.js'
 
 /** Silence towards all hosts after which an endpoint with work is asked, in milliseconds: hosts with work tell of it every 300. */
 const SUSPECT_MS = 400
@@ -38,13 +38,13 @@
 }
 
 /** What was found out. */
-export interface ResponseChange {
+export interface ResponsivenessChange {
   readonly endpoint: string
   readonly isUnresponsive: boolean
 }
 
 /** Who is suspected, and who does not respond. */
-export class SilentEndpoints {
+export class UnresponsiveEndpointDetector {
   readonly #suspects = new Map<string, Suspect>()
   readonly #trustedUntil = new Map<string, number>()
 
@@ -58,8 +58,8 @@
    * @param now - monotonic milliseconds
    * @returns incarnations that are heard again
    */
-  observe (work: readonly EndpointWork[], now: number): ResponseChange[] {
-    const changes: ResponseChange[] = []
+  observe (work: readonly EndpointLoad[], now: number): ResponsivenessChange[] {
+    const changes: ResponsivenessChange[] = []
     for (const entry of work) {
       const suspect = this.#suspects.get(entry.endpoint)
       if (suspect === undefined) this.#suspect(entry, now)
@@ -72,7 +72,7 @@
    * @param now - monotonic milliseconds
    * @returns incarnations to be asked now; each has to be settled
    */
-  takeDue (now: number): string[] {
+  takeDueProbes (now: number): string[] {
     const due = [...this.#suspects].filter(([, { askAt, isAsked }]) => !isAsked && askAt <= now)
     for (const [, suspect] of due) suspect.isAsked = true
     return due.map(([endpoint]) => endpoint)
@@ -86,7 +86,7 @@
    * @param now - monotonic milliseconds
    * @returns what that changes
    */
-  settle (endpoint: string, hasAnswered: boolean, now: number): ResponseChange | undefined {
+  recordProbeResult (endpoint: string, hasAnswered: boolean, now: number): ResponsivenessChange | undefined {
     const suspect = this.#suspects.get(endpoint)
     if (suspect === undefined) return undefined
     const wasUnresponsive = suspect.unresponsiveSince !== undefined
@@ -111,14 +111,14 @@
     }
   }
 
-  #suspect ({ endpoint, inFlight, lastByteAgoMs, waitedMs, avoiders }: EndpointWork, now: number): void {
+  #suspect ({ endpoint, inFlight, lastByteAgoMs, waitedMs, avoiders }: EndpointLoad, now: number): void {
     const isSilent = inFlight >= SUSPECT_REQUESTS && lastByteAgoMs > SUSPECT_MS && waitedMs > SUSPECT_MS
     const isAvoided = avoiders >= SUSPECT_AVOIDERS
     if ((!isSilent && !isAvoided) || now < (this.#trustedUntil.get(endpoint) ?? Number.NEGATIVE_INFINITY)) return
     this.#suspects.set(endpoint, { unresponsiveSince: undefined, askAt: now, pauseMs: FIRST_PAUSE_MS, isAsked: false })
   }
 
-  #clear (endpoint: string, now: number): ResponseChange {
+  #clear (endpoint: string, now: number): ResponsivenessChange {
     this.#suspects.delete(endpoint)
     this.#trustedUntil.set(endpoint, now + TRUSTED_MS)
     return { endpoint, isUnresponsive: false }
--- a/packages/routing/src/lib/load/linkWork.ts
+++ b/packages/routing/src/lib/load/linkLoad.ts
@@ -1,13 +1,13 @@
 /** What entry hosts tell of the links over which stores send kept prompts. */
 
 /** Transfers of one or all hosts over one link, and what they have shown of its speed. */
-export interface LinkWork extends LinkFigures {
+export interface LinkLoad extends LinkLoadFigures {
   /** Store and data centre that the link joins, see {@link linkName}. */
   readonly link: string
 }
 
 /** Figures of a link. */
-export interface LinkFigures {
+export interface LinkLoadFigures {
   /** Bytes that engines were told to fetch and that have not shown by a first event. */
   readonly pendingBytes: number
   /** Transfers that ended lately; older ones count less. */
@@ -19,7 +19,7 @@
 }
 
 /** A link of which nothing is known. */
-export const IDLE_LINK: LinkFigures = { pendingBytes: 0, samples: 0, slower: 0, faster: 0 }
+export const IDLE_LINK: LinkLoadFigures = { pendingBytes: 0, samples: 0, slower: 0, faster: 0 }
 
 /** Between store and data centre; a store's name may hold it as well. */
 const SEPARATOR = '>'
@@ -46,7 +46,7 @@
  * @param other - figures of the same link
  * @returns both together
  */
-export function addLinks (one: LinkFigures, other: LinkFigures): LinkFigures {
+export function addLinkLoads (one: LinkLoadFigures, other: LinkLoadFigures): LinkLoadFigures {
   return {
     pendingBytes: one.pendingBytes + other.pendingBytes,
     samples: one.samples + other.samples,
--- a/packages/routing/src/lib/load/loadCodec.test.ts
+++ b/packages/routing/src/lib/load/loadCodec.test.ts
@@ -1,12 +1,12 @@
 import { encode } from '@msgpack/msgpack'
 import { describe, expect, it } from 'vitest'
 import { decodeLoadReport, decodeLoadTotals, encodeLoadReport, encodeLoadTotals, frameLoadTotals } from './loadCodec.js'
-import type { LinkWork } from './linkWork.js'
-import type { EndpointRateLimit, EndpointWork } from './loadReport.js'
+import type { LinkLoad } from './linkLoad.js'
+import type { EndpointRateLimit, EndpointLoad } from './loadReport.js'
 
-const work = (number: number): EndpointWork => ({ endpoint: `i-${(0x7f3a91c2 + number).toString(16)}`, inFlight: 7, pendingTokens: 12_352, heldTokens: 98_768, lastByteAgoMs: 180, waitedMs: 2_400, avoiders: 2, unresponsive: 1, outcomes: 31, failures: 4 })
+const work = (number: number): EndpointLoad => ({ endpoint: `i-${(0x7f3a91c2 + number).toString(16)}`, inFlight: 7, pendingTokens: 12_352, heldTokens: 98_768, lastByteAgoMs: 180, waitedMs: 2_400, avoiders: 2, unresponsive: 1, outcomes: 31, failures: 4 })
 const pool = Array.from({ length: 98 }, (_, number) => work(number))
-const links: LinkWork[] = Array.from({ length: 24 }, (_, number) => ({ link: `keep-${number}>north`, pendingBytes: number * 2 ** 22, samples: 3.5, slower: 4.25, faster: 0.5 }))
+const links: LinkLoad[] = Array.from({ length: 24 }, (_, number) => ({ link: `keep-${number}>north`, pendingBytes: number * 2 ** 22, samples: 3.5, slower: 4.25, faster: 0.5 }))
 
 describe('loadCodec', () => {
   it('brings reports and totals across unchanged', () => {
--- a/packages/routing/src/lib/load/loadCodec.ts
+++ b/packages/routing/src/lib/load/loadCodec.ts
@@ -8,8 +8,8 @@
  */
 import { decode, encode } from '@msgpack/msgpack'
 import { z } from 'zod'
-import type { LinkFigures, LinkWork } from './linkWork.js'
-import type { EndpointRateLimit, EndpointWork, LoadReport, LoadTotals, WorkFigures } from './loadReport.js'
+import type { LinkLoadFigures, LinkLoad } from './linkLoad.js'
+import type { EndpointRateLimit, EndpointLoad, LoadReport, LoadTotals, LoadFigures } from './loadReport.js'
 
 /** Bytes of the sequence in front of totals. */
 const SEQUENCE_BYTES = 4
@@ -48,7 +48,7 @@
 /** Figures of an endpoint; their order on the wire is that of `writeWork` and `readWork`. */
 const ENDPOINT_FIGURES = 9
 
-const LINK_FIGURES: Figures<LinkFigures> = [
+const LINK_FIGURES: Figures<LinkLoadFigures> = [
   ['pendingBytes', LINK_BLOCK_BYTES], ['samples', SAMPLE_STEP], ['slower', SAMPLE_STEP], ['faster', SAMPLE_STEP]
 ]
 
@@ -105,13 +105,13 @@
  * @returns the totals
  * @throws if the bytes are no answer
  */
-export function decodeLoadTotals (bytes: Buffer, names = new NameList()): LoadTotals {
+export function decodeLoadTotals (bytes: Buffer, names = new EndpointNameCache()): LoadTotals {
   const [work, links, limits] = totalsSchema.parse(decode(bytes.subarray(SEQUENCE_BYTES)))
   return { sequence: bytes.readUInt32BE(0), work: toEndpointWork(work, names), links: toLinkWork(links), ...toLimits(limits) }
 }
 
 /** Names in a table, read anew only when they change: the endpoints with work are mostly the same from one answer to the next. */
-export class NameList {
+export class EndpointNameCache {
   #text = ''
   #names: readonly string[] = []
 
@@ -128,7 +128,7 @@
   }
 }
 
-function toEndpointTable (work: readonly EndpointWork[]): Table {
+function toEndpointTable (work: readonly EndpointLoad[]): Table {
   const bytes = new Uint8Array(work.length * ENDPOINT_FIGURES * FIGURE_BYTES)
   const view = new DataView(bytes.buffer)
   let at = 0
@@ -139,7 +139,7 @@
   return [joinNames(work.map(entry => entry.endpoint)), bytes]
 }
 
-function writeWork (view: DataView, at: number, work: WorkFigures): void {
+function writeWork (view: DataView, at: number, work: LoadFigures): void {
   view.setUint16(at, toFigure(work.inFlight))
   view.setUint16(at + 2, toFigure(work.pendingTokens / BLOCK_TOKENS))
   view.setUint16(at + 4, toFigure(work.heldTokens / BLOCK_TOKENS))
@@ -151,7 +151,7 @@
   view.setUint16(at + 16, toFigure(work.failures))
 }
 
-function readWork (view: DataView, at: number, endpoint: string): EndpointWork {
+function readWork (view: DataView, at: number, endpoint: string): EndpointLoad {
   return {
     endpoint,
     inFlight: view.getUint16(at),
@@ -170,7 +170,7 @@
   return Math.min(LARGEST_FIGURE, Math.round(value))
 }
 
-function toLinkTable (links: readonly LinkWork[]): Table {
+function toLinkTable (links: readonly LinkLoad[]): Table {
   return toTable(links.map(entry => entry.link), links, LINK_FIGURES)
 }
 
@@ -207,7 +207,7 @@
   return name.replaceAll(ESCAPED_SEPARATOR, SEPARATOR).replaceAll(ESCAPED_ESCAPE, ESCAPE)
 }
 
-function toEndpointWork ([text, figures]: Table, names = new NameList()): EndpointWork[] {
+function toEndpointWork ([text, figures]: Table, names = new EndpointNameCache()): EndpointLoad[] {
   if (text === '' && figures.length === 0) return []
   const read = names.read(text)
   const rowBytes = ENDPOINT_FIGURES * FIGURE_BYTES
@@ -215,7 +215,7 @@
   return read.map((name, row) => readWork(view, row * rowBytes, name))
 }
 
-function toLinkWork (table: Table): LinkWork[] {
+function toLinkWork (table: Table): LinkLoad[] {
   return readRows(table, LINK_FIGURES.length).map(({ name, figure }) => ({
     link: name,
     pendingBytes: figure(0) * LINK_BLOCK_BYTES,
--- a/packages/routing/src/lib/load/loadReport.ts
+++ b/packages/routing/src/lib/load/loadReport.ts
@@ -1,9 +1,9 @@
 /** What entry hosts tell of the work that they have under way at endpoints. */
 import type { RateLimitStatement } from '../endpoints/StatedRateLimit.js'
-import type { LinkWork } from './linkWork.js'
+import type { LinkLoad } from './linkLoad.js'
 
 /** Work of one or all hosts at one endpoint, and what they have seen of it. */
-export interface EndpointWork extends EndpointObservations {
+export interface EndpointLoad extends EndpointObservations {
   /** Incarnation, so that work at a former one is not added to that at the present one. */
   readonly endpoint: string
   /** Requests sent and not answered whole. */
@@ -31,14 +31,14 @@
 }
 
 /** Work without its endpoint's name. */
-export type WorkFigures = Omit<EndpointWork, 'endpoint'>
+export type LoadFigures = Omit<EndpointLoad, 'endpoint'>
 
 /** Milliseconds beyond which it does not matter how long ago something was. */
-export const LONG_AGO_MS = 60_000
+export const MAX_REPORTED_AGE_MS = 60_000
 
 /** An endpoint without work of which nothing was seen. */
-export const NO_WORK: WorkFigures = {
-  inFlight: 0, pendingTokens: 0, heldTokens: 0, lastByteAgoMs: LONG_AGO_MS, waitedMs: 0, avoiders: 0, unresponsive: 0, outcomes: 0, failures: 0
+export const NO_ENDPOINT_LOAD: LoadFigures = {
+  inFlight: 0, pendingTokens: 0, heldTokens: 0, lastByteAgoMs: MAX_REPORTED_AGE_MS, waitedMs: 0, avoiders: 0, unresponsive: 0, outcomes: 0, failures: 0
 }
 
 /** What an endpoint said last of the rate that it takes. */
@@ -52,8 +52,8 @@
   readonly host: string
   /** Rises with each report. */
   readonly sequence: number
-  readonly work: readonly EndpointWork[]
-  readonly links: readonly LinkWork[]
+  readonly work: readonly EndpointLoad[]
+  readonly links: readonly LinkLoad[]
   /** What the host has read of late; absent if it has read of no limit. */
   readonly limits?: readonly EndpointRateLimit[]
 }
@@ -62,8 +62,8 @@
 export interface LoadTotals {
   /** The report of the asking host that the work includes. */
   readonly sequence: number
-  readonly work: readonly EndpointWork[]
-  readonly links: readonly LinkWork[]
+  readonly work: readonly EndpointLoad[]
+  readonly links: readonly LinkLoad[]
   /** Newest statements that any host has read; absent if there are none. */
   readonly limits?: readonly EndpointRateLimit[]
 }
