--- a/packages/routing/src/lib/mechanisms/mechanisms.ts
+++ b/packages/routing/src/lib/mechanisms/mechanisms.ts
@@ -10,11 +10,11 @@
 import { ADMISSION_LIMITS, type AdmissionLimits } from '../admission/admitStream.js'
 import { EngineModel } from '../endpoints/EngineModel.js'
 import { Slowness } from '../endpoints/Slowness.js'
-import { NO_WORK, type WorkFigures } from '../load/loadReport.js'
-import { OthersWork } from '../load/OthersWork.js'
+import { NO_ENDPOINT_LOAD, type LoadFigures } from '../load/loadReport.js'
+import { PeerLoad } from '../load/PeerLoad.js'
 import { engineRank } from '../prompts/engineRank.js'
 import { homeEndpoint } from '../prompts/homeEndpoint.js'
-import type { LinkChange } from '../stores/LinkSpeeds.js'
+import type { LinkSpeedChange } from '../stores/LinkSpeeds.js'
 import { StoreLinks } from '../stores/StoreLinks.js'
 
 /** Mechanisms that can be left out. */
@@ -55,10 +55,10 @@
   readonly admission: AdmissionLimits
   readonly usesStores: boolean
   readonly waitsForSite: boolean
-  readonly others: OthersWork
-  engineModel (): EngineModel
-  slowness (): Slowness
-  storeLinks (liveHosts: () => number): StoreLinks
+  readonly peerLoad: PeerLoad
+  createEngineModel (): EngineModel
+  createSlownessEstimator (): Slowness
+  createStoreLinks (liveHosts: () => number): StoreLinks
 }
 
 /**
@@ -77,10 +77,10 @@
     },
     usesStores: has('store-fetches'),
     waitsForSite: has('startup-queue'),
-    others: has('others-work') && has('shared-observations') ? new OthersWork() : new PartOfOthersWork(has('others-work'), has('shared-observations')),
-    engineModel: () => has('engine-times') ? new EngineModel() : new AssumedEngineModel(),
-    slowness: () => has('slowness') ? new Slowness() : new EvenSlowness(),
-    storeLinks: liveHosts => has('link-speeds') ? new StoreLinks(liveHosts) : new StatedStoreLinks(liveHosts)
+    peerLoad: has('others-work') && has('shared-observations') ? new PeerLoad() : new PartOfOthersWork(has('others-work'), has('shared-observations')),
+    createEngineModel: () => has('engine-times') ? new EngineModel() : new AssumedEngineModel(),
+    createSlownessEstimator: () => has('slowness') ? new Slowness() : new EvenSlowness(),
+    createStoreLinks: liveHosts => has('link-speeds') ? new StoreLinks(liveHosts) : new StatedStoreLinks(liveHosts)
   }
 }
 
@@ -97,17 +97,17 @@
 /** Links that are as fast as the site states, with this host's transfers only. */
 class StatedStoreLinks extends StoreLinks {
   override observe (): void {}
-  override observeOthers (): LinkChange[] { return [] }
+  override observePeers (): LinkSpeedChange[] { return [] }
 }
 
 /** What other hosts tell, without their work or without what they see. */
-class PartOfOthersWork extends OthersWork {
+class PartOfOthersWork extends PeerLoad {
   constructor (private readonly hasWork: boolean, private readonly hasObservations: boolean) {
     super()
   }
 
-  override at (endpoint: string): WorkFigures {
-    const { inFlight, pendingTokens, heldTokens, ...observations } = super.at(endpoint)
-    return { ...NO_WORK, ...(this.hasWork ? { inFlight, pendingTokens, heldTokens } : {}), ...(this.hasObservations ? observations : {}) }
+  override forEndpoint (endpoint: string): LoadFigures {
+    const { inFlight, pendingTokens, heldTokens, ...observations } = super.forEndpoint(endpoint)
+    return { ...NO_ENDPOINT_LOAD, ...(this.hasWork ? { inFlight, pendingTokens, heldTokens } : {}), ...(this.hasObservations ? observations : {}) }
   }
 }
--- a/packages/routing/src/lib/places/RegionBound.test.ts
+++ b/packages/routing/src/lib/places/RegionBound.test.ts
@@ -4,7 +4,7 @@
 import { chooseEndpoint } from '../endpoints/chooseEndpoint.js'
 import { EndpointState } from '../endpoints/EndpointState.js'
 import { cacheScope } from '../prompts/cacheScope.js'
-import { PromptMemory } from '../prompts/PromptMemory.js'
+import { PromptResidencyTracker } from '../prompts/PromptResidencyTracker.js'
 import { StoredPartsIndex } from '../stores/StoredPartsIndex.js'
 import { regionBoundOf } from './RegionBound.js'
 
@@ -38,12 +38,12 @@
 
   it('goes to an endpoint there, however far and busy it is', () => {
     const far = new EndpointState(listed('far', 'hall-c'))
-    for (let sent = 0; sent < 30; sent += 1) far.begin(0, 0, 0)
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], ask, new PromptMemory(), 0, 0)).toMatchObject({ endpoint: far })
+    for (let sent = 0; sent < 30; sent += 1) far.beginRequest(0, 0, 0)
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a')), far], ask, new PromptResidencyTracker(), 0, 0)).toMatchObject({ endpoint: far })
   })
 
   it('has no endpoint where there is none, and the reason says so', () => {
-    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], ask, new PromptMemory(), 0, 0)).toBe('none-in-regions')
+    expect(chooseEndpoint([new EndpointState(listed('near', 'hall-a'))], ask, new PromptResidencyTracker(), 0, 0)).toBe('none-in-regions')
   })
 
   it('is kept in stores there only, and not under the name that other prompts use', () => {
--- a/packages/routing/src/lib/prompts/OlderWeights.ts
+++ b/packages/routing/src/lib/prompts/OutdatedWeightsDeadlines.ts
@@ -32,7 +32,7 @@
 const FIRST_VERSION = 1
 
 /** What one host has heard named. */
-export class OlderWeights {
+export class OutdatedWeightsDeadlines {
   /** In order of their versions. */
   readonly #namings = new Map<string, Naming[]>()
   #hasObserved = false
@@ -60,7 +60,7 @@
    * @param now - monotonic milliseconds
    * @returns milliseconds within which it may begin there; later weights don't prolong what earlier ones have ended
    */
-  leftMs (model: string, held: number, now: number): number {
+  remainingMs (model: string, held: number, now: number): number {
     const next = this.#namings.get(model)?.find(({ version }) => version > held)
     return next === undefined ? Number.POSITIVE_INFINITY : Math.max(0, next.endsAt - now)
   }
--- a/packages/routing/src/lib/prompts/PromptMemory.ts
+++ b/packages/routing/src/lib/prompts/PromptResidencyTracker.ts
@@ -20,7 +20,7 @@
 }
 
 /** Remembers sends. Being wrong costs time, never correctness: the engine itself knows what it holds. */
-export class PromptMemory {
+export class PromptResidencyTracker {
   /** For each part and scope, when it was last sent to which engine; the oldest part first. */
   readonly #sends = new Map<string, Map<string, number>>()
 
--- a/packages/routing/src/lib/quarantine/CrashCorrelator.test.ts
+++ b/packages/routing/src/lib/quarantine/CrashCorrelator.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import type { QuarantineState } from '@eelgrassmux/schema/quarantineEntry'
 import { CrashCorrelator, type AgreedQuarantine, type KnownEntry } from './CrashCorrelator.js'
-import { EVIDENCE_MS, FIRST_QUARANTINE_MS } from './quarantineTerms.js'
+import { EVIDENCE_LIFETIME_MS, FIRST_QUARANTINE_MS } from './quarantineDurations.js'
 
 const POISON = 'd'.repeat(32)
 const SETTLED_MS = 400
@@ -37,7 +37,7 @@
   }
 
   settleAll (now: number): void {
-    for (const endpoint of this.correlator.unconfirmedCrashes(this.agreed)) this.correlator.settle(endpoint, true, now)
+    for (const endpoint of this.correlator.unconfirmedCrashes(this.agreed)) this.correlator.recordCrashCheck(endpoint, true, now)
   }
 
   /** All uncertain endpoints turn out to have ended, and what follows is agreed at once. */
@@ -91,8 +91,8 @@
     it('is not found by ends that lie too far back', () => {
       const reports = new Reports()
       reports.end('e1', 0, [POISON])
-      for (const end of [2, 3]) reports.end(`e${end}`, EVIDENCE_MS + end * 1000, [POISON])
-      expect(reports.decide(EVIDENCE_MS + 4000)).toEqual([[POISON, 'suspect']])
+      for (const end of [2, 3]) reports.end(`e${end}`, EVIDENCE_LIFETIME_MS + end * 1000, [POISON])
+      expect(reports.decide(EVIDENCE_LIFETIME_MS + 4000)).toEqual([[POISON, 'suspect']])
     })
   })
 
@@ -120,7 +120,7 @@
       expect(reports.decide(2400)).toEqual([[popular, 'suspect']])
       expect(reports.decide(2500)).toEqual([])
       // It comes through at a host that has heard of the suspicion by then.
-      reports.correlator.clear(popular, 2600)
+      reports.correlator.recordCompletion(popular, 2600)
       reports.disagree(popular)
       expect(reports.decide(5000)).toEqual([])
     })
@@ -131,7 +131,7 @@
       reports.end('e1', 1000, [popular])
       reports.end('e2', 2000, [popular])
       expect(reports.decide(2000 + SETTLED_MS)).toEqual([[popular, 'suspect']])
-      reports.correlator.clear(popular, 2500)
+      reports.correlator.recordCompletion(popular, 2500)
       for (const end of [3, 4, 5, 6]) reports.end(`e${end}`, end * 1000, [popular])
       expect(reports.decide(7000)).toEqual([])
     })
@@ -148,7 +148,7 @@
     it('do not count at all if only connections to them broke', () => {
       const reports = new Reports()
       for (const end of [1, 2, 3]) reports.end(`e${end}`, end * 1000, [POISON])
-      for (const endpoint of reports.correlator.unconfirmedCrashes(reports.agreed)) reports.correlator.settle(endpoint, false, 3100)
+      for (const endpoint of reports.correlator.unconfirmedCrashes(reports.agreed)) reports.correlator.recordCrashCheck(endpoint, false, 3100)
       expect(reports.decide(4000)).toEqual([])
       // Told again by a host that still holds it.
       reports.correlator.observe({ fingerprint: POISON, service: 's', endpoint: 'e1', agoMs: 3500, ranMs: 100 }, 4500)
--- a/packages/routing/src/lib/quarantine/CrashCorrelator.ts
+++ b/packages/routing/src/lib/quarantine/CrashCorrelator.ts
@@ -10,7 +10,7 @@
  */
 import type { QuarantineDecision, QuarantineEntry } from '@eelgrassmux/schema/quarantineEntry'
 import type { CrashReport } from './crashReport.js'
-import { EVIDENCE_MS, quarantineMs, SUSPICION_MS } from './quarantineTerms.js'
+import { EVIDENCE_LIFETIME_MS, quarantineDurationMs, SUSPICION_DURATION_MS } from './quarantineDurations.js'
 
 /** Crashes after which a request that was at all of them is taken to be the cause. */
 const CRASHES_TO_QUARANTINE = 3
@@ -25,7 +25,7 @@
 const SETTLING_MS = 300
 
 /** Time for which a request that completed is not suspected again, in milliseconds. */
-const CLEARED_MS = EVIDENCE_MS
+const CLEARED_MS = EVIDENCE_LIFETIME_MS
 
 /**
  * Time for which a request is suspected before it may be quarantined, in milliseconds: hosts hear of it, and one
@@ -105,7 +105,7 @@
    */
   observe ({ fingerprint, service, endpoint, agoMs, ranMs }: CrashReport, now: number): void {
     const at = now - agoMs
-    const isOld = agoMs >= EVIDENCE_MS || at <= (this.#aliveAt.get(endpoint) ?? Number.NEGATIVE_INFINITY)
+    const isOld = agoMs >= EVIDENCE_LIFETIME_MS || at <= (this.#aliveAt.get(endpoint) ?? Number.NEGATIVE_INFINITY)
     if (isOld || this.#isCleared(fingerprint, now)) return
     const crash = this.#crashes.get(endpoint) ?? this.#addCrash(endpoint, at)
     if (crash.suspects.size >= MOST_SUSPECTS_OF_CRASH && !crash.suspects.has(fingerprint)) return
@@ -137,7 +137,7 @@
    * @param hasCrashed - whether it has; if not, only connections to it broke
    * @param now - monotonic milliseconds
    */
-  settle (endpoint: string, hasCrashed: boolean, now: number): void {
+  recordCrashCheck (endpoint: string, hasCrashed: boolean, now: number): void {
     const crash = this.#crashes.get(endpoint)
     if (crash === undefined) return
     if (hasCrashed) {
@@ -154,7 +154,7 @@
    * @param fingerprint - of the request
    * @param now - monotonic milliseconds
    */
-  clear (fingerprint: string, now: number): void {
+  recordCompletion (fingerprint: string, now: number): void {
     remember(this.#clearedAt, fingerprint, now)
     for (const endpoint of this.#suspects.get(fingerprint)?.endpoints ?? []) {
       if (this.#crashes.get(endpoint)?.suspects.delete(fingerprint) === true) this.#losses -= 1
@@ -175,7 +175,7 @@
     for (let correlation = this.#strongest(quarantined, agreed, now); correlation !== undefined; correlation = this.#strongest(quarantined, agreed, now)) {
       const { fingerprint, service } = correlation
       quarantined.add(fingerprint)
-      decisions.push({ fingerprint, service, decision: 'quarantine', forMs: quarantineMs(agreed.find(fingerprint)?.quarantines ?? 0) })
+      decisions.push({ fingerprint, service, decision: 'quarantine', forMs: quarantineDurationMs(agreed.find(fingerprint)?.quarantines ?? 0) })
     }
     const suspicions = this.#suspicions(quarantined, agreed, now)
     for (const { fingerprint } of suspicions) remember(this.#suspectedAt, fingerprint, now)
@@ -217,7 +217,7 @@
       .filter(({ fingerprint, distinctCrashes }) => distinctCrashes >= CRASHES_TO_SUSPECT && agreed.find(fingerprint) === undefined)
       .sort(compareStrength)
       .slice(0, Math.max(0, room))
-      .map(({ fingerprint, service }) => ({ fingerprint, service, decision: 'suspect', forMs: SUSPICION_MS }))
+      .map(({ fingerprint, service }) => ({ fingerprint, service, decision: 'suspect', forMs: SUSPICION_DURATION_MS }))
   }
 
   /** Requests that may be decided on: at several endpoints or, if they are known, at one. */
@@ -286,7 +286,7 @@
   }
 
   #forgetOld (now: number): void {
-    for (const [endpoint, { at }] of this.#crashes) if (now - at >= EVIDENCE_MS) this.#dropCrash(endpoint)
+    for (const [endpoint, { at }] of this.#crashes) if (now - at >= EVIDENCE_LIFETIME_MS) this.#dropCrash(endpoint)
   }
 
   #dropCrash (endpoint: string): void {
--- a/packages/routing/src/lib/quarantine/CrashEvidence.ts
+++ b/packages/routing/src/lib/quarantine/CrashEvidence.ts
@@ -1,11 +1,11 @@
 /** What one entry host holds of requests that were lost with an endpoint, until it counts no more. */
-import { MOST_REPORTS_OF_HOST, type CrashReport } from './crashReport.js'
-import { EVIDENCE_MS } from './quarantineTerms.js'
+import { MAX_REPORTS_PER_HOST, type CrashReport } from './crashReport.js'
+import { EVIDENCE_LIFETIME_MS } from './quarantineDurations.js'
 
 /** A request that was lost with its endpoint. */
-export type LostRun = Omit<CrashReport, 'agoMs'>
+export type LostRequest = Omit<CrashReport, 'agoMs'>
 
-interface HeldRun extends LostRun {
+interface HeldRun extends LostRequest {
   readonly at: number
 }
 
@@ -19,10 +19,10 @@
    * @param run - what was lost
    * @param now - monotonic milliseconds
    */
-  note (run: LostRun, now: number): void {
-    this.#held = this.#held.filter(({ at }) => now - at < EVIDENCE_MS)
+  record (run: LostRequest, now: number): void {
+    this.#held = this.#held.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS)
     this.#held.push({ ...run, at: now })
-    if (this.#held.length > MOST_REPORTS_OF_HOST) this.#held.shift()
+    if (this.#held.length > MAX_REPORTS_PER_HOST) this.#held.shift()
   }
 
   /** @param fingerprint - of a request that completed: it was only there */
@@ -35,6 +35,6 @@
    * @returns all that still counts
    */
   reports (now: number): CrashReport[] {
-    return this.#held.filter(({ at }) => now - at < EVIDENCE_MS).map(({ at, ...run }) => ({ ...run, agoMs: now - at }))
+    return this.#held.filter(({ at }) => now - at < EVIDENCE_LIFETIME_MS).map(({ at, ...run }) => ({ ...run, agoMs: now - at }))
   }
 }
--- a/packages/routing/src/lib/quarantine/QuarantineTable.ts
+++ b/packages/routing/src/lib/quarantine/QuarantineTable.ts
@@ -34,14 +34,14 @@
    */
   replace (told: readonly QuarantineEntryMessage[], now: number): void {
     this.#held = new Map()
-    this.change({ quarantine: told, quarantineRemoved: [] }, now)
+    this.applyChanges({ quarantine: told, quarantineRemoved: [] }, now)
   }
 
   /**
    * @param changes - since the last view
    * @param now - monotonic milliseconds
    */
-  change ({ quarantine, quarantineRemoved }: QuarantineTableChanges, now: number): void {
+  applyChanges ({ quarantine, quarantineRemoved }: QuarantineTableChanges, now: number): void {
     for (const fingerprint of quarantineRemoved) this.#held.delete(fingerprint)
     for (const { leftMs, ...entry } of quarantine) this.#held.set(entry.fingerprint, { ...entry, endsAt: now + leftMs })
   }
--- a/packages/routing/src/lib/quarantine/crashReport.ts
+++ b/packages/routing/src/lib/quarantine/crashReport.ts
@@ -8,7 +8,7 @@
 const timeSchema = z.number().min(0)
 
 /** Reports that one host holds at most, the newest ones: two endpoints full of its requests. */
-export const MOST_REPORTS_OF_HOST = 256
+export const MAX_REPORTS_PER_HOST = 256
 
 export const crashReportSchema = z.strictObject({
   fingerprint: fingerprintSchema,
--- a/packages/routing/src/lib/quarantine/evidenceAndTable.test.ts
+++ b/packages/routing/src/lib/quarantine/evidenceAndTable.test.ts
@@ -1,32 +1,32 @@
 import { describe, expect, it } from 'vitest'
 import type { QuarantineEntryMessage } from '@eelgrassmux/schema/quarantineEntry'
-import { CrashEvidence, type LostRun } from './CrashEvidence.js'
-import { crashReportSchema, MOST_REPORTS_OF_HOST } from './crashReport.js'
-import { EVIDENCE_MS, FIRST_QUARANTINE_MS, LONGEST_QUARANTINE_MS, quarantineMs } from './quarantineTerms.js'
+import { CrashEvidence, type LostRequest } from './CrashEvidence.js'
+import { crashReportSchema, MAX_REPORTS_PER_HOST } from './crashReport.js'
+import { EVIDENCE_LIFETIME_MS, FIRST_QUARANTINE_MS, MAX_QUARANTINE_MS, quarantineDurationMs } from './quarantineDurations.js'
 import { QuarantineTable } from './QuarantineTable.js'
 
 const FINGERPRINT = 'a'.repeat(32)
-const run = (number: number): LostRun => ({ fingerprint: number.toString(16).padStart(32, '0'), service: 's', endpoint: `e${number}`, ranMs: 10 })
+const run = (number: number): LostRequest => ({ fingerprint: number.toString(16).padStart(32, '0'), service: 's', endpoint: `e${number}`, ranMs: 10 })
 
 describe('CrashEvidence', () => {
   it('tells how long ago each loss was, until it counts no more', () => {
     const evidence = new CrashEvidence()
-    evidence.note(run(1), 1000)
+    evidence.record(run(1), 1000)
     expect(evidence.reports(1500)).toEqual([{ ...run(1), agoMs: 500 }])
-    expect(evidence.reports(1000 + EVIDENCE_MS)).toEqual([])
+    expect(evidence.reports(1000 + EVIDENCE_LIFETIME_MS)).toEqual([])
   })
 
   it('forgets what came through', () => {
     const evidence = new CrashEvidence()
-    for (const number of [1, 2, 1]) evidence.note(run(number), number)
+    for (const number of [1, 2, 1]) evidence.record(run(number), number)
     evidence.forget(run(1).fingerprint)
     expect(evidence.reports(10).map(({ endpoint }) => endpoint)).toEqual(['e2'])
   })
 
   it('holds a bounded number, the newest', () => {
     const evidence = new CrashEvidence()
-    for (let number = 0; number < 1000; number += 1) evidence.note(run(number), number)
-    expect(evidence.size).toBe(MOST_REPORTS_OF_HOST)
+    for (let number = 0; number < 1000; number += 1) evidence.record(run(number), number)
+    expect(evidence.size).toBe(MAX_REPORTS_PER_HOST)
     expect(evidence.reports(1000).at(-1)?.endpoint).toBe('e999')
   })
 })
@@ -50,12 +50,12 @@
 
 describe('quarantineMs', () => {
   it('doubles with each, up to a day', () => {
-    expect([0, 1, 2].map(quarantineMs)).toEqual([1, 2, 4].map(factor => factor * FIRST_QUARANTINE_MS))
-    expect(quarantineMs(50)).toBe(LONGEST_QUARANTINE_MS)
+    expect([0, 1, 2].map(quarantineDurationMs)).toEqual([1, 2, 4].map(factor => factor * FIRST_QUARANTINE_MS))
+    expect(quarantineDurationMs(50)).toBe(MAX_QUARANTINE_MS)
   })
 
   it('outlasts all evidence that led to it', () => {
-    expect(FIRST_QUARANTINE_MS).toBeGreaterThan(EVIDENCE_MS)
+    expect(FIRST_QUARANTINE_MS).toBeGreaterThan(EVIDENCE_LIFETIME_MS)
   })
 })
 
@@ -72,7 +72,7 @@
     const table = new QuarantineTable()
     const other = 'b'.repeat(32)
     table.replace([entryOf(), entryOf({ fingerprint: other, state: 'suspected' })], 0)
-    table.change({ quarantine: [entryOf({ fingerprint: other, state: 'quarantined', leftMs: 9 })], quarantineRemoved: [FINGERPRINT] }, 50)
+    table.applyChanges({ quarantine: [entryOf({ fingerprint: other, state: 'quarantined', leftMs: 9 })], quarantineRemoved: [FINGERPRINT] }, 50)
     expect(table.all).toMatchObject([{ fingerprint: other, state: 'quarantined', endsAt: 59 }])
     table.replace([], 60)
     expect(table.isEmpty).toBe(true)
--- a/packages/routing/src/lib/site/SiteIndex.test.ts
+++ b/packages/routing/src/lib/site/SiteIndex.test.ts
@@ -61,13 +61,13 @@
     const split = route('split', '/', { targets: [{ service: 'a', weight: 90 }, { service: 'none', weight: 0 }, { service: 'b', weight: 10 }] })
 
     it('follow the weights', () => {
-      expect(index.drawService(split, 0)).toBe('a')
-      expect(index.drawService(split, 0.89)).toBe('a')
-      expect(index.drawService(split, 0.91)).toBe('b')
+      expect(index.selectService(split, 0)).toBe('a')
+      expect(index.selectService(split, 0.89)).toBe('a')
+      expect(index.selectService(split, 0.91)).toBe('b')
     })
 
     it('never lead to a service without weight', () => {
-      const drawn = new Set(Array.from({ length: 1000 }, (_, step) => index.drawService(split, step / 1000)))
+      const drawn = new Set(Array.from({ length: 1000 }, (_, step) => index.selectService(split, step / 1000)))
       expect([...drawn].sort()).toEqual(['a', 'b'])
     })
   })
--- a/packages/routing/src/lib/site/SiteIndex.ts
+++ b/packages/routing/src/lib/site/SiteIndex.ts
@@ -38,7 +38,7 @@
    * @param route - route of the request
    * @param random - number in [0, 1)
    */
-  drawService (route: Route, random: number): string {
+  selectService (route: Route, random: number): string {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
     let remaining = random * total
     for (const target of route.targets) {
--- a/packages/routing/src/lib/stores/LinkSpeeds.ts
+++ b/packages/routing/src/lib/stores/LinkSpeeds.ts
@@ -5,7 +5,7 @@
  * link only. So each link is judged by its own transfers, drawn towards what all links of
  * its store show while it has few.
  */
-import { addLinks, IDLE_LINK, storeOfLink, type LinkFigures } from '../load/linkWork.js'
+import { addLinkLoads, IDLE_LINK, storeOfLink, type LinkLoadFigures } from '../load/linkLoad.js'
 import { LinkSpeed, SpeedSamples, type SpeedEvidence } from './LinkSpeed.js'
 
 /**
@@ -34,7 +34,7 @@
 }
 
 /** A change of belief about one link. */
-export interface LinkChange {
+export interface LinkSpeedChange {
   readonly link: string
   readonly isSlow: boolean
   /** Times that a transfer takes of what the site states. */
@@ -44,7 +44,7 @@
 }
 
 /** What transfers of one host over a link have shown. */
-type LinkSamples = Omit<LinkFigures, 'pendingBytes'>
+type LinkSamples = Omit<LinkLoadFigures, 'pendingBytes'>
 
 /** Speeds of links by their names. */
 export class LinkSpeeds {
@@ -98,7 +98,7 @@
    * @param now - monotonic milliseconds
    * @returns links that are believed to be slow, or sound again, from now on
    */
-  learn (others: ReadonlyMap<string, LinkFigures>, now: number): LinkChange[] {
+  learn (others: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
     const links = new Set([...this.#samples.keys(), ...others.keys()])
     const evidence = new Map([...links].map(link => [link, this.#evidenceOf(link, others.get(link), now)]))
     const stores = sumByStore(evidence)
@@ -109,8 +109,8 @@
     })
   }
 
-  #evidenceOf (link: string, others: LinkFigures = IDLE_LINK, now: number): SpeedEvidence {
-    const { samples, slower, faster } = addLinks({ ...IDLE_LINK, ...this.recent(link, now) }, others)
+  #evidenceOf (link: string, others: LinkLoadFigures = IDLE_LINK, now: number): SpeedEvidence {
+    const { samples, slower, faster } = addLinkLoads({ ...IDLE_LINK, ...this.recent(link, now) }, others)
     return { samples, doublings: slower - faster }
   }
 
@@ -122,7 +122,7 @@
     return fresh
   }
 
-  #changeOf (link: string, samples: number, now: number): LinkChange[] {
+  #changeOf (link: string, samples: number, now: number): LinkSpeedChange[] {
     const doublings = this.#speed(link, now).doublings(now)
     const wasSlow = this.#slow.has(link)
     const isSlow = doublings > (wasSlow ? SOUND_DOUBLINGS : SLOW_DOUBLINGS)
--- a/packages/routing/src/lib/stores/StoreLinks.test.ts
+++ b/packages/routing/src/lib/stores/StoreLinks.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
-import { LoadBoard } from '../load/LoadBoard.js'
-import { OthersWork } from '../load/OthersWork.js'
+import { LoadAggregator } from '../load/LoadAggregator.js'
+import { PeerLoad } from '../load/PeerLoad.js'
 import { StoreLinks, type StoreTransfer } from './StoreLinks.js'
 
 const store: StoreService = { type: 'store', name: 'large', address: '10.0.0.5:1', dataCentre: 'north', cacheTokens: 2_000_000, linkMbps: 100_000, firstByteMs: 1, isManaged: true }
@@ -14,27 +14,27 @@
 
 /** Hosts that tell each other of their transfers twenty times a second. */
 class LinkWorld {
-  readonly #board = new LoadBoard()
-  readonly hosts: Array<{ readonly links: StoreLinks, readonly others: OthersWork }>
+  readonly #board = new LoadAggregator()
+  readonly hosts: Array<{ readonly links: StoreLinks, readonly others: PeerLoad }>
   now = 0
   #sequence = 0
 
   constructor (count: number) {
-    this.hosts = Array.from({ length: count }, () => ({ links: new StoreLinks(() => count), others: new OthersWork() }))
+    this.hosts = Array.from({ length: count }, () => ({ links: new StoreLinks(() => count), others: new PeerLoad() }))
   }
 
   exchange (milliseconds: number): void {
     for (const end = this.now + milliseconds; this.now < end; this.now += 50) {
       this.#sequence += 1
       this.hosts.forEach(({ links, others }, host) => {
-        const own = { work: [], links: links.ownWork(this.now) }
-        others.sent(this.#sequence, own)
+        const own = { work: [], links: links.localLoad(this.now) }
+        others.recordOwnReport(this.#sequence, own)
         this.#board.observe({ host: `h${host}`, sequence: this.#sequence, ...own }, this.now)
       })
       const totals = this.#board.totals(this.now)
       for (const { links, others } of this.hosts) {
-        others.answered({ sequence: this.#sequence, work: totals.work, links: totals.links }, this.now)
-        links.observeOthers(others.links, this.now)
+        others.recordTotals({ sequence: this.#sequence, work: totals.work, links: totals.links }, this.now)
+        links.observePeers(others.links, this.now)
       }
     }
   }
@@ -64,18 +64,18 @@
 
     it('counts as many times as there are hosts while those are not heard, until it is over', () => {
       const links = new StoreLinks(() => 8)
-      links.begin([transfer()])
+      links.beginTransfers([transfer()])
       expect(links.backlogMs(store, 0)).toBeCloseTo(80)
-      links.end([transfer()])
+      links.endTransfers([transfer()])
       expect(links.backlogMs(store, 0)).toBe(0)
     })
 
     it('is what all hosts have asked for, and no more than engines wait for', () => {
       const world = new LinkWorld(3)
-      world.hosts[1]?.links.begin([transfer('north'), transfer('south')])
+      world.hosts[1]?.links.beginTransfers([transfer('north'), transfer('south')])
       world.exchange(100)
       expect(world.hosts[0]?.links.backlogMs(store, world.now)).toBeCloseTo(30, -1)
-      world.hosts[2]?.links.begin(Array.from({ length: 500 }, () => transfer()))
+      world.hosts[2]?.links.beginTransfers(Array.from({ length: 500 }, () => transfer()))
       world.exchange(100)
       expect(world.hosts[0]?.links.backlogMs(store, world.now)).toBe(2000)
     })
@@ -107,7 +107,7 @@
         for (let now = from; now < from + 3000; now += 50) {
           const fetchMs = links.transferMs(transfer(), now)
           links.observe(store, 'north', { fetchMs, otherMs: 0, doublings: links.doublings(store, 'north', now) }, 10 * slowerBy, now)
-          changes.push(...links.observeOthers(new Map(), now).map(({ link, isSlow }) => [link, isSlow]))
+          changes.push(...links.observePeers(new Map(), now).map(({ link, isSlow }) => [link, isSlow]))
         }
       }
       fetchFor(1, 0)
@@ -159,17 +159,17 @@
 
     it('is told to the others for a few seconds, and an idle link not at all', () => {
       const links = new StoreLinks(() => 1)
-      links.begin([transfer('east')])
-      links.end([transfer('east')])
+      links.beginTransfers([transfer('east')])
+      links.endTransfers([transfer('east')])
       links.observe(store, 'south', { fetchMs: 20, otherMs: OTHER_MS, doublings: 0 }, 90, 0)
-      expect(links.ownWork(1000).map(({ link }) => link)).toEqual(['large>south'])
-      expect(links.ownWork(10_000)).toEqual([])
+      expect(links.localLoad(1000).map(({ link }) => link)).toEqual(['large>south'])
+      expect(links.localLoad(10_000)).toEqual([])
     })
 
     it('that came at once counts within bounds', () => {
       const links = new StoreLinks(() => 1)
       links.observe(store, 'south', { fetchMs: 500, otherMs: OTHER_MS, doublings: 0 }, 0, 0)
-      expect(links.ownWork(0)).toEqual([{ link: 'large>south', pendingBytes: 0, samples: 1, slower: 0, faster: 1 }])
+      expect(links.localLoad(0)).toEqual([{ link: 'large>south', pendingBytes: 0, samples: 1, slower: 0, faster: 1 }])
     })
   })
 })
--- a/packages/routing/src/lib/stores/StoreLinks.ts
+++ b/packages/routing/src/lib/stores/StoreLinks.ts
@@ -4,12 +4,12 @@
  * Answers the load in which prompts return faster than their store can send them.
  * Transfers run one after another on a store's link and take twice as long to another
  * data centre. Hosts tell each other what they have asked for and what it took
- * ({@link LinkWork}), so that each counts the transfers of all and a link that turns slow is
+ * ({@link LinkLoad}), so that each counts the transfers of all and a link that turns slow is
  * known to all hosts after some ten transfers of theirs together.
  */
 import type { StoreService } from '@eelgrassmux/schema/site/siteSchema'
-import { linkName, storeOfLink, type LinkFigures, type LinkWork } from '../load/linkWork.js'
-import { LinkSpeeds, type ExpectedFetch, type LinkChange } from './LinkSpeeds.js'
+import { linkName, storeOfLink, type LinkLoadFigures, type LinkLoad } from '../load/linkLoad.js'
+import { LinkSpeeds, type ExpectedFetch, type LinkSpeedChange } from './LinkSpeeds.js'
 
 const BITS_PER_BYTE = 8
 const BITS_PER_MEGABIT = 1e6
@@ -39,7 +39,7 @@
 export class StoreLinks {
   readonly #speeds = new LinkSpeeds()
   readonly #pending = new Map<string, number>()
-  #others: ReadonlyMap<string, LinkFigures> = new Map()
+  #others: ReadonlyMap<string, LinkLoadFigures> = new Map()
   #observedAt = Number.NEGATIVE_INFINITY
   /** Added up once for all candidates of a choice, which is made at one moment. */
   readonly #backlogs = new Map<string, number>()
@@ -87,12 +87,12 @@
   }
 
   /** @param transfers - that an engine was told to make */
-  begin (transfers: readonly StoreTransfer[]): void {
+  beginTransfers (transfers: readonly StoreTransfer[]): void {
     this.#addPending(transfers, 1)
   }
 
   /** @param transfers - that have begun, and are over or given up */
-  end (transfers: readonly StoreTransfer[]): void {
+  endTransfers (transfers: readonly StoreTransfer[]): void {
     this.#addPending(transfers, -1)
   }
 
@@ -113,7 +113,7 @@
    * @param now - monotonic milliseconds
    * @returns what this host has to tell of links
    */
-  ownWork (now: number): LinkWork[] {
+  localLoad (now: number): LinkLoad[] {
     const links = new Set([...this.#pending.keys(), ...this.#speeds.sampled])
     return [...links]
       .map(link => ({ link, pendingBytes: this.#pending.get(link) ?? 0, ...this.#speeds.recent(link, now) }))
@@ -127,7 +127,7 @@
    * @param now - monotonic milliseconds
    * @returns links that are believed to be slow, or sound again, from now on
    */
-  observeOthers (others: ReadonlyMap<string, LinkFigures>, now: number): LinkChange[] {
+  observePeers (others: ReadonlyMap<string, LinkLoadFigures>, now: number): LinkSpeedChange[] {
     this.#others = others
     this.#observedAt = now
     this.#backlogs.clear()
--- a/packages/rpc/src/lib/methods/quarantineMethods.ts
+++ b/packages/rpc/src/lib/methods/quarantineMethods.ts
@@ -1,6 +1,6 @@
 /** Methods by which entry hosts tell the leading control host of requests that were lost with endpoints. */
 import { z } from 'zod'
-import { crashReportSchema, MOST_REPORTS_OF_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
+import { crashReportSchema, MAX_REPORTS_PER_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
 import { fingerprintSchema } from '@eelgrassmux/schema/quarantineEntry'
 import { defineUnary } from '../RpcMethod.js'
 
@@ -9,9 +9,9 @@
 export const reportCrashesRequestSchema = z.strictObject({
   host: z.string().max(LONGEST_NAME),
   /** All that the host holds, told before or not: the same report again changes nothing. */
-  losses: z.array(crashReportSchema).max(MOST_REPORTS_OF_HOST),
+  losses: z.array(crashReportSchema).max(MAX_REPORTS_PER_HOST),
   /** Suspected, quarantined and released requests that completed. */
-  completed: z.array(fingerprintSchema).max(MOST_REPORTS_OF_HOST)
+  completed: z.array(fingerprintSchema).max(MAX_REPORTS_PER_HOST)
 })
 
 export const reportCrashesResponseSchema = z.strictObject({
--- a/packages/view/src/lib/ViewFollower.ts
+++ b/packages/view/src/lib/ViewFollower.ts
@@ -47,7 +47,7 @@
       if (message.fromViewRevision !== this.#viewRevision) return 'gap'
       for (const name of message.removes) this.#documents.delete(keyOf(name))
       for (const document of message.upserts) this.#documents.set(keyOf(document), document)
-      this.quarantine.change({ quarantine: message.quarantine ?? [], quarantineRemoved: message.quarantineRemoved ?? [] }, now)
+      this.quarantine.applyChanges({ quarantine: message.quarantine ?? [], quarantineRemoved: message.quarantineRemoved ?? [] }, now)
     }
     this.#advance(message)
     return 'advanced'
