--- a/packages/consensus/src/lib/Elections.ts
+++ b/packages/consensus/src/lib/Elections.ts
@@ -1,65 +1,65 @@
-/** Elections: when this replica stands, whom it asks, whom it votes for. */
+/** Leader election: starts elections, requests votes and grants votes. */
 import type { LeaderReplication } from './LeaderReplication.js'
 import type { RaftState } from './RaftState.js'
 import type { RaftMessage, VoteRequest, VoteResponse } from './messages/raftMessages.js'
 
-/** Votes and asks for votes. A pre-vote comes first, so that a replica that could not win disturbs nobody. */
+/** Election logic of one replica. A pre-vote precedes each election, so that a replica that cannot win does not depose a healthy leader. */
 export class Elections {
   #votes = new Set<string>()
-  #voteRequestDue = 0
-  /** Whether the leader asked this replica to stand, so that voters need not wait for its silence. */
+  #nextVoteRequestAt = 0
+  /** Whether the leader requested this election, so that voters may vote although they still hear the leader. */
   #isTransfer = false
 
   /**
    * @param state - shared state of the replica
-   * @param replication - begins when an election is won
+   * @param replication - takes over when this replica wins an election
    */
   constructor (private readonly state: RaftState, private readonly replication: LeaderReplication) {}
 
   /**
-   * Advances timers of a replica that does not lead.
+   * Advances the election timers. Called only while this replica is not the leader.
    *
    * @param now - monotonic milliseconds
    */
   tick (now: number): void {
     const { state } = this
     if (now >= state.electionDeadline && state.isVoter(state.self.id)) this.#startPreVote(now)
-    else if (state.role !== 'follower' && now >= this.#voteRequestDue) this.#requestVotes(now)
+    else if (state.role !== 'follower' && now >= this.#nextVoteRequestAt) this.#requestVotes(now)
   }
 
   /**
-   * A voter that hears a live leader ignores elections, so the leader's lease holds.
+   * Whether to drop a vote request because a leader is alive; this keeps the leader's lease valid.
    *
-   * @param message - any message
+   * @param message - message of any kind
    * @param now - monotonic milliseconds
    */
-  mustIgnore (message: RaftMessage, now: number): boolean {
+  shouldIgnore (message: RaftMessage, now: number): boolean {
     if (message.kind !== 'vote-request' || message.transfer) return false
-    if (this.state.role === 'leader') return !this.replication.lostQuorum(now)
+    if (this.state.role === 'leader') return !this.replication.hasLostQuorum(now)
     return now < this.state.lastLeaderContact + this.state.settings.electionTimeoutMs
   }
 
   /**
-   * Stands at once, because the leader hands over.
+   * Starts an election at once, because the leader transfers its leadership.
    *
    * @param now - monotonic milliseconds
    */
-  standForTransfer (now: number): void {
+  startTransferElection (now: number): void {
     this.#startElection(now, true)
   }
 
   /**
-   * @param request - somebody stands for election
+   * @param request - vote request of a candidate
    * @param now - monotonic milliseconds
    */
   onVoteRequest (request: VoteRequest, now: number): void {
     const { state } = this
     const { lastTerm, lastIndex } = state.log
-    const upToDate = request.lastTerm > lastTerm || (request.lastTerm === lastTerm && request.lastIndex >= lastIndex)
-    const free = request.preVote
+    const isLogUpToDate = request.lastTerm > lastTerm || (request.lastTerm === lastTerm && request.lastIndex >= lastIndex)
+    const isVoteAvailable = request.preVote
       ? request.term > state.term
       : request.term === state.term && (state.votedFor === undefined || state.votedFor === request.from)
-    const granted = free && upToDate && state.role !== 'leader'
+    const granted = isVoteAvailable && isLogUpToDate && state.role !== 'leader'
     if (granted && !request.preVote) {
       state.setVote(state.term, request.from)
       state.electionDeadline = now + state.electionDelay()
@@ -70,7 +70,7 @@
   }
 
   /**
-   * @param response - a voter's answer
+   * @param response - response of a voter
    * @param now - monotonic milliseconds
    */
   onVoteResponse (response: VoteResponse, now: number): void {
@@ -85,7 +85,7 @@
     this.#votes.add(response.from)
     if (!this.#hasQuorum()) return
     if (response.preVote) this.#startElection(now, false)
-    else this.replication.begin(now)
+    else this.replication.becomeLeader(now)
   }
 
   #startPreVote (now: number): void {
@@ -110,17 +110,17 @@
     this.#votes = new Set([state.self.id])
     state.electionDeadline = now + state.electionDelay()
     if (this.#hasQuorum()) {
-      this.replication.begin(now)
+      this.replication.becomeLeader(now)
       return
     }
     this.#isTransfer = transfer
     this.#requestVotes(now)
   }
 
-  /** Repeated with each heartbeat: after a restart of all replicas, first messages find no listener and are lost. */
+  /** Called again at each heartbeat interval: after a restart of all replicas the first requests are lost, because the receivers do not listen yet. */
   #requestVotes (now: number): void {
     const { state } = this
-    this.#voteRequestDue = now + state.settings.heartbeatMs
+    this.#nextVoteRequestAt = now + state.settings.heartbeatMs
     const { lastIndex, lastTerm } = state.log
     const preVote = state.role === 'pre-candidate'
     const term = preVote ? state.term + 1 : state.term
--- a/packages/view/src/lib/ControlLink.ts
+++ b/packages/view/src/lib/ControlLink.ts
@@ -1,6 +1,6 @@
 /**
- * A host's link to the control hosts: follows the view, keeps its freshness and
- * proposes commands.
+ * Connects a host to the control hosts: follows the view, keeps track of its
+ * freshness and proposes commands.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
@@ -11,102 +11,102 @@
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import type { Command, CommandResult, NamedWeights, Shard } from '@eelgrassmux/state/commands'
+import type { Command, CommandResult, DesiredWeights, Shard } from '@eelgrassmux/state/commands'
 import { EndpointListFollower } from './EndpointListFollower.js'
 import { FreshnessLease } from './FreshnessLease.js'
-import { StatusReports } from './StatusReports.js'
+import { StatusReporter } from './StatusReporter.js'
 import { StoredPartsFollower, type StoredPartsListener } from './StoredPartsFollower.js'
 import { ViewFollower } from './ViewFollower.js'
 
-/** Who this host is, and where the control hosts are. */
+/** Identity of this host, and addresses of the control hosts. */
 export interface ControlLinkSettings {
   readonly host: string
   readonly role: HostRole
   readonly address: string
   readonly dataCentre: string
-  /** Control hosts known at start; others are learnt. */
+  /** Addresses of the control hosts at startup; later ones are learned from the membership. */
   readonly controlAddresses: readonly string[]
-  /** How long a confirmed view may be acted on, in milliseconds. */
+  /** How long this host may act on a view after it was confirmed, in milliseconds. */
   readonly freshnessMs: number
   /** Whether this host needs the platform's endpoint list. */
   readonly watchesEndpoints?: boolean
-  /** Whether this host tells other entry hosts of its dispatches. */
+  /** Whether this host needs the peer addresses of the other entry hosts, to notify them of its dispatches. */
   readonly wantsPeers?: boolean
 }
 
-/** Why a command has no result. */
+/** Reason why a command has no result. */
 export type ProposeError =
-  /** No control host appended it: it will never be applied. */
+  /** No control host appended the command, so it will never be applied. */
   | { readonly kind: 'not-proposed' }
-  /** It may be applied now, later or never. */
+  /** The command may have been applied, may be applied later, or may be lost. */
   | { readonly kind: 'uncertain' }
 
-/** Pause before a broken watch is opened again, in milliseconds. */
-const WATCH_RETRY_MS = 100
+/** Delay before a broken watch is reopened, in milliseconds. */
+const WATCH_RETRY_DELAY_MS = 100
 
-/** Time for which a view that some control host has applied may still be on its way through the watch, in milliseconds. */
-const ON_ITS_WAY_MS = 100
+/** Time allowed for a view that some control host has applied to arrive through the watch, in milliseconds. */
+const VIEW_DELIVERY_TIMEOUT_MS = 100
 
-/** Pause before another control host is asked to take a command, in milliseconds. */
-const PROPOSE_RETRY_MS = 50
+/** Delay before a command is proposed to another control host, in milliseconds. */
+const PROPOSE_RETRY_DELAY_MS = 50
 
-/** Deadline of one attempt to propose, in milliseconds. */
-const PROPOSE_ATTEMPT_MS = 2000
+/** Timeout of one attempt to propose a command, in milliseconds. */
+const PROPOSE_ATTEMPT_TIMEOUT_MS = 2000
 
-/** Follows the control hosts until stopped. */
+/** Client of the control hosts; follows them from `start` until `stop`. */
 export class ControlLink {
   readonly #follower = new ViewFollower()
   readonly #lease: FreshnessLease
   readonly #abort = new AbortController()
   #accepting = true
   #leaderHint: string | undefined
-  #watchTurn = 0
+  #watchAttempt = 0
   #watchRestart = new AbortController()
-  #listeners: Array<() => void> = []
+  #changeListeners: Array<() => void> = []
   readonly #leaderListeners: Array<() => void> = []
   readonly #endpoints: EndpointListFollower
-  /** Control host that stated that it has applied a newer view than this host. */
-  #newer: { readonly address: string, readonly view: number, readonly statedAt: number } | undefined
+  /** Control host that reported a newer view than the one on this host. */
+  #newerView: { readonly address: string, readonly view: number, readonly statedAt: number } | undefined
   #leader: string | undefined
   #watchFailures = 0
-  #watched = ''
-  #lagMs = Number.POSITIVE_INFINITY
-  readonly #reports: StatusReports
-  readonly #storesFollowed: StoredPartsFollower[] = []
+  #watchedAddress = ''
+  #eventLoopLagMs = Number.POSITIVE_INFINITY
+  readonly #statusReporter: StatusReporter
+  readonly #storedPartsFollowers: StoredPartsFollower[] = []
 
   /**
-   * @param settings - who this host is
-   * @param rpc - client for calls to the control hosts
-   * @param datagrams - client for questions to them
+   * @param settings - identity of this host and addresses of the control hosts
+   * @param rpc - client for calls and watches
+   * @param datagrams - client for status reports
    */
   constructor (private readonly settings: ControlLinkSettings, private readonly rpc: RpcClient, datagrams: DatagramClient) {
     this.#lease = new FreshnessLease(settings.freshnessMs)
-    this.#reports = new StatusReports(datagrams, {
-      addresses: () => [...this.#addresses(), ...settings.controlAddresses],
-      isWatched: address => address === this.#leader || address === this.#watched || this.#endpoints.isWatching(address),
+    this.#statusReporter = new StatusReporter(datagrams, {
+      addresses: () => [...this.#controlAddresses(), ...settings.controlAddresses],
+      isWatched: address => address === this.#leader || address === this.#watchedAddress || this.#endpoints.isWatching(address),
       report: () => this.#report(),
-      isHurried: () => this.viewRevision === 0 || this.#leader === undefined,
-      onStatement: (address, statement, askedAt) => { this.#takeStatement(address, statement, askedAt) },
+      isUrgent: () => this.viewRevision === 0 || this.#leader === undefined,
+      onStatement: (address, statement, askedAt) => { this.#onStatement(address, statement, askedAt) },
       onSilence: address => { if (this.#leader === address) this.#setLeader(undefined) },
-      onLook: lateMs => {
-        this.#lagMs = lateMs
+      onTimer: lateMs => {
+        this.#eventLoopLagMs = lateMs
         if (this.#isWatchStuck()) this.#watchRestart.abort()
       }
     })
-    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchOrder(), () => { this.#notify() })
+    this.#endpoints = new EndpointListFollower(rpc, () => this.#watchCandidates(), () => { this.#notifyChangeListeners() })
   }
 
   /** Configuration in force on this host. */
   get configuration (): ConfigurationIndex { return this.#follower.configuration }
   get shards (): readonly Shard[] { return this.#follower.shards }
   get viewRevision (): number { return this.#follower.viewRevision }
-  /** Address of the control hosts' leader, as far as this host knows. */
+  /** Address of the leading control host, if this host knows it. */
   get leader (): string | undefined { return this.#leader }
-  /** Site in force on this host, once it knows one. */
+  /** Site in force on this host; undefined until the first one arrives. */
   get site (): Site | undefined { return this.#follower.site }
-  /** Weight version that each model should run. */
-  get weights (): readonly NamedWeights[] { return this.#follower.weights }
-  /** Data centres whose endpoints get no new work. */
+  /** Version of the weights that each model should run. */
+  get weights (): readonly DesiredWeights[] { return this.#follower.weights }
+  /** Data centres whose endpoints receive no new requests. */
   get evacuated (): ReadonlySet<string> { return this.#follower.evacuated }
   /** Requests that are not sent to endpoints. */
   get quarantine (): QuarantineTable { return this.#follower.quarantine }
@@ -115,26 +115,26 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns milliseconds since the platform stated the endpoint list; infinite before it ever did
+   * @returns milliseconds since the platform returned the endpoint list; infinite before the first list
    */
   endpointListAgeMs (now: number): number {
     return this.#endpoints.ageMs(now)
   }
 
   /**
-   * How late this host came to its last report, in milliseconds: for so long the process did not get
-   * to its sockets. Infinite before the first: connections have waited while it was loaded.
+   * Delay of the last status report timer, in milliseconds; the process did not handle its sockets
+   * for that long. Infinite before the first report, because connections wait while the process loads.
    */
-  get lagMs (): number { return this.#lagMs }
-  /** Entry hosts that may be alive. */
+  get eventLoopLagMs (): number { return this.#eventLoopLagMs }
+  /** Number of entry hosts that may be alive. */
   get liveEntries (): number { return this.#lease.liveEntries(performance.now()) }
 
-  /** Peer addresses of the other entry hosts; empty when they are many. */
+  /** Peer addresses of the other entry hosts; empty when there are many of them. */
   get entryPeers (): string[] {
     return this.#lease.entryPeers(performance.now()).filter(peer => peer !== this.settings.address)
   }
 
-  /** Whether the view in force is known to be the newest accepted one, as of now. */
+  /** Whether the view in force is currently known to be the newest accepted one. */
   isFresh (): boolean {
     return this.#lease.isFresh(this.viewRevision, performance.now())
   }
@@ -144,89 +144,89 @@
     return this.viewRevision > 0 && this.isFresh()
   }
 
-  /** @param listener - called after each change of the view */
+  /** @param listener - called after each change of the view or the endpoint list */
   onChange (listener: () => void): void {
-    this.#listeners.push(listener)
+    this.#changeListeners.push(listener)
   }
 
-  /** @param listener - called when another control host leads, or none is known to */
-  onLeader (listener: () => void): void {
+  /** @param listener - called when the known leader changes or becomes unknown */
+  onLeaderChange (listener: () => void): void {
     this.#leaderListeners.push(listener)
   }
 
   /**
-   * Follows what stores hold, through a watch of its own.
+   * Follows the contents of the stores through a separate watch.
    *
-   * @param listener - told of changes
+   * @param listener - receives the changes
    */
-  followStores (listener: StoredPartsListener): StoredPartsFollower {
-    const follower = new StoredPartsFollower(this.rpc, () => this.#watchOrder(), listener)
-    this.#storesFollowed.push(follower)
+  followStoredParts (listener: StoredPartsListener): StoredPartsFollower {
+    const follower = new StoredPartsFollower(this.rpc, () => this.#watchCandidates(), listener)
+    this.#storedPartsFollowers.push(follower)
     void follower.run(this.#abort.signal)
     return follower
   }
 
-  /** Starts to follow. */
+  /** Starts the status reports and the watches. */
   start (): void {
-    this.#reports.start()
-    void this.#watchLoop()
+    this.#statusReporter.start()
+    void this.#runWatch()
     if (this.settings.watchesEndpoints === true) void this.#endpoints.run(this.#abort.signal)
   }
 
-  /** Tells the control hosts that this host takes no new work. */
+  /** Reports to the control hosts that this host accepts no new work. */
   stopAccepting (): void {
     this.#accepting = false
-    this.#reports.askAll()
+    this.#statusReporter.reportToAll()
   }
 
-  /** Stops following. */
+  /** Stops the status reports and the watches. */
   stop (): void {
     this.#abort.abort()
-    this.#reports.stop()
+    this.#statusReporter.stop()
   }
 
   /**
    * Proposes a command and waits for its result.
    *
-   * @param command - what to apply
-   * @param deadlineMs - how long to try, in milliseconds
-   * @returns the result, or whether it may still be applied
+   * @param command - command to apply
+   * @param deadlineMs - how long to retry, in milliseconds
+   * @returns the result, or whether the command may still be applied
    */
   async propose (command: Command, deadlineMs: number): Promise<Result<CommandResult, ProposeError>> {
     const deadline = performance.now() + deadlineMs
-    let mayApply = false
-    for (let turn = 0; performance.now() < deadline; turn += 1) {
-      const address = this.#leaderHint ?? this.#controlAddress(turn)
-      const remaining = Math.min(PROPOSE_ATTEMPT_MS, deadline - performance.now())
-      const answer = await this.rpc.call(address, propose, { command }, remaining)
-      if (answer.ok && answer.value.kind === 'applied') {
+    let mayBeApplied = false
+    for (let attempt = 0; performance.now() < deadline; attempt += 1) {
+      const address = this.#leaderHint ?? this.#controlAddressAt(attempt)
+      const remaining = Math.min(PROPOSE_ATTEMPT_TIMEOUT_MS, deadline - performance.now())
+      const response = await this.rpc.call(address, propose, { command }, remaining)
+      if (response.ok && response.value.kind === 'applied') {
         this.#leaderHint = address
-        return succeed(answer.value.result)
+        return succeed(response.value.result)
       }
-      // A connection that broke after sending looks like one that was never made: only a clear answer counts.
-      mayApply ||= !(answer.ok && answer.value.kind === 'not-leader')
-      const hinted = answer.ok && answer.value.kind === 'not-leader' ? answer.value.leader : ''
-      this.#leaderHint = hinted === '' || hinted === address ? undefined : hinted
-      await sleep(PROPOSE_RETRY_MS)
+      // A connection that broke after the command was sent looks like one that was never established, so only `not-leader` proves that the command was not appended.
+      mayBeApplied ||= !(response.ok && response.value.kind === 'not-leader')
+      const hintedLeader = response.ok && response.value.kind === 'not-leader' ? response.value.leader : ''
+      this.#leaderHint = hintedLeader === '' || hintedLeader === address ? undefined : hintedLeader
+      await sleep(PROPOSE_RETRY_DELAY_MS)
     }
-    return fail({ kind: mayApply ? 'uncertain' : 'not-proposed' })
+    return fail({ kind: mayBeApplied ? 'uncertain' : 'not-proposed' })
   }
 
-  #addresses (): string[] {
-    const learnt = this.#lease.membership.voters.map(voter => voter.address)
-    return learnt.length > 0 ? learnt : [...this.settings.controlAddresses]
+  #controlAddresses (): string[] {
+    const voterAddresses = this.#lease.membership.voters.map(voter => voter.address)
+    return voterAddresses.length > 0 ? voterAddresses : [...this.settings.controlAddresses]
   }
 
-  #controlAddress (turn: number): string {
-    const addresses = this.#addresses()
-    return addresses[turn % addresses.length] ?? ''
+  #controlAddressAt (attempt: number): string {
+    const addresses = this.#controlAddresses()
+    return addresses[attempt % addresses.length] ?? ''
   }
 
-  /** The watched control host may be cut off from the others, or not have caught up: another one knows more. */
+  /** Whether the watched control host may be isolated or lagging, so that another one should be watched. */
   #isWatchStuck (): boolean {
-    const isBehind = this.#newer !== undefined && this.#newer.view > this.viewRevision && performance.now() - this.#newer.statedAt > ON_ITS_WAY_MS
+    const isBehind = this.#newerView !== undefined && this.#newerView.view > this.viewRevision && performance.now() - this.#newerView.statedAt > VIEW_DELIVERY_TIMEOUT_MS
     if (this.viewRevision > 0) return isBehind || !this.isFresh()
-    return isBehind && this.#newer?.address !== this.#watched
+    return isBehind && this.#newerView?.address !== this.#watchedAddress
   }
 
   #report (): StatusRequest {
@@ -235,27 +235,27 @@
     return { host, role, address, dataCentre, viewRevision: this.viewRevision, accepting: this.#accepting, membershipIndex, wantsPeers }
   }
 
-  #takeStatement (address: string, statement: StatusResponse, askedAt: number): void {
+  #onStatement (address: string, statement: StatusResponse, askedAt: number): void {
     const { membership, membershipIndex, appliedView, leader, watched } = statement
-    const known = membershipIndex === this.#lease.membershipIndex ? this.#lease.membership : undefined
-    const stated = membership ?? known
-    // It left out a membership that was known when it was asked, and has been overtaken since: the next answer has one.
-    if (stated === undefined) return
-    this.#lease.observe({ ...statement, membership: stated, askedAt })
-    if (appliedView > this.viewRevision && appliedView > (this.#newer?.view ?? 0)) this.#newer = { address, view: appliedView, statedAt: performance.now() }
+    const unchangedMembership = membershipIndex === this.#lease.membershipIndex ? this.#lease.membership : undefined
+    const knownMembership = membership ?? unchangedMembership
+    // The response omits the membership because this host knew it at request time, but a newer one has arrived since. The next response will include one.
+    if (knownMembership === undefined) return
+    this.#lease.observe({ ...statement, membership: knownMembership, askedAt })
+    if (appliedView > this.viewRevision && appliedView > (this.#newerView?.view ?? 0)) this.#newerView = { address, view: appliedView, statedAt: performance.now() }
     if (leader !== '') this.#setLeader(leader)
     this.#endpoints.confirm(address, watched, askedAt)
-    for (const follower of this.#storesFollowed) follower.confirm(address, watched, askedAt)
+    for (const follower of this.#storedPartsFollowers) follower.confirm(address, watched, askedAt)
   }
 
-  /** The host that has what we miss, or the leader, so that few control hosts need to read the list; else any by turns. */
+  /** Prefers a control host with a newer view, then the leader, so that few control hosts need to read the endpoint list; otherwise takes them in turn. */
   #watchAddress (): string {
-    const preferred = this.#newer?.address ?? (this.#watchFailures === 0 ? this.#leader : undefined)
-    return preferred ?? this.#controlAddress(this.#watchTurn)
+    const preferred = this.#newerView?.address ?? (this.#watchFailures === 0 ? this.#leader : undefined)
+    return preferred ?? this.#controlAddressAt(this.#watchAttempt)
   }
 
-  #watchOrder (): string[] {
-    const addresses = this.#addresses()
+  #watchCandidates (): string[] {
+    const addresses = this.#controlAddresses()
     return this.#leader === undefined ? addresses : [this.#leader, ...addresses.filter(address => address !== this.#leader)]
   }
 
@@ -265,16 +265,16 @@
     for (const listener of this.#leaderListeners) listener()
   }
 
-  #notify (): void {
-    for (const listener of this.#listeners) listener()
+  #notifyChangeListeners (): void {
+    for (const listener of this.#changeListeners) listener()
   }
 
-  async #watchLoop (): Promise<void> {
+  async #runWatch (): Promise<void> {
     while (!this.#abort.signal.aborted) {
       const address = this.#watchAddress()
-      this.#watched = address
-      this.#newer = undefined
-      this.#watchTurn += 1
+      this.#watchedAddress = address
+      this.#newerView = undefined
+      this.#watchAttempt += 1
       this.#watchRestart = new AbortController()
       const restart = this.#watchRestart
       const signal = AbortSignal.any([restart.signal, this.#abort.signal])
@@ -282,13 +282,13 @@
         const outcome = this.#follower.apply(message, performance.now())
         if (outcome === 'gap') restart.abort()
         if (outcome !== 'advanced') return
-        this.#notify()
-        // Report the new view at once, so that those who wait for it to be in force hear of it.
-        this.#reports.askAll()
+        this.#notifyChangeListeners()
+        // Report the new view at once for callers that wait until it is in force on all hosts.
+        this.#statusReporter.reportToAll()
       }, signal)
-      // After a failed watch the next host is tried, also if the failed one is the leader we know.
+      // After a failed watch another host is tried, even if the failed one is the known leader.
       this.#watchFailures = this.#watchFailures === 0 ? 1 : 0
-      await sleep(WATCH_RETRY_MS)
+      await sleep(WATCH_RETRY_DELAY_MS)
     }
   }
 }
--- a/packages/view/src/lib/StoredPartsFollower.ts
+++ b/packages/view/src/lib/StoredPartsFollower.ts
@@ -1,33 +1,34 @@
-/** Follows what stores hold through one control host at a time. */
+/** Follows the contents of the stores through one control host at a time. */
 import { watchStoredParts, type WatchedState } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { StoreChange } from '@eelgrassmux/schema/site/storedParts'
 import { WatchRotation } from './WatchRotation.js'
 
 /**
- * Silence after which what is known is not vouched for any more, in
- * milliseconds. Control hosts free parts that others may still believe in, so
- * this belongs to the agreement between them and is not a matter of taste.
+ * How long the known contents may be relied on after the watched control host
+ * last confirmed them, in milliseconds. Control hosts free parts that other
+ * hosts may still consider stored, so this value is part of the protocol
+ * between them and must not be changed on one side only.
  */
-export const VOUCHED_MS = 1000
+export const STORED_PARTS_LEASE_MS = 1000
 
-/** Told of changes; `reset` comes first whenever another control host is watched. */
+/** Receives changes; `reset` is called first whenever a new watch starts. */
 export interface StoredPartsListener {
   reset (): void
   apply (change: StoreChange): void
 }
 
-/** Keeps in step with one control host. */
+/** Stays synchronized with one control host. */
 export class StoredPartsFollower {
-  #receivedAt = Number.NEGATIVE_INFINITY
-  #clockAhead: number | undefined
-  #known: { readonly incarnation: string, readonly version: number } | undefined
+  #confirmedAt = Number.NEGATIVE_INFINITY
+  #clockOffsetMs: number | undefined
+  #received: { readonly incarnation: string, readonly version: number } | undefined
   readonly #rotation: WatchRotation
 
   /**
    * @param rpc - client for the watch
-   * @param candidates - control hosts to watch, the preferred one first, as of now
-   * @param listener - told of changes
+   * @param candidates - returns the control hosts to watch, the preferred one first
+   * @param listener - receives the changes
    */
   constructor (private readonly rpc: RpcClient, candidates: () => readonly string[], private readonly listener: StoredPartsListener) {
     this.#rotation = new WatchRotation(candidates)
@@ -35,49 +36,49 @@
 
   /**
    * @param now - monotonic milliseconds
-   * @returns whether what is known may be acted on
+   * @returns whether the known contents may be relied on
    */
-  isVouched (now: number): boolean {
-    return now - this.#receivedAt < VOUCHED_MS
+  isLeaseValid (now: number): boolean {
+    return now - this.#confirmedAt < STORED_PARTS_LEASE_MS
   }
 
   /**
    * @param now - monotonic milliseconds
-   * @returns the stores' clock, or undefined before any control host has stated it
+   * @returns the clock of the stores in milliseconds, or undefined before any control host has reported it
    */
   storeClockMs (now: number): number | undefined {
-    return this.#clockAhead === undefined ? undefined : now + this.#clockAhead
+    return this.#clockOffsetMs === undefined ? undefined : now + this.#clockOffsetMs
   }
 
-  /** @param signal - ends the following */
+  /** @param signal - stops the watch */
   async run (signal: AbortSignal): Promise<void> {
     await this.#rotation.run(signal, async (address, watch) => {
-      this.#receivedAt = Number.NEGATIVE_INFINITY
-      this.#known = undefined
+      this.#confirmedAt = Number.NEGATIVE_INFINITY
+      this.#received = undefined
       this.listener.reset()
       await this.rpc.stream(address, watchStoredParts, {}, ({ incarnation, version, changes, clockMs }) => {
         watch.markAlive()
         const now = performance.now()
-        this.#receivedAt = now
-        this.#known = { incarnation, version }
-        if (clockMs !== undefined) this.#clockAhead = clockMs - now
+        this.#confirmedAt = now
+        this.#received = { incarnation, version }
+        if (clockMs !== undefined) this.#clockOffsetMs = clockMs - now
         for (const change of changes) this.listener.apply(change)
       }, watch.signal)
     })
   }
 
   /**
-   * Takes a control host's word that there is nothing newer than what the watch has told.
+   * Renews the lease if a control host confirms that it has nothing newer than the watch has delivered.
    *
-   * @param address - control host
-   * @param state - how many changes it has seen
-   * @param askedAt - monotonic milliseconds when it was asked
+   * @param address - address of the control host
+   * @param state - versions of the control host's data
+   * @param askedAt - monotonic milliseconds at which the status request was sent
    */
   confirm (address: string, { incarnation, storedParts, storeClockMs }: WatchedState, askedAt: number): void {
     const watch = this.#rotation.openAt(address)
-    if (watch === undefined || this.#known?.incarnation !== incarnation || this.#known.version !== storedParts) return
+    if (watch === undefined || this.#received?.incarnation !== incarnation || this.#received.version !== storedParts) return
     watch.markAlive()
-    this.#receivedAt = Math.max(this.#receivedAt, askedAt)
-    if (storeClockMs !== undefined) this.#clockAhead = storeClockMs - performance.now()
+    this.#confirmedAt = Math.max(this.#confirmedAt, askedAt)
+    if (storeClockMs !== undefined) this.#clockOffsetMs = storeClockMs - performance.now()
   }
 }
