--- a/apps/entry/src/lib/routed/AttemptFailures.ts
+++ b/apps/entry/src/lib/routed/AttemptFailures.ts
@@ -52,7 +52,7 @@
   /** @param attempt - attempt that was cancelled because its endpoint stopped responding */
   observeSilence (attempt: RoutedAttempt): void {
     this.fleet.recordOutcome(attempt.choice.endpoint, 'unanswered')
-    this.#log(attempt, 'broken-stream', 'the endpoint stopped responding')
+    this.#log(attempt, 'broken-stream', 'the endpoint has fallen silent')
   }
 
   /**
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -271,7 +271,7 @@
     const reservation = this.#reserveRetry(failure)
     if (reservation === 'no-budget' && this.#canResumeStream) {
       // New requests refill the budget in the meantime.
-      return this.#waits.waitToResume(0, this.#placement.callerTimeoutAt, () => { if (!this.#isDone) this.#retryOrGiveUp(failure, 'the retry budget is used up') })
+      return this.#waits.waitToResume(0, this.#placement.callerTimeoutAt, () => { if (!this.#isDone) this.#retryOrGiveUp(failure, 'the budget for repeats is used up') })
     }
     if (reservation !== 'reserved') return false
     this.ports.retries.count(failure)
