--- a/packages/daemon/src/lib/CompiledBundle.ts
+++ b/packages/daemon/src/lib/CompiledBundle.ts
@@ -12,7 +12,7 @@
 import { Script } from 'node:vm'
 
 /** Ending of the file with the compiled code, after the bundle's own name. */
-const COMPILED_ENDING = '.compiled'
+const COMPILED_SUFFIX = '.compiled'
 
 type ModuleFunction = (module: { exports: object }, require: NodeJS.Require, filename: string, directory: string) => void
 
@@ -25,13 +25,13 @@
   /** @param path - absolute path of the bundle */
   constructor (private readonly path: string) {
     const source = readFileSync(path, 'utf8')
-    const kept = readIfPresent(path + COMPILED_ENDING)
+    const cachedCode = readIfPresent(path + COMPILED_SUFFIX)
     this.#script = new Script(`(function (module, require, __filename, __dirname) { const { exports } = module;${source}\n})`, {
       filename: path,
-      ...(kept === undefined ? {} : { cachedData: kept })
+      ...(cachedCode === undefined ? {} : { cachedData: cachedCode })
     })
     const isRejected = this.#script.cachedDataRejected === true
-    this.compiledAnew = kept === undefined ? 'missing' : isRejected ? 'rejected' : undefined
+    this.compiledAnew = cachedCode === undefined ? 'missing' : isRejected ? 'rejected' : undefined
   }
 
   /** @returns what the bundle exports */
@@ -44,7 +44,7 @@
 
   /** Keeps the code compiled so far beside the bundle. */
   saveCompiledCode (): void {
-    writeFileSync(this.path + COMPILED_ENDING, this.#script.createCachedData())
+    writeFileSync(this.path + COMPILED_SUFFIX, this.#script.createCachedData())
   }
 }
 
--- a/packages/daemon/src/lib/EarlyListener.ts
+++ b/packages/daemon/src/lib/EarlyListener.ts
@@ -10,11 +10,11 @@
 
 /** A port that is open and not served yet. */
 export class EarlyListener {
-  readonly #held: Socket[] = []
-  #isHandedOver = false
+  readonly #pendingSockets: Socket[] = []
+  #isTransferred = false
 
   private constructor (readonly host: string, readonly port: number, private readonly server: Server) {
-    server.on('connection', socket => { this.#held.push(socket) })
+    server.on('connection', socket => { this.#pendingSockets.push(socket) })
   }
 
   /**
@@ -49,13 +49,13 @@
    * @param server - not listening yet
    */
   async transferTo (server: HttpServer): Promise<void> {
-    this.#isHandedOver = true
+    this.#isTransferred = true
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject)
       // The other server now owns the handle, and accepts from the same queue.
       server.listen(this.server, resolve)
     })
-    for (const socket of this.#held.splice(0)) {
+    for (const socket of this.#pendingSockets.splice(0)) {
       if (socket.destroyed) continue
       server.emit('connection', socket)
       socket.resume()
@@ -64,8 +64,8 @@
 
   /** Closes the port if nobody serves it. */
   close (): void {
-    if (this.#isHandedOver) return
-    for (const socket of this.#held.splice(0)) socket.destroy()
+    if (this.#isTransferred) return
+    for (const socket of this.#pendingSockets.splice(0)) socket.destroy()
     this.server.close()
   }
 }
--- a/packages/daemon/src/lib/ProcessSignals.ts
+++ b/packages/daemon/src/lib/ProcessSignals.ts
@@ -7,38 +7,38 @@
  */
 
 /** Exit code after an operator's interrupt of a stop, which cuts what is under way. */
-const EXIT_CUT = 1
+const EXIT_INTERRUPTED = 1
 
 /**
  * Age of a process up to which a signal may have waited for its code to load, in
  * milliseconds: loading takes some tenths of a second in which no signal is noticed.
  */
-const LOADING_MS = 1000
+const MAX_LOADING_MS = 1000
 
 /** Listens for the signals of one process. */
 export class ProcessSignals {
   readonly #stopped: Promise<number>
   #stopReceivedAt: number | undefined
-  #hasReloadWaiting = false
+  #isReloadPending = false
   #onReload: (() => void) | undefined
-  #beforeCut: () => void = () => {}
+  #beforeForcedExit: () => void = () => {}
 
   constructor () {
     this.#stopped = new Promise(resolve => {
       const stop = (): void => {
         if (this.#stopReceivedAt !== undefined) return
-        this.#stopReceivedAt = receivedAt(performance.now())
+        this.#stopReceivedAt = estimateReceivedAt(performance.now())
         resolve(this.#stopReceivedAt)
       }
       process.on('SIGTERM', stop)
       process.on('SIGINT', () => {
         // A supervisor may repeat itself; an operator who does so means it.
         if (this.#stopReceivedAt === undefined) stop()
-        else this.#cut()
+        else this.#forceExit()
       })
     })
     process.on('SIGHUP', () => {
-      if (this.#onReload === undefined) this.#hasReloadWaiting = true
+      if (this.#onReload === undefined) this.#isReloadPending = true
       else this.#onReload()
     })
   }
@@ -53,25 +53,25 @@
   }
 
   /** @param listener - called right before an interrupt of a stop ends the process */
-  onCut (listener: () => void): void {
-    this.#beforeCut = listener
+  onForcedExit (listener: () => void): void {
+    this.#beforeForcedExit = listener
   }
 
   /** @param listener - called at each wish to reload settings, and now if there was one before */
   onReload (listener: () => void): void {
     this.#onReload = listener
-    if (!this.#hasReloadWaiting) return
-    this.#hasReloadWaiting = false
+    if (!this.#isReloadPending) return
+    this.#isReloadPending = false
     listener()
   }
 
-  #cut (): void {
-    this.#beforeCut()
-    process.exit(EXIT_CUT)
+  #forceExit (): void {
+    this.#beforeForcedExit()
+    process.exit(EXIT_INTERRUPTED)
   }
 }
 
 /** A stop that is thought to have begun too early costs some requests; one thought to begin late cuts them. */
-function receivedAt (noticedAt: number): number {
-  return noticedAt < LOADING_MS ? 0 : noticedAt
+function estimateReceivedAt (noticedAt: number): number {
+  return noticedAt < MAX_LOADING_MS ? 0 : noticedAt
 }
--- a/packages/daemon/src/lib/WorkGate.ts
+++ b/packages/daemon/src/lib/WorkGate.ts
@@ -15,15 +15,15 @@
 /** Gate of one process. */
 export class WorkGate {
   #isClosed = false
-  #underWay = 0
+  #activeCount = 0
   readonly #idleWaiters: Array<() => void> = []
   /** Work belongs to the generation in which it began; each wait for what is under way starts a new one. */
   #generation = 0
-  #earlier = 0
+  #earlierCount = 0
   readonly #earlierWaiters: Array<() => void> = []
 
   get isClosed (): boolean { return this.#isClosed }
-  get activeCount (): number { return this.#underWay }
+  get activeCount (): number { return this.#activeCount }
 
   /**
    * Begins new work.
@@ -46,16 +46,16 @@
   /** Closes the gate for new work. */
   close (): void {
     this.#isClosed = true
-    this.#settle()
+    this.#wakeWaiters()
   }
 
   /** Resolves when all work that is under way now has ended; other work may have begun meanwhile. */
   async whenCurrentWorkEnds (): Promise<void> {
     this.#generation += 1
-    this.#earlier = this.#underWay
+    this.#earlierCount = this.#activeCount
     await new Promise<void>(resolve => {
       this.#earlierWaiters.push(resolve)
-      this.#settle()
+      this.#wakeWaiters()
     })
   }
 
@@ -63,31 +63,31 @@
   async whenIdle (): Promise<void> {
     await new Promise<void>(resolve => {
       this.#idleWaiters.push(resolve)
-      this.#settle()
+      this.#wakeWaiters()
     })
   }
 
   #begin (): WorkTicket {
-    this.#underWay += 1
+    this.#activeCount += 1
     const generation = this.#generation
     let isOpen = true
     return {
       end: () => {
         if (!isOpen) return
         isOpen = false
-        this.#underWay -= 1
-        if (generation < this.#generation) this.#earlier -= 1
-        assertInvariant(this.#underWay >= 0, 'graceful-stop', () => 'more work ended than began')
-        this.#settle()
+        this.#activeCount -= 1
+        if (generation < this.#generation) this.#earlierCount -= 1
+        assertInvariant(this.#activeCount >= 0, 'graceful-stop', () => 'more work ended than began')
+        this.#wakeWaiters()
       }
     }
   }
 
-  #settle (): void {
-    if (this.#earlier === 0) {
+  #wakeWaiters (): void {
+    if (this.#earlierCount === 0) {
       for (const wake of this.#earlierWaiters.splice(0)) wake()
     }
-    if (!this.#isClosed || this.#underWay > 0) return
+    if (!this.#isClosed || this.#activeCount > 0) return
     for (const wake of this.#idleWaiters.splice(0)) wake()
   }
 }
--- a/packages/daemon/src/lib/lastLines.test.ts
+++ b/packages/daemon/src/lib/lastLines.test.ts
@@ -53,13 +53,13 @@
   })
 
   it('are there also when an interrupt of the stop ends it at once', async () => {
-    const body = 'return { ...running, stopping: () => { setTimeout(() => { telemetry.stateChanged(\'reloading\'); process.kill(process.pid, \'SIGINT\') }, 100) }, drain: async () => { await new Promise(resolve => setTimeout(resolve, 600_000)) } }'
+    const body = 'return { ...running, stopping: () => { setTimeout(() => { telemetry.logStateChange(\'reloading\'); process.kill(process.pid, \'SIGINT\') }, 100) }, drain: async () => { await new Promise(resolve => setTimeout(resolve, 600_000)) } }'
     const signals = new Map<string, NodeJS.Signals>([['"started"', 'SIGTERM']])
     expect(await read(start(body), signals)).toEqual({ code: 1, events: ['started', 'draining', 'reloading'] })
   })
 
   it('do not keep it alive if nobody reads', async () => {
-    const fill = 'for (let line = 0; line < 20_000; line += 1) telemetry.stateChanged(\'reloaded\', { error: \'x\'.repeat(100), contacts: \'\' });'
+    const fill = 'for (let line = 0; line < 20_000; line += 1) telemetry.logStateChange(\'reloaded\', { error: \'x\'.repeat(100), contacts: \'\' });'
     const [code] = await once(start(fill + BREAK), 'exit')
     expect(code).toBe(3)
   })
--- a/packages/daemon/src/lib/runDaemon.ts
+++ b/packages/daemon/src/lib/runDaemon.ts
@@ -11,7 +11,7 @@
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { startAdminServer } from './AdminServer.js'
 import { ProcessSignals } from './ProcessSignals.js'
-import { describeMistakes, flagOf, variableOf } from './settings.js'
+import { describeSettingErrors, flagName, environmentVariableName } from './settings.js'
 
 /** Settings that the frame itself reads. */
 export interface CommonSettings {
@@ -52,19 +52,19 @@
 }
 
 /** Exit code for settings that are missing or wrong. */
-const EXIT_SETTINGS = 2
+const EXIT_INVALID_SETTINGS = 2
 
 /** Exit code for a broken invariant or a failed disk. */
 const EXIT_FATAL = 3
 
 /** Longest wait for whoever reads the last log lines, in milliseconds: its callers are gone by then, and a busy machine takes some tenths of a second to write. */
-const LAST_LINES_MS = 1000
+const LOG_FLUSH_TIMEOUT_MS = 1000
 
 /**
  * Interval at which the event loop's delay is measured, in milliseconds. Each wakes the process: at
  * 20 and, for the metrics library's own, 10, a host at rest spent a sixth of its processor time on that.
  */
-const LOOP_RESOLUTION_MS = 500
+const LOOP_DELAY_RESOLUTION_MS = 500
 
 /**
  * Runs a daemon until it is stopped. Never returns before the process may exit.
@@ -94,8 +94,8 @@
       super()
       // One option for each setting of the schema, so that flags can't drift from it.
       for (const name of names) {
-        const description = program.settings.shape[name] instanceof Object ? describe(program, name) : ''
-        Reflect.set(this, name, Option.String(flagOf(name), { env: variableOf(name), description }))
+        const description = program.settings.shape[name] instanceof Object ? settingDescription(program, name) : ''
+        Reflect.set(this, name, Option.String(flagName(name), { env: environmentVariableName(name), description }))
       }
     }
 
@@ -103,9 +103,9 @@
       const given = Object.fromEntries(names.map(name => [name, Reflect.get(this, name)]))
       const parsed = program.settings.safeParse(given, { reportInput: true })
       if (!parsed.success) {
-        const mistakes = describeMistakes(parsed.error.issues).map(({ flag, variable, message }) => `${flag} (${variable}) ${message}`)
-        this.context.stderr.write(`${program.name}: ${mistakes.join('; ')}\n`)
-        return EXIT_SETTINGS
+        const errors = describeSettingErrors(parsed.error.issues).map(({ flag, variable, message }) => `${flag} (${variable}) ${message}`)
+        this.context.stderr.write(`${program.name}: ${errors.join('; ')}\n`)
+        return EXIT_INVALID_SETTINGS
       }
       if (this.check) {
         this.context.stdout.write('settings are valid\n')
@@ -116,58 +116,58 @@
   }
 }
 
-function describe<Settings extends CommonSettings> (program: DaemonProgram<Settings>, name: string): string {
+function settingDescription<Settings extends CommonSettings> (program: DaemonProgram<Settings>, name: string): string {
   const setting = program.settings.shape[name]
   return setting !== undefined && 'description' in setting ? String(setting.description ?? '') : ''
 }
 
 function usageDetails<Settings extends CommonSettings> (program: DaemonProgram<Settings>): string {
   const lines = Object.keys(program.settings.shape)
-    .map(name => `- \`${flagOf(name)}\` (\`${variableOf(name)}\`): ${describe(program, name)}`)
+    .map(name => `- \`${flagName(name)}\` (\`${environmentVariableName(name)}\`): ${settingDescription(program, name)}`)
   return `Settings, each a flag or an environment variable:\n\n${lines.join('\n\n')}`
 }
 
 async function supervise<Settings extends CommonSettings> (program: DaemonProgram<Settings>, settings: Settings, signals: ProcessSignals): Promise<number> {
   const telemetry = new Telemetry(program.name, settings)
-  const invariants = telemetry.labelledCounter('invariant_violations_total', 'Broken invariants; the process stops at the first', 'invariant')
+  const violations = telemetry.labelledCounter('invariant_violations_total', 'Broken invariants; the process stops at the first', 'invariant')
   const fail = (error: unknown): void => {
     const invariant = error instanceof InvariantViolation ? error.invariant : 'unexpected-error'
-    invariants.count(invariant)
+    violations.count(invariant)
     telemetry.logFault('fatal', { invariant, message: String(error) })
     process.stderr.write(`${program.name}: ${error instanceof Error ? error.stack ?? error.message : String(error)}\n`)
-    telemetry.writeOut()
+    telemetry.flushSync()
     process.exit(EXIT_FATAL)
   }
   process.on('uncaughtException', fail)
   process.on('unhandledRejection', fail)
-  const loopDelay = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS })
+  const loopDelay = monitorEventLoopDelay({ resolution: LOOP_DELAY_RESOLUTION_MS })
   loopDelay.enable()
   telemetry.gauge('event_loop_delay_seconds', '99th percentile of event loop delay since the last reading', () => {
     // What it records is the time between two measurements.
-    const seconds = loopDelay.percentile(99) / 1e9 - LOOP_RESOLUTION_MS / 1000
+    const seconds = loopDelay.percentile(99) / 1e9 - LOOP_DELAY_RESOLUTION_MS / 1000
     loopDelay.reset()
     return Number.isFinite(seconds) ? Math.max(0, seconds) : 0
   })
   const daemon = await program.start(settings, telemetry, fail)
-  let draining = false
-  const admin = await startAdminServer(settings.host, settings.adminPort, telemetry, () => !draining && daemon.isReady())
+  let isDraining = false
+  const admin = await startAdminServer(settings.host, settings.adminPort, telemetry, () => !isDraining && daemon.isReady())
   const addresses = { ...daemon.addresses, admin: `${settings.host}:${admin.port}` }
   process.stdout.write(`${JSON.stringify({ event: 'listening', program: program.name, ...addresses })}\n`)
   telemetry.logStateChange('started', addresses)
-  signals.onCut(() => { telemetry.writeOut() })
+  signals.onForcedExit(() => { telemetry.flushSync() })
   signals.onReload(() => {
     telemetry.logStateChange('reloading')
     daemon.reload?.()
   })
   const signalledAt = await signals.stopReceived()
-  draining = true
+  isDraining = true
   daemon.stopping?.(signalledAt)
   telemetry.logStateChange('draining')
   await daemon.drain()
   telemetry.logStateChange('stopped')
   await daemon.close()
   await admin.close()
-  await telemetry.flush(LAST_LINES_MS)
-  telemetry.writeOut()
+  await telemetry.flush(LOG_FLUSH_TIMEOUT_MS)
+  telemetry.flushSync()
   process.exit(0)
 }
--- a/packages/daemon/src/lib/settings.test.ts
+++ b/packages/daemon/src/lib/settings.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, it } from 'vitest'
 import { z } from 'zod'
-import { addressListSetting, commonSettingsShape, describeMistakes, flagOf, integerSetting, variableOf } from './settings.js'
+import { addressListSetting, commonSettingsShape, describeSettingErrors, flagName, integerSetting, environmentVariableName } from './settings.js'
 
 const schema = z.object({ ...commonSettingsShape, control: addressListSetting, readLeaseMs: integerSetting(100, 1000) })
 
-const mistakes = (given: Record<string, string>): string[] => {
+const errors = (given: Record<string, string>): string[] => {
   const parsed = schema.safeParse(given, { reportInput: true })
-  return parsed.success ? [] : describeMistakes(parsed.error.issues).map(({ flag, message }) => `${flag} ${message}`)
+  return parsed.success ? [] : describeSettingErrors(parsed.error.issues).map(({ flag, message }) => `${flag} ${message}`)
 }
 
 describe('settings', () => {
   it('names a setting as operators know it', () => {
-    expect(flagOf('readLeaseMs')).toBe('--read-lease-ms')
-    expect(variableOf('readLeaseMs')).toBe('EELGRASSMUX_READ_LEASE_MS')
+    expect(flagName('readLeaseMs')).toBe('--read-lease-ms')
+    expect(environmentVariableName('readLeaseMs')).toBe('EELGRASSMUX_READ_LEASE_MS')
   })
 
   it('accepts what is right and fills in the rest', () => {
@@ -21,7 +21,7 @@
   })
 
   it('names every setting that is missing or wrong', () => {
-    expect(mistakes({ control: 'nowhere', readLeaseMs: 'soon' })).toEqual([
+    expect(errors({ control: 'nowhere', readLeaseMs: 'soon' })).toEqual([
       '--data-centre is required',
       '--control nowhere is not an IP number and a port',
       '--read-lease-ms Invalid input: expected number, received NaN'
--- a/packages/daemon/src/lib/settings.ts
+++ b/packages/daemon/src/lib/settings.ts
@@ -69,7 +69,7 @@
 }
 
 /** A setting that is missing or wrong. */
-export interface SettingMistake {
+export interface SettingError {
   readonly flag: string
   readonly variable: string
   readonly message: string
@@ -79,7 +79,7 @@
  * @param name - setting name in camel case
  * @returns its flag
  */
-export function flagOf (name: string): string {
+export function flagName (name: string): string {
   return `--${name.replaceAll(/[A-Z]/g, letter => `-${letter.toLowerCase()}`)}`
 }
 
@@ -87,7 +87,7 @@
  * @param name - setting name in camel case
  * @returns its environment variable
  */
-export function variableOf (name: string): string {
+export function environmentVariableName (name: string): string {
   return ENVIRONMENT_PREFIX + name.replaceAll(/[A-Z]/g, letter => `_${letter}`).toUpperCase()
 }
 
@@ -95,10 +95,10 @@
  * @param issues - what a schema found wrong
  * @returns the mistakes, each with the names that an operator knows
  */
-export function describeMistakes (issues: readonly z.core.$ZodIssue[]): SettingMistake[] {
+export function describeSettingErrors (issues: readonly z.core.$ZodIssue[]): SettingError[] {
   return issues.map(issue => {
     const name = String(issue.path[0] ?? '')
     const isMissing = issue.code === 'invalid_type' && issue.input === undefined
-    return { flag: flagOf(name), variable: variableOf(name), message: isMissing ? 'is required' : issue.message }
+    return { flag: flagName(name), variable: environmentVariableName(name), message: isMissing ? 'is required' : issue.message }
   })
 }
--- a/packages/daemon/src/lib/testing/freePort.ts
+++ b/packages/daemon/src/lib/testing/freePort.ts
@@ -8,10 +8,10 @@
  * may be somebody's connection or datagram socket when a host binds it, or binds it again.
  */
 const FIRST_PORT = 20_000
-const PORTS = 12_000
+const PORT_COUNT = 12_000
 
 /** Begins anywhere, since other runs on the same machine look for ports, too. */
-let nextPort = Math.floor(Math.random() * PORTS)
+let nextPort = Math.floor(Math.random() * PORT_COUNT)
 
 /**
  * Hosts serve calls and datagrams on the same number.
@@ -20,7 +20,7 @@
  */
 export async function freePort (): Promise<number> {
   for (;;) {
-    nextPort = (nextPort + 1) % PORTS
+    nextPort = (nextPort + 1) % PORT_COUNT
     const port = FIRST_PORT + nextPort
     if (await isFreeForCalls(port) && await isFreeForDatagrams(port)) return port
   }
--- a/packages/durable/src/lib/PersistentImage.ts
+++ b/packages/durable/src/lib/PersistentImage.ts
@@ -36,14 +36,14 @@
         this.#entries = this.#entries.filter(entry => entry.index < write.fromIndex)
         break
       case 'snapshot':
-        this.#takeSnapshot(write.snapshot)
+        this.#applySnapshot(write.snapshot)
         break
       default: unreachable(write)
     }
   }
 
   /** Entries behind a snapshot stay only if the log agreed with it. */
-  #takeSnapshot (snapshot: Snapshot): void {
+  #applySnapshot (snapshot: Snapshot): void {
     const covered = this.#entries.find(entry => entry.index === snapshot.index)
     const keepsTail = covered?.term === snapshot.term
     this.#entries = keepsTail ? this.#entries.filter(entry => entry.index > snapshot.index) : []
--- a/packages/durable/src/lib/RaftStorage.ts
+++ b/packages/durable/src/lib/RaftStorage.ts
@@ -50,7 +50,7 @@
     }
     const logBytes = await folder.read(LOG_FILE) ?? new Uint8Array()
     const scan = scanRecords(logBytes)
-    if (scan.damagedMiddle) return fail({ kind: 'log-damaged', file: LOG_FILE, offset: scan.validLength })
+    if (scan.hasDamagedMiddle) return fail({ kind: 'log-damaged', file: LOG_FILE, offset: scan.validLength })
     for (const payload of scan.payloads) storage.#image.applyWrite(decode(payload) as DurableWrite)
     const persisted = storage.#image.state()
     const gap = findGap(persisted)
@@ -67,14 +67,14 @@
    */
   async persist (writes: readonly DurableWrite[]): Promise<void> {
     if (writes.length === 0) return
-    let compacts = false
+    let hasSnapshot = false
     for (const write of writes) {
       this.#image.applyWrite(write)
       if (write.kind !== 'snapshot') continue
-      compacts = true
+      hasSnapshot = true
       await this.folder.replace(SNAPSHOT_FILE, frameRecord(encode(write.snapshot)))
     }
-    if (compacts) {
+    if (hasSnapshot) {
       await this.#rewriteLog()
       return
     }
--- a/packages/durable/src/lib/recordFraming.ts
+++ b/packages/durable/src/lib/recordFraming.ts
@@ -13,7 +13,7 @@
   /** Bytes of whole records from the start. */
   readonly validLength: number
   /** True if whole records follow a damaged one: not a torn tail. */
-  readonly damagedMiddle: boolean
+  readonly hasDamagedMiddle: boolean
 }
 
 /**
@@ -44,7 +44,7 @@
     payloads.push(payload)
     offset += HEADER_BYTES + payload.length
   }
-  return { payloads, validLength: offset, damagedMiddle: hasRecordAfter(file, offset + 1) }
+  return { payloads, validLength: offset, hasDamagedMiddle: hasRecordAfter(file, offset + 1) }
 }
 
 function readRecord (file: Buffer, offset: number): Uint8Array | undefined {
--- a/packages/rpc/src/lib/RpcServer.ts
+++ b/packages/rpc/src/lib/RpcServer.ts
@@ -58,7 +58,7 @@
       streamCall.on('cancelled', () => { abort.abort() })
       streamCall.on('close', () => { abort.abort() })
       streamCall.on('error', () => { abort.abort() })
-      const stream = { signal: abort.signal, send: async (response: Response) => { await write(streamCall, response, abort.signal) } }
+      const stream = { signal: abort.signal, send: async (response: Response) => { await writeWithBackpressure(streamCall, response, abort.signal) } }
       handler(streamCall.request, stream).then(
         () => { streamCall.end() },
         (error: unknown) => { streamCall.emit('error', { code: grpcStatus.INTERNAL, details: String(error) }) }
@@ -103,7 +103,7 @@
   }
 }
 
-async function write<Request, Response> (
+async function writeWithBackpressure<Request, Response> (
   call: ServerWritableStream<Request, Response>, response: Response, signal: AbortSignal
 ): Promise<void> {
   if (signal.aborted || call.write(response)) return
--- a/packages/rpc/src/lib/datagrams/DatagramClient.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramClient.ts
@@ -1,7 +1,7 @@
 /** Asks questions in datagrams and takes the answers. */
 import { randomInt } from 'node:crypto'
 import type { RemoteInfo } from 'node:dgram'
-import { frameDatagram, readFrame, SEQUENCE_RANGE } from './datagramFrame.js'
+import { encodeFrame, decodeFrame, SEQUENCE_RANGE } from './datagramFrame.js'
 import type { DatagramMethod } from './DatagramMethod.js'
 import { bindSocket, openDatagramSocket } from './openDatagramSocket.js'
 
@@ -15,9 +15,9 @@
   | 'socket-error'
 
 /** Time after which an answer is worth nothing any more, in milliseconds. */
-const ANSWER_LIFETIME_MS = 1000
+const RESPONSE_TIMEOUT_MS = 1000
 
-interface Question {
+interface PendingRequest {
   readonly address: string
   readonly kind: number
   readonly askedAt: number
@@ -29,7 +29,7 @@
 export class DatagramClient {
   readonly #socket = openDatagramSocket()
   /** The oldest first. */
-  readonly #questions = new Map<number, Question>()
+  readonly #pendingRequests = new Map<number, PendingRequest>()
   /** Begins anywhere, so that an answer to a former process at this address answers nothing. */
   #sequence = randomInt(SEQUENCE_RANGE)
   #isClosed = false
@@ -58,9 +58,9 @@
     address: string, method: DatagramMethod<Request, Response>, request: Request, onAnswer: (response: Response, askedAt: number) => void
   ): void {
     const askedAt = performance.now()
-    this.#forgetBefore(askedAt - ANSWER_LIFETIME_MS)
+    this.#discardSentBefore(askedAt - RESPONSE_TIMEOUT_MS)
     const sequence = this.#send(address, method, request)
-    this.#questions.set(sequence, {
+    this.#pendingRequests.set(sequence, {
       address,
       kind: method.kind,
       askedAt,
@@ -86,7 +86,7 @@
   close (): void {
     if (this.#isClosed) return
     this.#isClosed = true
-    this.#questions.clear()
+    this.#pendingRequests.clear()
     this.#socket.close()
   }
 
@@ -94,26 +94,26 @@
     this.#sequence = (this.#sequence + 1) % SEQUENCE_RANGE
     const [host, port] = address.split(':')
     if (this.#isClosed || host === undefined || port === undefined) return this.#sequence
-    this.#socket.send(frameDatagram(method.kind, this.#sequence, method.request.encode(request)), Number(port), host)
+    this.#socket.send(encodeFrame(method.kind, this.#sequence, method.request.encode(request)), Number(port), host)
     this.count('sent')
     return this.#sequence
   }
 
   #receive (bytes: Buffer, sender: RemoteInfo): void {
-    const frame = readFrame(bytes)
-    const question = frame === undefined ? undefined : this.#questions.get(frame.sequence)
+    const frame = decodeFrame(bytes)
+    const question = frame === undefined ? undefined : this.#pendingRequests.get(frame.sequence)
     const isExpected = question !== undefined && frame?.kind === question.kind && question.address === `${sender.address}:${sender.port}`
     if (frame === undefined || !isExpected) {
       this.count(frame === undefined ? 'malformed' : 'unexpected')
       return
     }
-    this.#questions.delete(frame.sequence)
-    const handOn = this.#decode(question, frame.payload)
-    this.count(handOn === undefined ? 'malformed' : 'answered')
-    handOn?.()
+    this.#pendingRequests.delete(frame.sequence)
+    const deliver = this.#decode(question, frame.payload)
+    this.count(deliver === undefined ? 'malformed' : 'answered')
+    deliver?.()
   }
 
-  #decode (question: Question, payload: Buffer): (() => void) | undefined {
+  #decode (question: PendingRequest, payload: Buffer): (() => void) | undefined {
     try {
       return question.decode(payload)
     } catch {
@@ -122,10 +122,10 @@
     }
   }
 
-  #forgetBefore (askedAt: number): void {
-    for (const [sequence, question] of this.#questions) {
+  #discardSentBefore (askedAt: number): void {
+    for (const [sequence, question] of this.#pendingRequests) {
       if (question.askedAt >= askedAt) return
-      this.#questions.delete(sequence)
+      this.#pendingRequests.delete(sequence)
     }
   }
 }
--- a/packages/rpc/src/lib/datagrams/DatagramMethod.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramMethod.ts
@@ -37,9 +37,9 @@
 export function defineDatagram<Request, Response> (
   kind: number, name: string, request: z.ZodType<Request>, response: z.ZodType<Response>
 ): DatagramMethod<Request, Response> {
-  return { kind, name, request: codecOf(request), response: codecOf(response) }
+  return { kind, name, request: schemaCodec(request), response: schemaCodec(response) }
 }
 
-function codecOf<Message> (schema: z.ZodType<Message>): MessageCodec<Message> {
+function schemaCodec<Message> (schema: z.ZodType<Message>): MessageCodec<Message> {
   return { encode: encodeMessage, decode: bytes => decodeMessage(schema, bytes) }
 }
--- a/packages/rpc/src/lib/datagrams/DatagramServer.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramServer.ts
@@ -1,13 +1,13 @@
 /** Answers questions that come in datagrams. */
 import type { RemoteInfo } from 'node:dgram'
-import { frameDatagram, readFrame, type DatagramFrame } from './datagramFrame.js'
+import { encodeFrame, decodeFrame, type DatagramFrame } from './datagramFrame.js'
 import type { DatagramMethod } from './DatagramMethod.js'
 import { bindSocket, openDatagramSocket } from './openDatagramSocket.js'
 
 /** What becomes of datagrams, for metrics; else the name of the method that took one. */
-export type ServedOutcome = 'malformed' | 'unknown-kind' | 'socket-error'
+export type DatagramServerOutcome = 'malformed' | 'unknown-kind' | 'socket-error'
 
-interface ServedMethod {
+interface RegisteredMethod {
   readonly name: string
   /**
    * Decodes a question.
@@ -21,13 +21,13 @@
 /** Serves methods at one UDP port. */
 export class DatagramServer {
   readonly #socket = openDatagramSocket()
-  readonly #methods = new Map<number, ServedMethod>()
+  readonly #methods = new Map<number, RegisteredMethod>()
 
   /** @param count - counts datagrams by outcome */
   constructor (private readonly count: (outcome: string) => void = () => {}) {
     this.#socket.on('message', (bytes, sender) => { this.#receive(bytes, sender) })
     // A datagram that can't be sent is as good as one that was lost.
-    this.#socket.on('error', () => { this.#outcome('socket-error') })
+    this.#socket.on('error', () => { this.#countOutcome('socket-error') })
   }
 
   /**
@@ -66,23 +66,23 @@
   }
 
   #receive (bytes: Buffer, sender: RemoteInfo): void {
-    const frame = readFrame(bytes)
+    const frame = decodeFrame(bytes)
     const method = frame === undefined ? undefined : this.#methods.get(frame.kind)
     if (frame === undefined || method === undefined) {
-      this.#outcome(frame === undefined ? 'malformed' : 'unknown-kind')
+      this.#countOutcome(frame === undefined ? 'malformed' : 'unknown-kind')
       return
     }
     const answer = this.#decode(method, frame)
     if (answer === undefined) {
-      this.#outcome('malformed')
+      this.#countOutcome('malformed')
       return
     }
     this.count(method.name)
     const payload = answer()
-    if (payload !== undefined) this.#socket.send(frameDatagram(frame.kind, frame.sequence, payload), sender.port, sender.address)
+    if (payload !== undefined) this.#socket.send(encodeFrame(frame.kind, frame.sequence, payload), sender.port, sender.address)
   }
 
-  #decode (method: ServedMethod, { payload }: DatagramFrame): (() => Uint8Array | undefined) | undefined {
+  #decode (method: RegisteredMethod, { payload }: DatagramFrame): (() => Uint8Array | undefined) | undefined {
     try {
       return method.decode(payload)
     } catch {
@@ -91,7 +91,7 @@
     }
   }
 
-  #outcome (outcome: ServedOutcome): void {
+  #countOutcome (outcome: DatagramServerOutcome): void {
     this.count(outcome)
   }
 }
--- a/packages/rpc/src/lib/datagrams/datagramFrame.ts
+++ b/packages/rpc/src/lib/datagrams/datagramFrame.ts
@@ -20,7 +20,7 @@
  * @param payload - its message, or that of its answer
  * @returns the datagram
  */
-export function frameDatagram (kind: number, sequence: number, payload: Uint8Array): Buffer {
+export function encodeFrame (kind: number, sequence: number, payload: Uint8Array): Buffer {
   const bytes = Buffer.allocUnsafe(FRAME_BYTES + payload.length)
   bytes.writeUInt8(kind, 0)
   bytes.writeUInt32BE(sequence, 1)
@@ -32,7 +32,7 @@
  * @param bytes - a datagram
  * @returns its parts, or undefined if it is too short for a frame
  */
-export function readFrame (bytes: Buffer): DatagramFrame | undefined {
+export function decodeFrame (bytes: Buffer): DatagramFrame | undefined {
   if (bytes.length < FRAME_BYTES) return undefined
   return { kind: bytes.readUInt8(0), sequence: bytes.readUInt32BE(1), payload: bytes.subarray(FRAME_BYTES) }
 }
--- a/packages/rpc/src/lib/datagrams/datagrams.test.ts
+++ b/packages/rpc/src/lib/datagrams/datagrams.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { z } from 'zod'
 import { DatagramClient } from './DatagramClient.js'
-import { frameDatagram } from './datagramFrame.js'
+import { encodeFrame } from './datagramFrame.js'
 import { defineDatagram } from './DatagramMethod.js'
 import { DatagramServer } from './DatagramServer.js'
 
@@ -12,7 +12,7 @@
 
 const closers: Array<() => void> = []
 
-function counted (): { readonly counts: Map<string, number>, readonly count: (outcome: string) => void } {
+function createCounter (): { readonly counts: Map<string, number>, readonly count: (outcome: string) => void } {
   const counts = new Map<string, number>()
   return { counts, count: outcome => { counts.set(outcome, (counts.get(outcome) ?? 0) + 1) } }
 }
@@ -43,9 +43,9 @@
   return `${HOST}:${port}`
 }
 
-async function until (isSo: () => boolean): Promise<void> {
-  for (let look = 0; look < 500 && !isSo(); look += 1) await sleep(10)
-  expect(isSo()).toBe(true)
+async function waitUntil (condition: () => boolean): Promise<void> {
+  for (let attempt = 0; attempt < 500 && !condition(); attempt += 1) await sleep(10)
+  expect(condition()).toBe(true)
 }
 
 describe('datagrams', () => {
@@ -56,44 +56,44 @@
     const client = await openClient()
     const answers: number[] = []
     for (const value of [1, 2, 3]) client.ask(address, double, { value, name: 'a' }, ({ doubled }) => { answers.push(doubled) })
-    await until(() => answers.length === 3)
+    await waitUntil(() => answers.length === 3)
     expect(answers.sort()).toEqual([2, 4, 6])
   })
 
   describe('of a server', () => {
     it('are refused and counted when malformed, too long in a name, or of an unknown kind', async () => {
-      const { counts, count } = counted()
+      const { counts, count } = createCounter()
       const address = await openServer(count)
       const client = await openClient()
       const raw = createSocket('udp4')
       closers.push(() => { raw.close() })
       const port = Number(address.split(':')[1])
       raw.send(Buffer.from([7]), port, HOST)
-      raw.send(frameDatagram(7, 1, Buffer.from('no message')), port, HOST)
-      raw.send(frameDatagram(99, 1, Buffer.from('x')), port, HOST)
+      raw.send(encodeFrame(7, 1, Buffer.from('no message')), port, HOST)
+      raw.send(encodeFrame(99, 1, Buffer.from('x')), port, HOST)
       client.ask(address, double, { value: 1, name: 'a name beyond its bound' }, () => { throw new Error('answered') })
       client.ask(address, double, { value: 0, name: 'told' }, () => { throw new Error('answered') })
-      await until(() => counts.get('malformed') === 3 && counts.get('unknown-kind') === 1 && counts.get('double') === 1)
+      await waitUntil(() => counts.get('malformed') === 3 && counts.get('unknown-kind') === 1 && counts.get('double') === 1)
     })
   })
 
   describe('of a client', () => {
     it('are taken once, and only as answers to a question that was asked of their sender', async () => {
-      const { counts, count } = counted()
+      const { counts, count } = createCounter()
       const client = await openClient(count)
       const taken: number[] = []
       const right = double.response.encode({ doubled: 2 })
       let clientPort = 0
       const asked = await openPeer((bytes, send) => {
         const sequence = bytes.readUInt32BE(1)
-        send(frameDatagram(8, sequence, right))
-        send(frameDatagram(7, (sequence + 1) % 2 ** 32, right))
-        send(frameDatagram(7, sequence, right))
-        send(frameDatagram(7, sequence, right))
+        send(encodeFrame(8, sequence, right))
+        send(encodeFrame(7, (sequence + 1) % 2 ** 32, right))
+        send(encodeFrame(7, sequence, right))
+        send(encodeFrame(7, sequence, right))
         send(Buffer.from([7]))
       })
       client.ask(asked, double, { value: 1, name: 'a' }, ({ doubled }) => { taken.push(doubled) })
-      await until(() => counts.get('unexpected') === 3 && counts.get('malformed') === 1 && counts.get('answered') === 1)
+      await waitUntil(() => counts.get('unexpected') === 3 && counts.get('malformed') === 1 && counts.get('answered') === 1)
       expect(taken).toEqual([2])
 
       // Somebody else, who has seen the question, answers it first.
@@ -106,35 +106,35 @@
       })
       await new Promise<void>(resolve => { silent.bind(0, HOST, resolve) })
       client.ask(`${HOST}:${silent.address().port}`, double, { value: 1, name: 'a' }, ({ doubled }) => { taken.push(doubled) })
-      await until(() => question !== undefined)
+      await waitUntil(() => question !== undefined)
       const stranger = createSocket('udp4')
       closers.push(() => { stranger.close() })
-      stranger.send(frameDatagram(7, question?.readUInt32BE(1) ?? 0, right), clientPort, HOST)
-      await until(() => counts.get('unexpected') === 4)
+      stranger.send(encodeFrame(7, question?.readUInt32BE(1) ?? 0, right), clientPort, HOST)
+      await waitUntil(() => counts.get('unexpected') === 4)
       expect(taken).toEqual([2])
     })
 
     it('count a malformed answer and go on', async () => {
-      const { counts, count } = counted()
+      const { counts, count } = createCounter()
       const client = await openClient(count)
-      const address = await openPeer((bytes, send) => { send(frameDatagram(7, bytes.readUInt32BE(1), Buffer.from('nothing'))) })
+      const address = await openPeer((bytes, send) => { send(encodeFrame(7, bytes.readUInt32BE(1), Buffer.from('nothing'))) })
       client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('taken') })
-      await until(() => counts.get('malformed') === 1)
+      await waitUntil(() => counts.get('malformed') === 1)
     })
 
     it('late by more than a second answer nothing any more', async () => {
-      const { counts, count } = counted()
+      const { counts, count } = createCounter()
       const client = await openClient(count)
       const held: Array<() => void> = []
       const address = await openPeer((bytes, send) => {
-        held.push(() => { send(frameDatagram(7, bytes.readUInt32BE(1), double.response.encode({ doubled: 2 }))) })
+        held.push(() => { send(encodeFrame(7, bytes.readUInt32BE(1), double.response.encode({ doubled: 2 }))) })
       })
       client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('taken') })
-      await until(() => held.length === 1)
+      await waitUntil(() => held.length === 1)
       await sleep(1100)
       client.ask(address, double, { value: 1, name: 'a' }, () => {})
       held[0]?.()
-      await until(() => counts.get('unexpected') === 1)
+      await waitUntil(() => counts.get('unexpected') === 1)
     })
   })
 })
--- a/packages/rpc/src/lib/methods/controlMethods.ts
+++ b/packages/rpc/src/lib/methods/controlMethods.ts
@@ -30,9 +30,9 @@
 export const hostRoleSchema = z.enum(['entry', 'directory'])
 
 /** Longest name or address in a datagram that anybody may send, in characters; the longest data centre's name is a tenth of it. */
-const LONGEST_NAME = 256
+const MAX_NAME_LENGTH = 256
 
-const nameSchema = z.string().max(LONGEST_NAME)
+const nameSchema = z.string().max(MAX_NAME_LENGTH)
 
 /** What a host says of itself. */
 export const hostStatusSchema = z.strictObject({
--- a/packages/rpc/src/lib/methods/loadMethods.ts
+++ b/packages/rpc/src/lib/methods/loadMethods.ts
@@ -4,16 +4,16 @@
 import type { DatagramMethod, MessageCodec } from '../datagrams/DatagramMethod.js'
 
 /** Kinds of the datagrams; those of status reports have another. */
-const ASK_KIND = 2
-const TELL_KIND = 3
+const EXCHANGE_KIND = 2
+const REPORT_KIND = 3
 
-const report: MessageCodec<LoadReport> = { encode: encodeLoadReport, decode: decodeLoadReport }
+const reportCodec: MessageCodec<LoadReport> = { encode: encodeLoadReport, decode: decodeLoadReport }
 
 /** Bytes as they are: totals are encoded once for all hosts, and read by `decodeLoadTotals`. */
-const bytes: MessageCodec<Uint8Array> = { encode: totals => totals, decode: totals => totals }
+const bytesCodec: MessageCodec<Uint8Array> = { encode: totals => totals, decode: totals => totals }
 
 /** A report, answered by the totals of all hosts. */
-export const exchangeLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: ASK_KIND, name: 'ask-load', request: report, response: bytes }
+export const exchangeLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: EXCHANGE_KIND, name: 'ask-load', request: reportCodec, response: bytesCodec }
 
 /** A report that needs no answer. */
-export const sendLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: TELL_KIND, name: 'tell-load', request: report, response: bytes }
+export const sendLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: REPORT_KIND, name: 'tell-load', request: reportCodec, response: bytesCodec }
--- a/packages/rpc/src/lib/methods/quarantineMethods.ts
+++ b/packages/rpc/src/lib/methods/quarantineMethods.ts
@@ -4,10 +4,10 @@
 import { fingerprintSchema } from '@eelgrassmux/schema/quarantineEntry'
 import { defineUnary } from '../RpcMethod.js'
 
-const LONGEST_NAME = 256
+const MAX_NAME_LENGTH = 256
 
 export const reportCrashesRequestSchema = z.strictObject({
-  host: z.string().max(LONGEST_NAME),
+  host: z.string().max(MAX_NAME_LENGTH),
   /** All that the host holds, told before or not: the same report again changes nothing. */
   losses: z.array(crashReportSchema).max(MAX_REPORTS_PER_HOST),
   /** Suspected, quarantined and released requests that completed. */
--- a/packages/telemetry/src/lib/BoundedLogWriter.ts
+++ b/packages/telemetry/src/lib/BoundedLogWriter.ts
@@ -17,52 +17,52 @@
 const BUFFER_BYTES = 512 * 1024
 
 /** Pause in which lines are gathered into one write, in milliseconds. */
-const GATHER_MS = 50
+const BATCH_DELAY_MS = 50
 
 /** Pause before a write is tried again after the sink was full, in milliseconds. */
 const RETRY_MS = 100
 
 const STANDARD_OUTPUT = 1
 
-const NOTHING = Buffer.alloc(0)
+const EMPTY = Buffer.alloc(0)
 
 /** Bounded buffer in front of a sink. */
 export class BoundedLogWriter {
   #lines: string[] = []
   #bytes = 0
   #dropped = 0
-  #droppedInAll = 0
+  #totalDropped = 0
   #timer: NodeJS.Timeout | undefined
   #isWriting = false
   readonly #flushWaiters: Array<() => void> = []
   /** What a full sink has not taken yet of the batch under way; empty while the thread pool has it. */
-  #untaken: Buffer = NOTHING
+  #unwritten: Buffer = EMPTY
   #hasEnded = false
 
   /**
    * @param sink - where the bytes go
    * @param describeDropped - makes the line that says how many lines were dropped
-   * @param lastSink - takes what it can at once, and returns how many bytes; called when the process ends
+   * @param finalSink - takes what it can at once, and returns how many bytes; called when the process ends
    */
   constructor (
     private readonly sink: ByteSink = (bytes, done) => { write(STANDARD_OUTPUT, bytes, 0, bytes.length, null, done) },
     private readonly describeDropped = (count: number) => describeDroppedLines('', count),
-    private readonly lastSink: (bytes: Buffer) => number = bytes => writeWithoutWaiting(STANDARD_OUTPUT, bytes)
+    private readonly finalSink: (bytes: Buffer) => number = bytes => writeWithoutWaiting(STANDARD_OUTPUT, bytes)
   ) {}
 
   /** Lines dropped so far. */
-  get dropped (): number { return this.#droppedInAll }
+  get dropped (): number { return this.#totalDropped }
 
   /** @param line - without a line end */
   write (line: string): void {
     if (this.#bytes + line.length > BUFFER_BYTES) {
       this.#dropped += 1
-      this.#droppedInAll += 1
+      this.#totalDropped += 1
       return
     }
     this.#lines.push(line)
     this.#bytes += line.length + 1
-    this.#schedule(GATHER_MS)
+    this.#schedule(BATCH_DELAY_MS)
   }
 
   /**
@@ -87,15 +87,15 @@
    * Writes what waits as far as it is taken without waiting, and nothing after that; for
    * the end of a process. What the thread pool has just begun to write is left to it.
    */
-  writeOut (): void {
+  flushSync (): void {
     this.#hasEnded = true
-    this.#announceDropped()
+    this.#appendDroppedNotice()
     const lines = this.#lines.map(line => `${line}\n`).join('')
     this.#lines = []
-    let rest = Buffer.concat([this.#untaken, Buffer.from(lines)])
-    this.#untaken = NOTHING
+    let rest = Buffer.concat([this.#unwritten, Buffer.from(lines)])
+    this.#unwritten = EMPTY
     while (rest.length > 0) {
-      const taken = this.lastSink(rest)
+      const taken = this.finalSink(rest)
       if (taken === 0) return
       rest = rest.subarray(taken)
     }
@@ -110,14 +110,14 @@
     this.#timer.unref()
   }
 
-  #announceDropped (): void {
+  #appendDroppedNotice (): void {
     if (this.#dropped === 0) return
     this.#lines.push(this.describeDropped(this.#dropped))
     this.#dropped = 0
   }
 
   #flush (): void {
-    this.#announceDropped()
+    this.#appendDroppedNotice()
     if (this.#lines.length === 0) return
     const bytes = Buffer.from(`${this.#lines.join('\n')}\n`)
     this.#lines = []
@@ -128,12 +128,12 @@
 
   #writeAll (bytes: Buffer): void {
     if (this.#hasEnded) return
-    this.#untaken = NOTHING
+    this.#unwritten = EMPTY
     this.sink(bytes, (error, written) => {
       const isFull = error !== null && 'code' in error && error.code === 'EAGAIN'
       const rest = error === null ? bytes.subarray(written) : bytes
       if (isFull || (error === null && rest.length > 0)) {
-        this.#untaken = rest
+        this.#unwritten = rest
         setTimeout(() => { this.#writeAll(rest) }, isFull ? RETRY_MS : 0).unref()
         return
       }
@@ -141,7 +141,7 @@
       this.#isWriting = false
       this.#bytes = this.#lines.reduce((sum, line) => sum + line.length + 1, 0)
       if (this.#flushWaiters.length > 0) this.#flush()
-      else this.#schedule(GATHER_MS)
+      else this.#schedule(BATCH_DELAY_MS)
       if (this.#isIdle) {
         for (const wake of this.#flushWaiters.splice(0)) wake()
       }
--- a/packages/telemetry/src/lib/RejectedEntries.ts
+++ b/packages/telemetry/src/lib/RejectedEntries.ts
@@ -10,13 +10,13 @@
 }
 
 /** Shortest time between two lines about one source, in milliseconds: lists are read several times a second. */
-const LINE_INTERVAL_MS = 10_000
+const LOG_INTERVAL_MS = 10_000
 
 /** Longest excerpt, in characters: enough to find the writer. */
-const EXCERPT_LENGTH = 120
+const MAX_EXCERPT_LENGTH = 120
 
 /** What was last said of a source. */
-interface SaidOfSource {
+interface LoggedRejection {
   readonly entries: string
   readonly at: number
 }
@@ -27,13 +27,13 @@
  */
 export function rejectEntry (reason: string, entry: unknown): RejectedEntry {
   const text = typeof entry === 'string' ? entry : JSON.stringify(entry) ?? ''
-  return { reason, excerpt: text.slice(0, EXCERPT_LENGTH) }
+  return { reason, excerpt: text.slice(0, MAX_EXCERPT_LENGTH) }
 }
 
 /** Counts rejected entries, and says once which they are. */
 export class RejectedEntries {
   readonly #counter: LabelledCounter
-  readonly #said = new Map<string, SaidOfSource>()
+  readonly #lastLogged = new Map<string, LoggedRejection>()
 
   /** @param telemetry - log and metrics */
   constructor (private readonly telemetry: Telemetry) {
@@ -53,9 +53,9 @@
     if (first === undefined) return
     this.#counter.count(source, rejected.length)
     const entries = JSON.stringify(rejected)
-    const said = this.#said.get(source)
-    if (said !== undefined && (said.entries === entries || now - said.at < LINE_INTERVAL_MS)) return
-    this.#said.set(source, { entries, at: now })
+    const last = this.#lastLogged.get(source)
+    if (last !== undefined && (last.entries === entries || now - last.at < LOG_INTERVAL_MS)) return
+    this.#lastLogged.set(source, { entries, at: now })
     this.telemetry.logStateChange('entries-rejected', { source, entries: rejected.length, reason: first.reason, excerpt: first.excerpt })
   }
 }
--- a/packages/telemetry/src/lib/RequestLineLimit.test.ts
+++ b/packages/telemetry/src/lib/RequestLogLimiter.test.ts
@@ -1,13 +1,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { RequestLineLimit } from './RequestLineLimit.js'
+import { RequestLogLimiter } from './RequestLogLimiter.js'
 
 describe('RequestLineLimit', () => {
   let reports: number[] = []
-  let limit: RequestLineLimit
+  let limit: RequestLogLimiter
   beforeEach(() => {
     vi.useFakeTimers()
     reports = []
-    limit = new RequestLineLimit(10, count => { reports.push(count) })
+    limit = new RequestLogLimiter(10, count => { reports.push(count) })
   })
   afterEach(() => { vi.useRealTimers() })
 
@@ -34,7 +34,7 @@
   it('counts what it leaves out and reports each line once', () => {
     admitted(13, false, 0)
     admitted(2, true, 0)
-    expect(limit.leftOut).toBe(5)
+    expect(limit.omittedCount).toBe(5)
     vi.advanceTimersByTime(1000)
     expect(reports).toEqual([5])
     vi.advanceTimersByTime(5000)
@@ -42,7 +42,7 @@
     admitted(12, false, 5000)
     vi.advanceTimersByTime(1000)
     expect(reports).toEqual([5, 2])
-    expect(limit.leftOut).toBe(7)
+    expect(limit.omittedCount).toBe(7)
   })
 
   it('reports at the end of the process what it has not reported yet', () => {
--- a/packages/telemetry/src/lib/RequestLineLimit.ts
+++ b/packages/telemetry/src/lib/RequestLogLimiter.ts
@@ -9,12 +9,12 @@
 const SECOND_MS = 1000
 
 /** Decides which lines are written. */
-export class RequestLineLimit {
+export class RequestLogLimiter {
   #secondStartedAt = Number.NEGATIVE_INFINITY
   #lines = 0
   #ordinaryLines = 0
   #unreported = 0
-  #leftOut = 0
+  #omittedCount = 0
   #timer: NodeJS.Timeout | undefined
 
   /**
@@ -24,7 +24,7 @@
   constructor (private readonly linesPerSecond: number, private readonly report: (count: number) => void) {}
 
   /** Lines left out so far. */
-  get leftOut (): number { return this.#leftOut }
+  get omittedCount (): number { return this.#omittedCount }
 
   /**
    * @param isOrdinary - whether the line is not about a failure
@@ -38,7 +38,7 @@
       this.#ordinaryLines = 0
     }
     if (this.#lines >= this.linesPerSecond || (isOrdinary && this.#ordinaryLines >= this.linesPerSecond * ORDINARY_SHARE)) {
-      this.#leaveOut()
+      this.#omit()
       return false
     }
     this.#lines += 1
@@ -56,8 +56,8 @@
     this.report(count)
   }
 
-  #leaveOut (): void {
-    this.#leftOut += 1
+  #omit (): void {
+    this.#omittedCount += 1
     this.#unreported += 1
     this.#timer ??= setTimeout(() => { this.reportNow() }, SECOND_MS).unref()
   }
--- a/packages/telemetry/src/lib/Telemetry.test.ts
+++ b/packages/telemetry/src/lib/Telemetry.test.ts
@@ -7,10 +7,10 @@
   const script = `
     import { Telemetry } from '${new URL('../../dist/lib/Telemetry.js', import.meta.url).href}'
     const log = new Telemetry('small', { keptStories: 1, logLinesPerSecond: 4 })
-    const answered = id => { log.decided('answered', id, { status: 200, endpoint: 'e', estimatedMs: 1, waitMs: 1, fetchMs: 1, tokensToRead: 1, version: 1, firstEventMs: 1, promptTokens: 1 }) }
-    const refused = id => { log.decided('refused', id, { reason: 'no-endpoint', status: 503, run: 'not-run', detail: '' }) }
+    const answered = id => { log.logDecision('answered', id, { status: 200, endpoint: 'e', estimatedMs: 1, waitMs: 1, fetchMs: 1, tokensToRead: 1, version: 1, firstEventMs: 1, promptTokens: 1 }) }
+    const refused = id => { log.logDecision('refused', id, { reason: 'no-endpoint', status: 503, run: 'not-run', detail: '' }) }
     ${statements}
-    log.writeOut()`
+    log.flushSync()`
   const { stdout } = spawnSync(process.execPath, ['--input-type=module', '--eval', script], { env: { ...process.env, ROARR_LOG: 'true' }, encoding: 'utf8' })
   return stdout.trimEnd().split('\n').map(line => (JSON.parse(line) as { context: Record<string, unknown> }).context)
 }
@@ -43,7 +43,7 @@
   })
 
   it('writes program, event, request and fields', () => {
-    expect(linesOf('log.stateChanged(\'stopped\'); log.fault(\'fatal\', { invariant: \'x\', message: \'y\' }); log.decided(\'retry-budget-used-up\', \'r\', { failure: \'lost\', siteVersion: 3 })')).toEqual([
+    expect(linesOf('log.logStateChange(\'stopped\'); log.logFault(\'fatal\', { invariant: \'x\', message: \'y\' }); log.logDecision(\'retry-budget-used-up\', \'r\', { failure: \'lost\', siteVersion: 3 })')).toEqual([
       { program: 'small', event: 'stopped', logLevel: 30 },
       { program: 'small', event: 'fatal', invariant: 'x', message: 'y', logLevel: 50 },
       { program: 'small', event: 'retry-budget-used-up', request: 'r', failure: 'lost', siteVersion: 3, logLevel: 30 }
--- a/packages/telemetry/src/lib/Telemetry.ts
+++ b/packages/telemetry/src/lib/Telemetry.ts
@@ -4,7 +4,7 @@
 import { BoundedLogWriter } from './BoundedLogWriter.js'
 import { describeDroppedLines } from './describeDroppedLines.js'
 import type { ChangeEvent, ChangeFields, DecisionEvent, DecisionFields, FaultEvent, FaultFields, FieldArguments, RequestFields } from './events/eventFields.js'
-import { RequestLineLimit } from './RequestLineLimit.js'
+import { RequestLogLimiter } from './RequestLogLimiter.js'
 
 /** Counter with one label. */
 export interface LabelledCounter {
@@ -13,14 +13,14 @@
 }
 
 /** How much of the story of requests the log takes. */
-export interface StoryLimits {
+export interface RequestLogLimits {
   /** Of requests that go well, one in so many is logged. */
   readonly keptStories: number
   /** Most lines about requests in a second. */
   readonly logLinesPerSecond: number
 }
 
-const DEFAULT_STORY_LIMITS: StoryLimits = { keptStories: 64, logLinesPerSecond: 200 }
+const DEFAULT_REQUEST_LOG_LIMITS: RequestLogLimits = { keptStories: 64, logLinesPerSecond: 200 }
 
 /**
  * The metrics library samples the event loop's lag by waking the process a hundred times a
@@ -39,13 +39,13 @@
   readonly registry = new Registry()
   readonly #log
   readonly #writer: BoundedLogWriter
-  readonly #requestLines: RequestLineLimit
+  readonly #requestLogLimiter: RequestLogLimiter
 
   /**
    * @param program - name of the binary, such as `eelgrassmux-entry`
    * @param limits - how much of the story of requests the log takes
    */
-  constructor (readonly program: string, private readonly limits: StoryLimits = DEFAULT_STORY_LIMITS) {
+  constructor (readonly program: string, private readonly limits: RequestLogLimits = DEFAULT_REQUEST_LOG_LIMITS) {
     this.registry.setDefaultLabels({ program })
     collectDefaultMetrics({ register: this.registry, eventLoopMonitoringPrecision: NEVER_MS })
     for (const name of this.registry.getMetricsAsArray().map(metric => metric.name)) {
@@ -54,8 +54,8 @@
     this.#log = Roarr.child({ program })
     this.#writer = new BoundedLogWriter(undefined, count => describeDroppedLines(program, count))
     ROARR.write = message => { this.#writer.write(message) }
-    this.#requestLines = new RequestLineLimit(limits.logLinesPerSecond, count => { this.logStateChange('request-lines-left-out', { count }) })
-    this.gauge('request_lines_left_out', 'Lines about requests beyond the most in a second', () => this.#requestLines.leftOut)
+    this.#requestLogLimiter = new RequestLogLimiter(limits.logLinesPerSecond, count => { this.logStateChange('request-lines-left-out', { count }) })
+    this.gauge('request_lines_left_out', 'Lines about requests beyond the most in a second', () => this.#requestLogLimiter.omittedCount)
     this.gauge('log_lines_dropped', 'Log lines dropped because nobody read them', () => this.#writer.dropped)
   }
 
@@ -130,7 +130,7 @@
    * @param fields - inputs that decided, their age or version, and the outcome
    */
   logDecision<Event extends DecisionEvent> (event: Event, requestId: string, fields: DecisionFields<Event> & RequestFields): void {
-    if (!this.#requestLines.admits(ORDINARY_EVENTS.has(event), performance.now())) return
+    if (!this.#requestLogLimiter.admits(ORDINARY_EVENTS.has(event), performance.now())) return
     this.#log.info({ event, request: requestId, ...fields }, event)
   }
 
@@ -164,8 +164,8 @@
   }
 
   /** Writes the last lines without waiting; call right before the process exits. */
-  writeOut (): void {
-    this.#requestLines.reportNow()
-    this.#writer.writeOut()
+  flushSync (): void {
+    this.#requestLogLimiter.reportNow()
+    this.#writer.flushSync()
   }
 }
