--- a/packages/rpc/src/lib/RpcClient.ts
+++ b/packages/rpc/src/lib/RpcClient.ts
@@ -5,7 +5,7 @@
 import { KEEPALIVE_MS, MAX_MESSAGE_BYTES } from './RpcServer.js'
 
 const CHANNEL_OPTIONS = {
-  // No call runs twice unseen.
+  // Only the caller retries: a transparent retry could execute a call twice.
   'grpc.enable_retries': 0,
   'grpc.enable_http_proxy': 0,
   'grpc.initial_reconnect_backoff_ms': 100,
@@ -16,18 +16,18 @@
   'grpc.max_send_message_length': MAX_MESSAGE_BYTES
 }
 
-/** Calls methods on any address; keeps one channel to each. */
+/** Calls methods at any address and keeps one channel open for each address. */
 export class RpcClient {
   readonly #channels = new Map<string, Client>()
 
   /**
    * Calls a method with one response.
    *
-   * @param address - IP number and port
-   * @param method - what to call
-   * @param request - its request
-   * @param deadlineMs - milliseconds until the call is given up
-   * @returns the response, or why there is none
+   * @param address - IP address and port of the server
+   * @param method - method to call
+   * @param request - request message
+   * @param deadlineMs - time until the call fails with a `deadline` error, in milliseconds
+   * @returns the response, or the error
    */
   async call<Request, Response> (
     address: string, method: RpcMethod<Request, Response>, request: Request, deadlineMs: number
@@ -51,12 +51,12 @@
   /**
    * Calls a method with a stream of responses.
    *
-   * @param address - IP number and port
-   * @param method - what to call
-   * @param request - its request
-   * @param onResponse - takes each response
-   * @param signal - ends the call
-   * @returns undefined when the far side ended the stream, or why it broke
+   * @param address - IP address and port of the server
+   * @param method - method to call
+   * @param request - request message
+   * @param onResponse - called with each response
+   * @param signal - cancels the call
+   * @returns undefined when the server ended the stream, or the error that broke it
    */
   async stream<Request, Response> (
     address: string,
--- a/packages/rpc/src/lib/RpcError.ts
+++ b/packages/rpc/src/lib/RpcError.ts
@@ -1,20 +1,20 @@
 import { status as grpcStatus, type ServiceError } from '@grpc/grpc-js'
 
-/** Why a remote call gave no answer. Whether the far side acted on it is unknown unless stated. */
+/** Why a remote call returned no response. Unless stated otherwise, it is unknown whether the server executed the call. */
 export type RpcError =
-  /** No connection: the far side never saw the call. */
+  /** No connection could be made, so the server never received the call. */
   | { readonly kind: 'unreachable', readonly address: string }
   | { readonly kind: 'deadline', readonly address: string }
-  /** The far side failed while handling it, or the connection broke. */
+  /** The server failed while handling the call, or the connection broke. */
   | { readonly kind: 'failed', readonly address: string, readonly detail: string }
   | { readonly kind: 'cancelled', readonly address: string }
 
 /**
- * Turns a transport error into this layer's own.
+ * Converts an error of the gRPC library.
  *
- * @param error - from the gRPC library
- * @param address - who was called
- * @returns the error
+ * @param error - error of the gRPC library
+ * @param address - address of the server
+ * @returns the converted error
  */
 export function fromServiceError (error: ServiceError, address: string): RpcError {
   switch (error.code) {
--- a/packages/rpc/src/lib/RpcMethod.ts
+++ b/packages/rpc/src/lib/RpcMethod.ts
@@ -1,4 +1,4 @@
-/** Calls between the system's own processes: schemas give the types, MessagePack the bytes, gRPC the transport. */
+/** RPC methods between the processes of this system: Zod schemas define the messages, MessagePack encodes them and gRPC transports them. */
 import { decode, encode } from '@msgpack/msgpack'
 import type { z } from 'zod'
 
@@ -13,7 +13,7 @@
 
 /** Thrown inside the transport when a message does not match its schema. */
 export class MalformedMessage extends Error {
-  /** @param detail - schema's complaint, with the field's name */
+  /** @param detail - validation error of the schema, with the name of the field */
   constructor (detail: string) {
     super(`malformed message: ${detail}`)
     this.name = 'MalformedMessage'
@@ -49,8 +49,10 @@
 }
 
 /**
+ * Encodes a message as MessagePack; undefined properties are left out.
+ *
  * @param message - any message that a schema describes
- * @returns its bytes
+ * @returns the encoded message
  */
 export function encodeMessage (message: unknown): Buffer {
   const bytes = encode(message, { ignoreUndefined: true })
@@ -58,10 +60,12 @@
 }
 
 /**
- * @param schema - what the bytes must describe
+ * Decodes a message and validates it.
+ *
+ * @param schema - schema of the message
  * @param bytes - received bytes
- * @returns the checked message
- * @throws MalformedMessage if they do not match
+ * @returns the validated message
+ * @throws MalformedMessage if the message does not match the schema
  */
 export function decodeMessage<Message> (schema: z.ZodType<Message>, bytes: Uint8Array): Message {
   const parsed = schema.safeParse(decode(bytes))
--- a/packages/rpc/src/lib/RpcServer.ts
+++ b/packages/rpc/src/lib/RpcServer.ts
@@ -4,17 +4,17 @@
 } from '@grpc/grpc-js'
 import { decodeMessage, encodeMessage, type RpcMethod } from './RpcMethod.js'
 
-/** Largest message taken, in bytes. */
+/** Largest message that can be sent or received, in bytes. */
 export const MAX_MESSAGE_BYTES = 256 * 1024 * 1024
 
-/** Milliseconds between keepalive pings, and without an answer until a connection counts as dead. */
+/** Interval of keepalive pings, and the time without an answer to a ping after which a connection is considered dead, in milliseconds. */
 export const KEEPALIVE_MS = 2000
 
-/** A stream of responses to one call. */
+/** The server's side of a call with a stream of responses. */
 export interface ResponseStream<Response> {
-  /** Aborted when the caller is gone. */
+  /** Aborted when the call was cancelled or the connection is lost. */
   readonly signal: AbortSignal
-  /** Sends one response; resolves when the transport wants more. */
+  /** Sends one response; resolves when the transport can accept more. */
   send (response: Response): Promise<void>
 }
 
@@ -30,8 +30,8 @@
   /**
    * Registers a method with one response.
    *
-   * @param method - what is served
-   * @param handler - answers it; a rejection becomes an internal error
+   * @param method - method to serve
+   * @param handler - returns the response; a rejection is sent as an INTERNAL error
    */
   handle<Request, Response> (method: RpcMethod<Request, Response>, handler: (request: Request) => Promise<Response>): void {
     const call: handleUnaryCall<Request, Response> = (unaryCall, callback) => {
@@ -46,8 +46,8 @@
   /**
    * Registers a method with a stream of responses.
    *
-   * @param method - what is served
-   * @param handler - sends responses; the stream ends when it resolves
+   * @param method - method to serve
+   * @param handler - sends responses; the stream ends when the returned promise resolves
    */
   handleStream<Request, Response> (
     method: RpcMethod<Request, Response>,
@@ -70,9 +70,9 @@
   /**
    * Starts to listen.
    *
-   * @param host - IP number
-   * @param port - port, 0 for a free one
-   * @returns the port
+   * @param host - IP address
+   * @param port - port, 0 for any free port
+   * @returns the port that the server listens on
    */
   async listen (host: string, port: number): Promise<number> {
     return await new Promise((resolve, reject) => {
@@ -83,7 +83,7 @@
     })
   }
 
-  /** Stops at once; calls under way are cut. */
+  /** Stops immediately and cancels calls in progress. */
   close (): void {
     this.#server.forceShutdown()
   }
--- a/packages/rpc/src/lib/datagrams/DatagramClient.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramClient.ts
@@ -1,88 +1,88 @@
-/** Asks questions in datagrams and takes the answers. */
+/** Sends requests in datagrams and receives the responses. */
 import { randomInt } from 'node:crypto'
 import type { RemoteInfo } from 'node:dgram'
 import { encodeFrame, decodeFrame, SEQUENCE_RANGE } from './datagramFrame.js'
 import type { DatagramMethod } from './DatagramMethod.js'
 import { bindSocket, openDatagramSocket } from './openDatagramSocket.js'
 
-/** What becomes of datagrams, for metrics. */
+/** What happened to a datagram, for metrics. */
 export type DatagramOutcome =
   | 'sent'
   | 'answered'
-  /** It answers nothing that waits for an answer: it came late, twice, or from somebody who was not asked. */
+  /** The datagram matches no pending request: it is late, a duplicate, or not from the address that the request went to. */
   | 'unexpected'
   | 'malformed'
   | 'socket-error'
 
-/** Time after which an answer is worth nothing any more, in milliseconds. */
+/** Time after which a response is useless and is ignored, in milliseconds. */
 const RESPONSE_TIMEOUT_MS = 1000
 
 interface PendingRequest {
   readonly address: string
   readonly kind: number
-  readonly askedAt: number
-  /** Decodes an answer, and returns what hands it on; throws if it is malformed. */
+  readonly sentAt: number
+  /** Decodes a response and returns a function that delivers it; throws if the response is malformed. */
   readonly decode: (payload: Buffer) => () => void
 }
 
-/** One socket of a host, for all its questions. */
+/** Sends all datagram requests of a host from one socket. */
 export class DatagramClient {
   readonly #socket = openDatagramSocket()
-  /** The oldest first. */
+  /** Pending requests by sequence number, the oldest first. */
   readonly #pendingRequests = new Map<number, PendingRequest>()
-  /** Begins anywhere, so that an answer to a former process at this address answers nothing. */
+  /** Starts at a random number, so that a response to an earlier process at this address matches no request of this one. */
   #sequence = randomInt(SEQUENCE_RANGE)
   #isClosed = false
 
-  /** @param count - counts outcomes */
+  /** @param count - called with the outcome of each datagram */
   constructor (private readonly count: (outcome: DatagramOutcome) => void = () => {}) {
     this.#socket.on('message', (bytes, sender) => { this.#receive(bytes, sender) })
-    // As good as a lost datagram.
+    // A datagram that can't be sent is treated like a lost one.
     this.#socket.on('error', () => { this.count('socket-error') })
   }
 
-  /** @param host - IP number to send from */
+  /** @param host - IP address to send from */
   async bind (host: string): Promise<void> {
     await bindSocket(this.#socket, host, 0)
   }
 
   /**
-   * Asks once; there may never be an answer.
+   * Sends a request once. The response may never come, since datagrams can be lost.
    *
-   * @param address - IP number and port
-   * @param method - what is asked
-   * @param request - the question
-   * @param onAnswer - takes the answer, with the monotonic milliseconds at which it was asked for
+   * @param address - IP address and port of the server
+   * @param method - method to call
+   * @param request - request message
+   * @param onResponse - called with the response and the monotonic milliseconds at which the request was sent
    */
   ask<Request, Response> (
-    address: string, method: DatagramMethod<Request, Response>, request: Request, onAnswer: (response: Response, askedAt: number) => void
+    address: string, method: DatagramMethod<Request, Response>, request: Request, onResponse: (response: Response, sentAt: number) => void
   ): void {
-    const askedAt = performance.now()
-    this.#discardSentBefore(askedAt - RESPONSE_TIMEOUT_MS)
+    const sentAt = performance.now()
+    this.#discardSentBefore(sentAt - RESPONSE_TIMEOUT_MS)
     const sequence = this.#send(address, method, request)
     this.#pendingRequests.set(sequence, {
       address,
       kind: method.kind,
-      askedAt,
+      sentAt,
       decode: payload => {
         const response = method.response.decode(payload)
-        return () => { onAnswer(response, askedAt) }
+        return () => { onResponse(response, sentAt) }
       }
     })
   }
 
   /**
-   * States something that is not answered.
+   * Sends a message that has no response.
    *
-   * @param address - IP number and port
-   * @param method - what is stated
-   * @param request - the statement
+   * @param address - IP address and port of the server
+   * @param method - method to call
+   * @param request - the message
    */
   tell<Request> (address: string, method: DatagramMethod<Request, unknown>, request: Request): void {
     this.#send(address, method, request)
   }
 
-  /** Closes the socket; answers under way are lost. */
+  /** Closes the socket; responses to pending requests are lost. */
   close (): void {
     if (this.#isClosed) return
     this.#isClosed = true
@@ -101,30 +101,30 @@
 
   #receive (bytes: Buffer, sender: RemoteInfo): void {
     const frame = decodeFrame(bytes)
-    const question = frame === undefined ? undefined : this.#pendingRequests.get(frame.sequence)
-    const isExpected = question !== undefined && frame?.kind === question.kind && question.address === `${sender.address}:${sender.port}`
+    const pending = frame === undefined ? undefined : this.#pendingRequests.get(frame.sequence)
+    const isExpected = pending !== undefined && frame?.kind === pending.kind && pending.address === `${sender.address}:${sender.port}`
     if (frame === undefined || !isExpected) {
       this.count(frame === undefined ? 'malformed' : 'unexpected')
       return
     }
     this.#pendingRequests.delete(frame.sequence)
-    const deliver = this.#decode(question, frame.payload)
+    const deliver = this.#decode(pending, frame.payload)
     this.count(deliver === undefined ? 'malformed' : 'answered')
     deliver?.()
   }
 
-  #decode (question: PendingRequest, payload: Buffer): (() => void) | undefined {
+  #decode (pending: PendingRequest, payload: Buffer): (() => void) | undefined {
     try {
-      return question.decode(payload)
+      return pending.decode(payload)
     } catch {
-      // Counted by the caller; whatever its sender meant, the next answer makes it good.
+      // The caller counts it as malformed. No retry is needed: the next request replaces this one.
       return undefined
     }
   }
 
-  #discardSentBefore (askedAt: number): void {
-    for (const [sequence, question] of this.#pendingRequests) {
-      if (question.askedAt >= askedAt) return
+  #discardSentBefore (time: number): void {
+    for (const [sequence, pending] of this.#pendingRequests) {
+      if (pending.sentAt >= time) return
       this.#pendingRequests.delete(sequence)
     }
   }
--- a/packages/rpc/src/lib/datagrams/DatagramMethod.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramMethod.ts
@@ -1,37 +1,37 @@
 /**
- * Questions that are asked in one datagram and answered in another.
+ * Remote methods whose request and response each fit into one UDP datagram.
  *
- * For what is asked again and again of a process that is a millisecond away, and is worth
- * nothing a second later: a lost datagram is made good by the next, and it takes
- * a tenth of the processor time of a gRPC call.
+ * They serve requests that are repeated often to a process about a millisecond away, and whose
+ * responses are useless a second later. A lost datagram needs no retry because the next request
+ * replaces it, and an exchange takes a tenth of the processor time of a gRPC call.
  */
 import type { z } from 'zod'
 import { decodeMessage, encodeMessage } from '../RpcMethod.js'
 
-/** Messages as bytes. */
+/** Encodes and decodes messages. */
 export interface MessageCodec<Message> {
   encode (message: Message): Uint8Array
-  /** @throws if the bytes are no such message */
+  /** @throws if the bytes are not a valid message */
   decode (bytes: Buffer): Message
 }
 
-/** One kind of question. */
+/** One remote method. */
 export interface DatagramMethod<Request, Response> {
-  /** First byte of its datagrams; no two methods share it. */
+  /** First byte of the method's datagrams; unique among the methods. */
   readonly kind: number
-  /** For metrics. */
+  /** Name of the method in metrics. */
   readonly name: string
   readonly request: MessageCodec<Request>
   readonly response: MessageCodec<Response>
 }
 
 /**
- * Defines a method whose messages schemas describe.
+ * Defines a method whose messages are described by schemas.
  *
- * @param kind - first byte of its datagrams
- * @param name - for metrics
- * @param request - schema of the question
- * @param response - schema of the answer
+ * @param kind - first byte of the method's datagrams
+ * @param name - name of the method in metrics
+ * @param request - schema of the request
+ * @param response - schema of the response
  * @returns the method
  */
 export function defineDatagram<Request, Response> (
--- a/packages/rpc/src/lib/datagrams/DatagramServer.ts
+++ b/packages/rpc/src/lib/datagrams/DatagramServer.ts
@@ -1,48 +1,48 @@
-/** Answers questions that come in datagrams. */
+/** Serves methods whose requests arrive in datagrams. */
 import type { RemoteInfo } from 'node:dgram'
 import { encodeFrame, decodeFrame, type DatagramFrame } from './datagramFrame.js'
 import type { DatagramMethod } from './DatagramMethod.js'
 import { bindSocket, openDatagramSocket } from './openDatagramSocket.js'
 
-/** What becomes of datagrams, for metrics; else the name of the method that took one. */
+/** Why a datagram was not served, for metrics. A served datagram is counted under the name of its method. */
 export type DatagramServerOutcome = 'malformed' | 'unknown-kind' | 'socket-error'
 
 interface RegisteredMethod {
   readonly name: string
   /**
-   * Decodes a question.
+   * Decodes a request.
    *
-   * @returns what makes the answer; undefined answers nothing
-   * @throws if it is malformed
+   * @returns a function that handles the request and returns the encoded response, or undefined if there is none
+   * @throws if the request is malformed
    */
   decode (payload: Buffer): () => Uint8Array | undefined
 }
 
-/** Serves methods at one UDP port. */
+/** Serves methods on one UDP port. */
 export class DatagramServer {
   readonly #socket = openDatagramSocket()
   readonly #methods = new Map<number, RegisteredMethod>()
 
-  /** @param count - counts datagrams by outcome */
+  /** @param count - called for each datagram with its outcome or the name of its method */
   constructor (private readonly count: (outcome: string) => void = () => {}) {
     this.#socket.on('message', (bytes, sender) => { this.#receive(bytes, sender) })
-    // A datagram that can't be sent is as good as one that was lost.
+    // A datagram that can't be sent is treated like a lost one.
     this.#socket.on('error', () => { this.#countOutcome('socket-error') })
   }
 
   /**
    * Registers a method.
    *
-   * @param method - what is asked
-   * @param answer - makes the answer; undefined for a statement that needs none
+   * @param method - method to serve
+   * @param handler - returns the response, or undefined if the message needs none
    */
-  handle<Request, Response> (method: DatagramMethod<Request, Response>, answer: (request: Request) => Response | undefined): void {
+  handle<Request, Response> (method: DatagramMethod<Request, Response>, handler: (request: Request) => Response | undefined): void {
     this.#methods.set(method.kind, {
       name: method.name,
       decode: payload => {
         const request = method.request.decode(payload)
         return () => {
-          const response = answer(request)
+          const response = handler(request)
           return response === undefined ? undefined : method.response.encode(response)
         }
       }
@@ -52,7 +52,7 @@
   /**
    * Starts to listen.
    *
-   * @param host - IP number
+   * @param host - IP address
    * @param port - port
    * @throws if the port can't be bound
    */
@@ -72,13 +72,13 @@
       this.#countOutcome(frame === undefined ? 'malformed' : 'unknown-kind')
       return
     }
-    const answer = this.#decode(method, frame)
-    if (answer === undefined) {
+    const respond = this.#decode(method, frame)
+    if (respond === undefined) {
       this.#countOutcome('malformed')
       return
     }
     this.count(method.name)
-    const payload = answer()
+    const payload = respond()
     if (payload !== undefined) this.#socket.send(encodeFrame(frame.kind, frame.sequence, payload), sender.port, sender.address)
   }
 
@@ -86,7 +86,7 @@
     try {
       return method.decode(payload)
     } catch {
-      // Counted by the caller: the port may be reached by anybody's datagrams.
+      // The caller counts it as malformed: any sender can reach this port.
       return undefined
     }
   }
--- a/packages/rpc/src/lib/datagrams/datagramFrame.ts
+++ b/packages/rpc/src/lib/datagrams/datagramFrame.ts
@@ -1,23 +1,25 @@
-/** What stands in front of every datagram: the kind of question, and which one it is. */
+/** Header of every datagram: the method's kind, and the sequence number of the request. */
 
-/** Bytes of the frame: the kind, and a number of four bytes. */
+/** Size of the header in bytes: one for the kind, four for the sequence number. */
 const FRAME_BYTES = 5
 
-/** Numbers of questions wrap around here. */
+/** Sequence numbers wrap around at this value. */
 export const SEQUENCE_RANGE = 2 ** 32
 
-/** A datagram taken apart. */
+/** A decoded datagram. */
 export interface DatagramFrame {
   readonly kind: number
-  /** Chosen by who asks, and repeated in the answer. */
+  /** Chosen by the client, and copied to the response. */
   readonly sequence: number
   readonly payload: Buffer
 }
 
 /**
- * @param kind - of the question
- * @param sequence - of the question
- * @param payload - its message, or that of its answer
+ * Encodes a datagram.
+ *
+ * @param kind - kind of the method
+ * @param sequence - sequence number of the request
+ * @param payload - encoded request or response
  * @returns the datagram
  */
 export function encodeFrame (kind: number, sequence: number, payload: Uint8Array): Buffer {
@@ -29,8 +31,10 @@
 }
 
 /**
+ * Decodes a datagram.
+ *
  * @param bytes - a datagram
- * @returns its parts, or undefined if it is too short for a frame
+ * @returns its header and payload, or undefined if it is too short for a header
  */
 export function decodeFrame (bytes: Buffer): DatagramFrame | undefined {
   if (bytes.length < FRAME_BYTES) return undefined
--- a/packages/rpc/src/lib/datagrams/datagrams.test.ts
+++ b/packages/rpc/src/lib/datagrams/datagrams.test.ts
@@ -24,7 +24,7 @@
   return client
 }
 
-/** A socket that answers as a test says. */
+/** Opens a socket that responds as the test specifies. */
 async function openPeer (onMessage: (bytes: Buffer, send: (answer: Buffer) => void) => void): Promise<string> {
   const socket: Socket = createSocket('udp4')
   closers.push(() => { socket.close() })
@@ -51,7 +51,7 @@
 describe('datagrams', () => {
   afterEach(() => { for (const close of closers.splice(0)) close() })
 
-  it('bring a question there and its answer back', async () => {
+  it('carry a request to the server and the response back', async () => {
     const address = await openServer()
     const client = await openClient()
     const answers: number[] = []
@@ -60,8 +60,8 @@
     expect(answers.sort()).toEqual([2, 4, 6])
   })
 
-  describe('of a server', () => {
-    it('are refused and counted when malformed, too long in a name, or of an unknown kind', async () => {
+  describe('received by a server', () => {
+    it('are rejected and counted if they are malformed, have a name that is too long, or have an unknown kind', async () => {
       const { counts, count } = createCounter()
       const address = await openServer(count)
       const client = await openClient()
@@ -77,59 +77,59 @@
     })
   })
 
-  describe('of a client', () => {
-    it('are taken once, and only as answers to a question that was asked of their sender', async () => {
+  describe('received by a client', () => {
+    it('are delivered once, and only as the response to a request that was sent to their sender', async () => {
       const { counts, count } = createCounter()
       const client = await openClient(count)
-      const taken: number[] = []
-      const right = double.response.encode({ doubled: 2 })
+      const delivered: number[] = []
+      const validPayload = double.response.encode({ doubled: 2 })
       let clientPort = 0
       const asked = await openPeer((bytes, send) => {
         const sequence = bytes.readUInt32BE(1)
-        send(encodeFrame(8, sequence, right))
-        send(encodeFrame(7, (sequence + 1) % 2 ** 32, right))
-        send(encodeFrame(7, sequence, right))
-        send(encodeFrame(7, sequence, right))
+        send(encodeFrame(8, sequence, validPayload))
+        send(encodeFrame(7, (sequence + 1) % 2 ** 32, validPayload))
+        send(encodeFrame(7, sequence, validPayload))
+        send(encodeFrame(7, sequence, validPayload))
         send(Buffer.from([7]))
       })
-      client.ask(asked, double, { value: 1, name: 'a' }, ({ doubled }) => { taken.push(doubled) })
+      client.ask(asked, double, { value: 1, name: 'a' }, ({ doubled }) => { delivered.push(doubled) })
       await waitUntil(() => counts.get('unexpected') === 3 && counts.get('malformed') === 1 && counts.get('answered') === 1)
-      expect(taken).toEqual([2])
+      expect(delivered).toEqual([2])
 
-      // Somebody else, who has seen the question, answers it first.
-      let question: Buffer | undefined
+      // Another host that knows the sequence number of the request responds first.
+      let request: Buffer | undefined
       const silent = createSocket('udp4')
       closers.push(() => { silent.close() })
       silent.on('message', (bytes, sender) => {
-        question = bytes
+        request = bytes
         clientPort = sender.port
       })
       await new Promise<void>(resolve => { silent.bind(0, HOST, resolve) })
-      client.ask(`${HOST}:${silent.address().port}`, double, { value: 1, name: 'a' }, ({ doubled }) => { taken.push(doubled) })
-      await waitUntil(() => question !== undefined)
-      const stranger = createSocket('udp4')
-      closers.push(() => { stranger.close() })
-      stranger.send(encodeFrame(7, question?.readUInt32BE(1) ?? 0, right), clientPort, HOST)
+      client.ask(`${HOST}:${silent.address().port}`, double, { value: 1, name: 'a' }, ({ doubled }) => { delivered.push(doubled) })
+      await waitUntil(() => request !== undefined)
+      const otherHost = createSocket('udp4')
+      closers.push(() => { otherHost.close() })
+      otherHost.send(encodeFrame(7, request?.readUInt32BE(1) ?? 0, validPayload), clientPort, HOST)
       await waitUntil(() => counts.get('unexpected') === 4)
-      expect(taken).toEqual([2])
+      expect(delivered).toEqual([2])
     })
 
-    it('count a malformed answer and go on', async () => {
+    it('are counted if malformed, and do not stop the client', async () => {
       const { counts, count } = createCounter()
       const client = await openClient(count)
       const address = await openPeer((bytes, send) => { send(encodeFrame(7, bytes.readUInt32BE(1), Buffer.from('nothing'))) })
-      client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('taken') })
+      client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('delivered') })
       await waitUntil(() => counts.get('malformed') === 1)
     })
 
-    it('late by more than a second answer nothing any more', async () => {
+    it('are ignored if they arrive more than a second after the request', async () => {
       const { counts, count } = createCounter()
       const client = await openClient(count)
       const held: Array<() => void> = []
       const address = await openPeer((bytes, send) => {
         held.push(() => { send(encodeFrame(7, bytes.readUInt32BE(1), double.response.encode({ doubled: 2 }))) })
       })
-      client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('taken') })
+      client.ask(address, double, { value: 1, name: 'a' }, () => { throw new Error('delivered') })
       await waitUntil(() => held.length === 1)
       await sleep(1100)
       client.ask(address, double, { value: 1, name: 'a' }, () => {})
--- a/packages/rpc/src/lib/methods/controlMethods.ts
+++ b/packages/rpc/src/lib/methods/controlMethods.ts
@@ -1,4 +1,4 @@
-/** Methods of the control hosts. */
+/** Methods that control hosts serve. */
 import { z } from 'zod'
 import { documentSchema } from '@eelgrassmux/schema/configuration'
 import { fingerprintSchema, quarantineEntryMessageSchema } from '@eelgrassmux/schema/quarantineEntry'
@@ -15,73 +15,73 @@
 const count = z.number().int().min(0)
 const emptySchema = z.strictObject({})
 
-/** A protocol message with its sender's address, for replicas that do not know each other yet. */
+/** A Raft message with the address of its sender, for replicas that do not know each other yet. */
 export const raftEnvelopeSchema = z.strictObject({ from: replicaSchema, to: z.string(), message: raftMessageSchema })
 
 export const proposeResponseSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('applied'), result: commandResultSchema }),
-  /** Nothing was appended. */
+  /** The command was not appended to the log. */
   z.strictObject({ kind: z.literal('not-leader'), leader: z.string() }),
-  /** It may still be applied later. */
+  /** The command may still be applied later. */
   z.strictObject({ kind: z.literal('uncertain') })
 ])
 
-/** What kind of process a host runs. */
+/** Kind of process that a host runs. */
 export const hostRoleSchema = z.enum(['entry', 'directory'])
 
-/** Longest name or address in a datagram that anybody may send, in characters; the longest data centre's name is a tenth of it. */
+/** Longest name or address accepted in a datagram, in characters; any sender can reach the port. The longest name of a data centre has a tenth of this length. */
 const MAX_NAME_LENGTH = 256
 
 const nameSchema = z.string().max(MAX_NAME_LENGTH)
 
-/** What a host says of itself. */
+/** Status that a host reports about itself. */
 export const hostStatusSchema = z.strictObject({
   host: nameSchema,
   role: hostRoleSchema,
   address: nameSchema,
   dataCentre: nameSchema,
-  /** View that is in force on the host. */
+  /** Revision of the view that the host uses. */
   viewRevision: count,
-  /** False once the host is stopping; it then gets no new shard. */
+  /** False once the host is stopping; it is then assigned no new shards. */
   accepting: z.boolean()
 })
 
 export const statusRequestSchema = hostStatusSchema.extend({
-  /** Index of the membership that the host knows; minus one if it knows none. */
+  /** Log index of the membership that the host knows; -1 if it knows none. */
   membershipIndex: z.int().min(-1),
-  /** Whether the host tells other entry hosts of its dispatches. */
+  /** Whether the host notifies other entry hosts of its dispatches, and so needs their addresses. */
   wantsPeers: z.boolean()
 })
 
-/** How far what a control host has to tell its watchers has got, so that those without news know that they have it all. */
+/** Current versions of what a control host streams to its watchers, so that a watcher that receives no message can tell that it is up to date. */
 export const watchedStateSchema = z.strictObject({
-  /** Names this one life of the process: versions begin anew in the next. */
+  /** Identifies this run of the process: versions start again after a restart. */
   incarnation: z.string(),
   /** Version of the endpoint list. */
   endpointList: count,
-  /** Milliseconds since the platform stated the list; minus one before it ever did. */
+  /** Milliseconds since the platform last returned the list; -1 if it never has. */
   listAgeMs: z.number(),
-  /** Changes of stored parts so far. */
+  /** Number of changes of stored parts so far. */
   storedParts: count,
-  /** Clock of stores and engines when the answer was sent, in milliseconds; absent until one has stated it. */
+  /** Clock of stores and engines when the response was sent, in milliseconds; absent until one of them has reported it. */
   storeClockMs: z.number().optional()
 })
 
 export const statusResponseSchema = z.strictObject({
   replicaId: nameSchema,
-  /** Absent if it is the one that the host knows. */
+  /** Absent if the host already knows the current membership. */
   membership: membershipSchema.optional(),
-  /** Index of the log entry that set the membership; the newest wins. */
+  /** Index of the log entry that set the membership; the highest index is the newest membership. */
   membershipIndex: count,
-  /** Upper bound of any view in this replica's log, committed or not. */
+  /** Upper bound of the revisions of all views in this replica's log, committed or not. */
   newestView: count,
-  /** View that this replica has applied. */
+  /** Revision of the view that this replica has applied. */
   appliedView: count,
-  /** Address of the leader this replica follows; empty if it knows none. */
+  /** Address of the leader that this replica follows; empty if it knows none. */
   leader: z.string(),
-  /** Entry hosts heard from lately; the share of each is one part of this many. */
+  /** Number of entry hosts that have reported recently; each gets an equal share of shared limits. */
   liveEntries: count,
-  /** Peer addresses of the live entry hosts, if they were asked for; empty when they are too many to tell each other of every dispatch. */
+  /** Peer addresses of the live entry hosts if the request has `wantsPeers`; empty when there are too many hosts to notify each other of every dispatch. */
   entryPeers: z.array(nameSchema),
   watched: watchedStateSchema
 })
@@ -97,10 +97,10 @@
   commitIndex: count,
   viewRevision: count,
   revision: count,
-  /** Hosts that spoke to a replica before it started are unknown to it. */
+  /** Uptime of the replica; it does not know hosts that last reported before it started. */
   uptimeMs: z.number(),
   hosts: z.array(hostReportSchema),
-  /** Last orders about data centres. */
+  /** Latest evacuation orders of data centres. */
   evacuations: evacuationImageSchema
 })
 
@@ -113,9 +113,9 @@
     shards: z.array(shardSchema),
     site: siteSchema.optional(),
     weights: z.array(namedWeightsSchema),
-    /** Data centres whose endpoints get no new work; absent if there are none. */
+    /** Data centres whose endpoints receive no new work; absent if there are none. */
     evacuated: z.array(dataCentreNameSchema).optional(),
-    /** Absent if there are none. */
+    /** Absent if no requests are in quarantine. */
     quarantine: z.array(quarantineEntryMessageSchema).optional()
   }),
   z.strictObject({
@@ -126,33 +126,33 @@
     upserts: z.array(documentSchema),
     removes: z.array(documentNameSchema),
     shards: z.array(shardSchema),
-    /** Absent if the site is the same as before. */
+    /** Absent if the site has not changed. */
     site: siteSchema.optional(),
     weights: z.array(namedWeightsSchema),
-    /** All of them; absent if there are none. */
+    /** All evacuated data centres, not only changes; absent if there are none. */
     evacuated: z.array(dataCentreNameSchema).optional(),
-    /** New and changed ones; absent if there are none. */
+    /** New and changed entries; absent if there are none. */
     quarantine: z.array(quarantineEntryMessageSchema).optional(),
-    /** Requests that are not in the quarantine any more; absent if there are none. */
+    /** Requests that were removed from the quarantine; absent if there are none. */
     quarantineRemoved: z.array(fingerprintSchema).optional()
   })
 ])
 
-/** The endpoint list as a control host last read it; sent on each change. In between, status answers say that nothing has changed. */
+/** The endpoint list as a control host last read it, sent on each change. Between changes, status responses show that the version is the same. */
 export const endpointListSchema = z.strictObject({
   incarnation: z.string(),
   version: count,
-  /** Absent if it is the same as in the message before. */
+  /** Absent if the list is the same as in the previous message. */
   endpoints: z.array(listedEndpointSchema).optional(),
-  /** Milliseconds since the platform answered; minus one before it ever did. */
+  /** Milliseconds since the platform last answered; -1 if it never has. */
   readAgeMs: z.number()
 })
 
 export const readSiteResponseSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('site'), version: count, source: bytesSchema }),
-  /** No site was ever accepted. */
+  /** No site has been accepted yet. */
   z.strictObject({ kind: z.literal('none') }),
-  /** This replica can't be sure which site is the newest. */
+  /** This replica could not confirm which site is the newest. */
   z.strictObject({ kind: z.literal('unconfirmed'), leader: z.string() })
 ])
 
@@ -177,14 +177,14 @@
   state: z.enum(['as-desired', 'waiting', 'loading', 'silent'])
 })
 
-/** Kind of the datagrams that carry the protocol's short messages. */
+/** Datagram kind of short Raft messages. */
 const RAFT_KIND = 4
 
 export const exchangeRaft = defineUnary('/eelgrassmux.Control/ExchangeRaft', raftEnvelopeSchema, emptySchema)
-/** Likewise for messages that may be lost and fit into a datagram; nothing is answered. */
+/** Sends a Raft message that may be lost and fits into a datagram; there is no response. */
 export const sendRaftMessage = defineDatagram(RAFT_KIND, 'raft', raftEnvelopeSchema, emptySchema)
 export const propose = defineUnary('/eelgrassmux.Control/Propose', z.strictObject({ command: commandSchema }), proposeResponseSchema)
-/** Kind of the datagrams in which hosts report; those of load reports have another. */
+/** Datagram kind of status reports; it must differ from those in `loadMethods`. */
 const STATUS_KIND = 1
 
 export const reportStatus = defineDatagram(STATUS_KIND, 'status', statusRequestSchema, statusResponseSchema)
--- a/packages/rpc/src/lib/methods/directoryMethods.ts
+++ b/packages/rpc/src/lib/methods/directoryMethods.ts
@@ -1,4 +1,4 @@
-/** Methods of the directory. */
+/** Methods that directory hosts serve. */
 import { z } from 'zod'
 import { defineUnary } from '../RpcMethod.js'
 
@@ -18,7 +18,7 @@
   firstBlock: count
 })
 
-/** Every request names the shard epoch that its sender knows; another epoch is refused. */
+/** Every request carries the shard epoch that the sender knows; the directory rejects a request with any other epoch. */
 const shardHeader = { shard: count, epoch: count }
 
 const wrongOwner = z.strictObject({ kind: z.literal('wrong-owner') })
--- a/packages/rpc/src/lib/methods/entryMethods.ts
+++ b/packages/rpc/src/lib/methods/entryMethods.ts
@@ -1,4 +1,4 @@
-/** Methods that entry hosts serve to each other. */
+/** Methods that entry hosts call on each other. */
 import { z } from 'zod'
 import { defineStream, defineUnary } from '../RpcMethod.js'
 
@@ -13,7 +13,7 @@
   z.strictObject({ kind: z.literal('unknown-run') })
 ])
 
-/** Prompts that a host has just sent to engines, so that its peers do not choose the same ones unseen. */
+/** Prompts that a host has just sent to engines, so that its peers take this load into account when they choose engines. */
 export const dispatchNoticeSchema = z.strictObject({
   dispatches: z.array(z.strictObject({ engine: z.string(), tokens: z.number().min(0), ageMs: z.number().min(0) }))
 })
--- a/packages/rpc/src/lib/methods/loadMethods.ts
+++ b/packages/rpc/src/lib/methods/loadMethods.ts
@@ -1,19 +1,19 @@
-/** Methods by which entry hosts tell each other of their work at endpoints, through a control host that adds up. */
+/** Methods by which entry hosts share their load on endpoints, through a control host that computes the totals. */
 import { decodeLoadReport, encodeLoadReport } from '@eelgrassmux/routing/load/loadCodec'
 import type { LoadReport } from '@eelgrassmux/routing/load/loadReport'
 import type { DatagramMethod, MessageCodec } from '../datagrams/DatagramMethod.js'
 
-/** Kinds of the datagrams; those of status reports have another. */
+/** Datagram kinds of the load methods; they must differ from those in `controlMethods`. */
 const EXCHANGE_KIND = 2
 const REPORT_KIND = 3
 
 const reportCodec: MessageCodec<LoadReport> = { encode: encodeLoadReport, decode: decodeLoadReport }
 
-/** Bytes as they are: totals are encoded once for all hosts, and read by `decodeLoadTotals`. */
+/** Passes bytes through: the totals are encoded once for all hosts, and `decodeLoadTotals` decodes them. */
 const bytesCodec: MessageCodec<Uint8Array> = { encode: totals => totals, decode: totals => totals }
 
-/** A report, answered by the totals of all hosts. */
+/** Sends a load report; the response holds the totals of all hosts. */
 export const exchangeLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: EXCHANGE_KIND, name: 'ask-load', request: reportCodec, response: bytesCodec }
 
-/** A report that needs no answer. */
+/** Sends a load report without a response. */
 export const sendLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: REPORT_KIND, name: 'tell-load', request: reportCodec, response: bytesCodec }
--- a/packages/rpc/src/lib/methods/quarantineMethods.ts
+++ b/packages/rpc/src/lib/methods/quarantineMethods.ts
@@ -1,4 +1,4 @@
-/** Methods by which entry hosts tell the leading control host of requests that were lost with endpoints. */
+/** Methods by which entry hosts report to the leading control host the requests that were lost when endpoints crashed. */
 import { z } from 'zod'
 import { crashReportSchema, MAX_REPORTS_PER_HOST } from '@eelgrassmux/routing/quarantine/crashReport'
 import { fingerprintSchema } from '@eelgrassmux/schema/quarantineEntry'
@@ -8,14 +8,14 @@
 
 export const reportCrashesRequestSchema = z.strictObject({
   host: z.string().max(MAX_NAME_LENGTH),
-  /** All that the host holds, told before or not: the same report again changes nothing. */
+  /** All losses that the host remembers, including those that it has reported before; reports are idempotent. */
   losses: z.array(crashReportSchema).max(MAX_REPORTS_PER_HOST),
-  /** Suspected, quarantined and released requests that completed. */
+  /** Fingerprints of suspected, quarantined and released requests that completed. */
   completed: z.array(fingerprintSchema).max(MAX_REPORTS_PER_HOST)
 })
 
 export const reportCrashesResponseSchema = z.strictObject({
-  /** False on a control host that does not lead; nothing was noted then. */
+  /** False if the control host is not the leader; it has then recorded nothing. */
   isTaken: z.boolean()
 })
 
