--- a/packages/daemon/src/lib/AdminServer.ts
+++ b/packages/daemon/src/lib/AdminServer.ts
@@ -1,4 +1,4 @@
-/** HTTP endpoint for operators' tools: health, readiness and metrics. */
+/** HTTP server for operators' tools: health, readiness and metrics. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -12,13 +12,13 @@
 type Handler = (request: IncomingMessage, response: ServerResponse) => unknown
 
 /**
- * Starts the admin server. Its routes are loaded when somebody asks for the first time: they
- * rest on much of the runtime that a host does not need to serve.
+ * Starts the admin server. Its routes are loaded on the first request, since they import many
+ * modules that a host does not need for serving.
  *
- * @param host - IP number to listen on
- * @param port - port, 0 for a free one
- * @param telemetry - metrics to show
- * @param isReady - whether new work is welcome
+ * @param host - IP address to listen on
+ * @param port - port, 0 for any free port
+ * @param telemetry - metrics to serve
+ * @param isReady - returns whether the process accepts new work
  * @returns the running server
  */
 export async function startAdminServer (
@@ -65,8 +65,8 @@
 }
 
 /**
- * @param url - where a server listens
- * @returns its port
+ * @param url - URL of a server
+ * @returns the port of the server
  */
 export function portOf (url: string | undefined): number {
   return Number(new URL(url ?? 'http://127.0.0.1:0').port)
--- a/packages/daemon/src/lib/CompiledBundle.test.ts
+++ b/packages/daemon/src/lib/CompiledBundle.test.ts
@@ -18,7 +18,7 @@
 
   afterEach(() => { rmSync(folder, { recursive: true }) })
 
-  it('runs without kept code, and with it', () => {
+  it('runs with and without cached code', () => {
     const first = new CompiledBundle<Program>(path)
     expect(first.compiledAnew).toBe('missing')
     expect(first.run().answer()).toBe('one/')
@@ -28,7 +28,7 @@
     expect(second.run().answer()).toBe('one/')
   })
 
-  it('never runs code that was kept of another source', () => {
+  it('never runs cached code of a different source', () => {
     new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(path, 'exports.answer = () => "a longer program"')
     const changed = new CompiledBundle<Program>(path)
@@ -36,7 +36,7 @@
     expect(changed.run().answer()).toBe('a longer program')
   })
 
-  it('runs when what was kept is damaged', () => {
+  it('runs if the cached code is damaged', () => {
     new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(`${path}.compiled`, 'damaged')
     expect(new CompiledBundle<Program>(path).run().answer()).toBe('one/')
--- a/packages/daemon/src/lib/CompiledBundle.ts
+++ b/packages/daemon/src/lib/CompiledBundle.ts
@@ -1,17 +1,17 @@
 /**
- * A program in one file, with the code that the engine compiled from it.
+ * A program bundled into one file, with a V8 code cache.
  *
- * A third of the time in which a daemon starts goes into compiling what was
- * compiled at every start before. The build keeps the result beside the bundle.
- * The engine checks that it fits the source, its own version and its flags, and
- * compiles anew if not: a wrong file costs time and nothing else.
+ * A daemon spends a third of its start time on compiling the same source as at every previous
+ * start, so the build saves the compiled code next to the bundle. V8 checks that the cached code
+ * matches the source, the V8 version and the flags, and compiles the source again if it does not:
+ * a wrong cache file costs only time.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
 import { dirname } from 'node:path'
 import { Script } from 'node:vm'
 
-/** Ending of the file with the compiled code, after the bundle's own name. */
+/** Suffix of the file with the compiled code, appended to the name of the bundle. */
 const COMPILED_SUFFIX = '.compiled'
 
 type ModuleFunction = (module: { exports: object }, require: NodeJS.Require, filename: string, directory: string) => void
@@ -19,7 +19,7 @@
 /** One CommonJS bundle. */
 export class CompiledBundle<Exports extends object> {
   readonly #script: Script
-  /** Why the kept code is not used; undefined if it is. */
+  /** Why the cached code is not used; undefined if it is used. */
   readonly compiledAnew: 'missing' | 'rejected' | undefined
 
   /** @param path - absolute path of the bundle */
@@ -34,7 +34,7 @@
     this.compiledAnew = cachedCode === undefined ? 'missing' : isRejected ? 'rejected' : undefined
   }
 
-  /** @returns what the bundle exports */
+  /** @returns the exports of the bundle */
   run (): Exports {
     const module = { exports: {} }
     const start = this.#script.runInThisContext() as ModuleFunction
@@ -42,7 +42,7 @@
     return module.exports as Exports
   }
 
-  /** Keeps the code compiled so far beside the bundle. */
+  /** Saves the code compiled so far next to the bundle. */
   saveCompiledCode (): void {
     writeFileSync(this.path + COMPILED_SUFFIX, this.#script.createCachedData())
   }
--- a/packages/daemon/src/lib/EarlyListener.test.ts
+++ b/packages/daemon/src/lib/EarlyListener.test.ts
@@ -14,7 +14,7 @@
 }
 
 describe('EarlyListener', () => {
-  it('keeps connections for the server that comes later, and lets it take new ones', async () => {
+  it('transfers waiting connections to another server, which then accepts new ones', async () => {
     const early = await EarlyListener.open('127.0.0.1', 0, 10)
     const before = fetchText(early.port)
     await new Promise(resolve => setTimeout(resolve, 30))
@@ -27,7 +27,7 @@
     server.closeAllConnections()
   })
 
-  it('ends with its connections when nobody takes over', async () => {
+  it('closes its connections if they were not transferred', async () => {
     const early = await EarlyListener.open('127.0.0.1', 0, 10)
     const socket = connect(early.port, '127.0.0.1')
     socket.on('error', () => {})
--- a/packages/daemon/src/lib/EarlyListener.ts
+++ b/packages/daemon/src/lib/EarlyListener.ts
@@ -1,14 +1,14 @@
 /**
- * Listens before the rest of a program is loaded.
+ * Listens on a port before the rest of the program is loaded.
  *
- * Loading takes some tenths of a second after a restart. A caller that connects
- * meanwhile would be reset, and callers have few attempts; with this its
- * connection waits. Nothing but Node's own modules is needed here.
+ * Loading takes some tenths of a second after a restart. During this time a new connection would
+ * be reset, and callers make few attempts; with an early listener the connection waits. This file
+ * imports only modules of Node.js, so that it loads quickly.
  */
 import { createServer, type Server, type Socket } from 'node:net'
 import type { Server as HttpServer } from 'node:http'
 
-/** A port that is open and not served yet. */
+/** An open port whose connections are not served yet. */
 export class EarlyListener {
   readonly #pendingSockets: Socket[] = []
   #isTransferred = false
@@ -18,10 +18,12 @@
   }
 
   /**
-   * @param host - IP number
-   * @param port - port
-   * @param backlog - connections that wait to be accepted
-   * @returns the open port
+   * Opens a port.
+   *
+   * @param host - IP address
+   * @param port - port, 0 for any free port
+   * @param backlog - maximum number of connections that wait to be accepted
+   * @returns the listener
    */
   static async open (host: string, port: number, backlog: number): Promise<EarlyListener> {
     const server = createServer({ pauseOnConnect: true, noDelay: true })
@@ -35,24 +37,24 @@
   }
 
   /**
-   * @param host - IP number
+   * @param host - IP address
    * @param port - port
-   * @returns whether this is the port that is to be served
+   * @returns whether this listener was opened for the address
    */
   isListeningOn (host: string, port: number): boolean {
     return host === this.host && port === this.port
   }
 
   /**
-   * Lets another server serve the port, with all connections that wait.
+   * Transfers the port and all waiting connections to another server.
    *
-   * @param server - not listening yet
+   * @param server - server that is not listening yet
    */
   async transferTo (server: HttpServer): Promise<void> {
     this.#isTransferred = true
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject)
-      // The other server now owns the handle, and accepts from the same queue.
+      // The other server takes over the handle and accepts from the same backlog.
       server.listen(this.server, resolve)
     })
     for (const socket of this.#pendingSockets.splice(0)) {
@@ -62,7 +64,7 @@
     }
   }
 
-  /** Closes the port if nobody serves it. */
+  /** Closes the port and its connections, unless they were transferred to another server. */
   close (): void {
     if (this.#isTransferred) return
     for (const socket of this.#pendingSockets.splice(0)) socket.destroy()
--- a/packages/daemon/src/lib/ProcessSignals.ts
+++ b/packages/daemon/src/lib/ProcessSignals.ts
@@ -1,17 +1,17 @@
 /**
- * What a process is told by signals, from its first moment on.
+ * Receives the signals of a process from its start on.
  *
- * A signal that arrives before anybody listens ends a process at once, with all the
- * connections that it has accepted by then. Created first, this keeps signals until the
- * program has started and can act on them.
+ * A signal without a listener ends the process immediately, together with all connections
+ * that it has accepted. An instance that is created before the program is loaded holds
+ * signals back until the program has started and can handle them.
  */
 
-/** Exit code after an operator's interrupt of a stop, which cuts what is under way. */
+/** Exit code if an operator interrupts a graceful stop, which aborts the work in progress. */
 const EXIT_INTERRUPTED = 1
 
 /**
- * Age of a process up to which a signal may have waited for its code to load, in
- * milliseconds: loading takes some tenths of a second in which no signal is noticed.
+ * Age of a process up to which a signal may have arrived earlier than it was noticed, in
+ * milliseconds. No signal is noticed while the code is loaded, which takes some tenths of a second.
  */
 const MAX_LOADING_MS = 1000
 
@@ -32,7 +32,7 @@
       }
       process.on('SIGTERM', stop)
       process.on('SIGINT', () => {
-        // A supervisor may repeat itself; an operator who does so means it.
+        // A supervisor may repeat SIGTERM, so only SIGINT forces the exit: an operator sends it on purpose.
         if (this.#stopReceivedAt === undefined) stop()
         else this.#forceExit()
       })
@@ -44,20 +44,20 @@
   }
 
   /**
-   * Resolves when the process shall stop; at once if it was told before.
+   * Resolves when the process has received a signal to stop; immediately if it already has.
    *
-   * @returns monotonic milliseconds at which it was told, or earlier
+   * @returns monotonic milliseconds at which the signal arrived, or an earlier time
    */
   async stopReceived (): Promise<number> {
     return await this.#stopped
   }
 
-  /** @param listener - called right before an interrupt of a stop ends the process */
+  /** @param listener - called right before an interrupt during a graceful stop ends the process */
   onForcedExit (listener: () => void): void {
     this.#beforeForcedExit = listener
   }
 
-  /** @param listener - called at each wish to reload settings, and now if there was one before */
+  /** @param listener - called on each signal to reload settings, and immediately if one has already arrived */
   onReload (listener: () => void): void {
     this.#onReload = listener
     if (!this.#isReloadPending) return
@@ -71,7 +71,11 @@
   }
 }
 
-/** A stop that is thought to have begun too early costs some requests; one thought to begin late cuts them. */
+/**
+ * Returns the earliest time at which a signal may have arrived. An estimate that is too early costs some
+ * requests, since the stop ends sooner than necessary; one that is too late aborts them, since the
+ * supervisor kills the process first.
+ */
 function estimateReceivedAt (noticedAt: number): number {
   return noticedAt < MAX_LOADING_MS ? 0 : noticedAt
 }
--- a/packages/daemon/src/lib/SystemClock.ts
+++ b/packages/daemon/src/lib/SystemClock.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 
-/** {@link Clock} and randomness of this process. */
+/** {@link Clock} of the system, with the random numbers of this process. */
 export class SystemClock implements Clock {
   now (): number {
     return performance.now()
@@ -20,7 +20,7 @@
     try {
       await sleep(milliseconds, undefined, signal === undefined ? {} : { signal })
     } catch {
-      // Only the signal ends the wait early, and it knows.
+      // The sleep rejects only if the caller's signal aborts it, and the caller checks its signal.
     }
   }
 }
--- a/packages/daemon/src/lib/WorkGate.test.ts
+++ b/packages/daemon/src/lib/WorkGate.test.ts
@@ -2,7 +2,7 @@
 import { WorkGate } from './WorkGate.js'
 
 describe('WorkGate', () => {
-  it('takes no new work once closed, but what belongs to old work', async () => {
+  it('rejects new work once closed, but accepts work that belongs to earlier work', async () => {
     const gate = new WorkGate()
     const ticket = gate.tryBegin()
     gate.close()
@@ -18,7 +18,7 @@
     expect(gate.activeCount).toBe(0)
   })
 
-  it('tells when earlier work has ended, although later work goes on', async () => {
+  it('resolves when current work has ended, although later work is in progress', async () => {
     const gate = new WorkGate()
     const earlier = gate.tryBegin()
     let hasEnded = false
@@ -33,7 +33,7 @@
     expect(gate.activeCount).toBe(1)
   })
 
-  it('ends each work once, however often it is told', () => {
+  it('counts the end of each ticket once', () => {
     const gate = new WorkGate()
     const first = gate.tryBegin()
     gate.tryBegin()
--- a/packages/daemon/src/lib/WorkGate.ts
+++ b/packages/daemon/src/lib/WorkGate.ts
@@ -1,24 +1,25 @@
 /**
- * Counts work under way and closes for new work at a planned stop.
+ * Counts work in progress, and rejects new work once a graceful stop has closed the gate.
  *
- * Work that began before the gate closed is always finished: `whenIdle` resolves
- * only after the last of it has ended.
+ * Work that began before the gate closed always finishes: `whenIdle` resolves only
+ * after all of it has ended.
  */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 
-/** One piece of work that a planned stop waits for. */
+/** One unit of work that a graceful stop waits for. */
 export interface WorkTicket {
-  /** Ends the work; further calls do nothing. */
+  /** Marks the work as ended; further calls have no effect. */
   end (): void
 }
 
-/** Gate of one process. */
+/** Tracks the work of one process. */
 export class WorkGate {
   #isClosed = false
   #activeCount = 0
   readonly #idleWaiters: Array<() => void> = []
-  /** Work belongs to the generation in which it began; each wait for what is under way starts a new one. */
+  /** Generation of new work; each call of `whenCurrentWorkEnds` starts a new generation. */
   #generation = 0
+  /** Work in progress of earlier generations. */
   #earlierCount = 0
   readonly #earlierWaiters: Array<() => void> = []
 
@@ -35,9 +36,9 @@
   }
 
   /**
-   * Begins work that belongs to work already under way, such as recording its outcome.
+   * Begins work that belongs to work in progress, such as recording its outcome.
    *
-   * @returns a ticket, also after the gate was closed
+   * @returns a ticket, even if the gate is closed
    */
   beginFollowUp (): WorkTicket {
     return this.#begin()
@@ -49,7 +50,7 @@
     this.#wakeWaiters()
   }
 
-  /** Resolves when all work that is under way now has ended; other work may have begun meanwhile. */
+  /** Resolves when all work that is in progress now has ended; it does not wait for work that begins later. */
   async whenCurrentWorkEnds (): Promise<void> {
     this.#generation += 1
     this.#earlierCount = this.#activeCount
--- a/packages/daemon/src/lib/lastLines.test.ts
+++ b/packages/daemon/src/lib/lastLines.test.ts
@@ -1,9 +1,9 @@
-/** What a process still writes to its log when it ends. */
+/** Tests that a process writes its last log lines before it ends. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
 import { afterEach, describe, expect, it } from 'vitest'
 
-/** A daemon in whose place `start` is put. */
+/** Returns a program that runs a daemon with the given body of its `start` function. */
 const script = (start: string): string => `
 import { z } from 'zod'
 import { runDaemon } from '${new URL('../../dist/lib/runDaemon.js', import.meta.url).href}'
@@ -12,10 +12,10 @@
 await runDaemon({ name: 'small', description: '', settings: z.object(commonSettingsShape), start: async (settings, telemetry) => { ${start} } }, ['--data-centre', 'n'])
 `
 
-/** Breaks once the daemon listens. */
+/** Throws an uncaught error after the daemon has started. */
 const BREAK = 'setTimeout(() => { throw new Error(\'broken\') }, 300); return running'
 
-describe('the last lines of a process', () => {
+describe('the last log lines of a process', () => {
   let child: ChildProcess | undefined
   afterEach(() => { child?.kill('SIGKILL') })
 
@@ -26,7 +26,7 @@
     return child
   }
 
-  /** Reads the output to its end, and sends signals when given texts come. */
+  /** Reads the output until it ends, and sends each signal when its text appears in the output. */
   async function read (running: ChildProcess, signalAfter: ReadonlyMap<string, NodeJS.Signals> = new Map()): Promise<{ readonly code: unknown, readonly events: string[] }> {
     let text = ''
     const waiting = new Map(signalAfter)
@@ -43,22 +43,22 @@
     return { code, events }
   }
 
-  it('say why it broke', async () => {
+  it('report a fatal error', async () => {
     expect(await read(start(BREAK))).toEqual({ code: 3, events: ['started', 'fatal'] })
   })
 
-  it('say that it was stopped', async () => {
+  it('report a graceful stop', async () => {
     const signals = new Map<string, NodeJS.Signals>([['"started"', 'SIGTERM']])
     expect(await read(start('return running'), signals)).toEqual({ code: 0, events: ['started', 'draining', 'stopped'] })
   })
 
-  it('are there also when an interrupt of the stop ends it at once', async () => {
+  it('are written if an interrupt during a graceful stop forces the exit', async () => {
     const body = 'return { ...running, stopping: () => { setTimeout(() => { telemetry.logStateChange(\'reloading\'); process.kill(process.pid, \'SIGINT\') }, 100) }, drain: async () => { await new Promise(resolve => setTimeout(resolve, 600_000)) } }'
     const signals = new Map<string, NodeJS.Signals>([['"started"', 'SIGTERM']])
     expect(await read(start(body), signals)).toEqual({ code: 1, events: ['started', 'draining', 'reloading'] })
   })
 
-  it('do not keep it alive if nobody reads', async () => {
+  it('do not keep the process alive if nobody reads them', async () => {
     const fill = 'for (let line = 0; line < 20_000; line += 1) telemetry.logStateChange(\'reloaded\', { error: \'x\'.repeat(100), contacts: \'\' });'
     const [code] = await once(start(fill + BREAK), 'exit')
     expect(code).toBe(3)
--- a/packages/daemon/src/lib/runDaemon.test.ts
+++ b/packages/daemon/src/lib/runDaemon.test.ts
@@ -5,7 +5,7 @@
 const RUN_DAEMON = new URL('../../dist/lib/runDaemon.js', import.meta.url).href
 const SETTINGS = new URL('../../dist/lib/settings.js', import.meta.url).href
 
-/** A daemon that says when it begins to start, and has started once its standard input says so. */
+/** A daemon that prints a line when it begins to start, and finishes its start when it receives a line on standard input. */
 const SLOW_DAEMON = `
   import { once } from 'node:events'
   import { z } from 'zod'
@@ -25,7 +25,7 @@
 
   afterEach(() => { daemon.kill('SIGKILL') })
 
-  /** Starts the daemon, sends signals while it starts, and lets it go on. */
+  /** Starts the daemon, sends signals while it is starting, and then lets it finish its start. */
   async function signalDuringStart (...signals: NodeJS.Signals[]): Promise<{ readonly exit: unknown, readonly output: string }> {
     daemon = spawn(process.execPath, ['--input-type=module', '-e', SLOW_DAEMON], { env: { ...process.env, ROARR_LOG: 'true' }, stdio: ['pipe', 'pipe', 'inherit'] })
     let output = ''
@@ -41,20 +41,20 @@
     return { exit: await exit, output }
   }
 
-  describe('signals that come while the daemon starts', () => {
-    it('are kept until it can stop as planned, and the last line is written', async () => {
+  describe('signals that arrive while the daemon is starting', () => {
+    it('are held back until it can stop gracefully and write its last log line', async () => {
       const { exit, output } = await signalDuringStart('SIGTERM')
       expect(exit).toEqual([0, null])
       expect(output).toContain('"event":"stopped"')
     })
 
-    it('are kept until it can reload its settings', async () => {
+    it('are held back until it can reload its settings', async () => {
       const { exit, output } = await signalDuringStart('SIGHUP', 'SIGTERM')
       expect(exit).toEqual([0, null])
       expect(output).toContain('reloaded')
     })
 
-    it('may repeat the wish to stop without cutting anything', async () => {
+    it('may repeat SIGTERM without forcing an exit', async () => {
       const { exit } = await signalDuringStart('SIGTERM', 'SIGTERM')
       expect(exit).toEqual([0, null])
     })
--- a/packages/daemon/src/lib/runDaemon.ts
+++ b/packages/daemon/src/lib/runDaemon.ts
@@ -1,8 +1,8 @@
 /**
- * Frame of every daemon: checked settings, readiness, and a graceful stop.
+ * Runs a daemon: validates its settings, serves its readiness, and stops it gracefully.
  *
- * SIGTERM: not ready, finish all, exit 0. What is still taken meanwhile is the daemon's own
- * decision. An interrupt after that is the operator's choice and exits at once.
+ * On SIGTERM the process reports that it is not ready, finishes all work and exits with 0. Each daemon
+ * decides which new work it still accepts during that time. A SIGINT after that exits immediately.
  */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { Builtins, Cli, Command, Option } from 'clipanion'
@@ -13,7 +13,7 @@
 import { ProcessSignals } from './ProcessSignals.js'
 import { describeSettingErrors, flagName, environmentVariableName } from './settings.js'
 
-/** Settings that the frame itself reads. */
+/** Settings that `runDaemon` itself reads. */
 export interface CommonSettings {
   readonly host: string
   readonly adminPort: number
@@ -24,54 +24,54 @@
 
 /** A started daemon. */
 export interface RunningDaemon {
-  /** Ports to print, by what they serve. */
+  /** Addresses to print at the start, by what they serve. */
   readonly addresses: Readonly<Record<string, string>>
-  /** Whether new work is welcome. */
+  /** Whether the daemon accepts new work. */
   isReady (): boolean
   /**
-   * Told at once when a planned stop begins.
+   * Called as soon as a graceful stop begins.
    *
-   * @param signalledAt - monotonic milliseconds of the signal
+   * @param signalledAt - monotonic milliseconds at which the signal arrived
    */
   stopping? (signalledAt: number): void
-  /** Told that settings which may change while the process runs have changed. */
+  /** Called when settings that can be reloaded have changed. */
   reload? (): void
-  /** Sees the planned stop through; resolves when all work under way is finished and none will begin. */
+  /** Completes the graceful stop; resolves when all work in progress has finished and no more can begin. */
   drain (): Promise<void>
   /** Closes sockets and files. */
   close (): Promise<void>
 }
 
-/** A daemon's program. */
+/** Definition of a daemon. */
 export interface DaemonProgram<Settings extends CommonSettings> {
   readonly name: string
   readonly description: string
   readonly settings: z.ZodObject<z.ZodRawShape, z.core.$strip> & z.ZodType<Settings>
-  /** Starts all tasks of the daemon. */
+  /** Starts the daemon; `fail` logs a fatal error and ends the process. */
   start (settings: Settings, telemetry: Telemetry, fail: (error: unknown) => void): Promise<RunningDaemon>
 }
 
-/** Exit code for settings that are missing or wrong. */
+/** Exit code for settings that are missing or invalid. */
 const EXIT_INVALID_SETTINGS = 2
 
 /** Exit code for a broken invariant or a failed disk. */
 const EXIT_FATAL = 3
 
-/** Longest wait for whoever reads the last log lines, in milliseconds: its callers are gone by then, and a busy machine takes some tenths of a second to write. */
+/** Longest wait until the last log lines are read, in milliseconds: no caller is connected by then, and a busy machine takes some tenths of a second to write. */
 const LOG_FLUSH_TIMEOUT_MS = 1000
 
 /**
- * Interval at which the event loop's delay is measured, in milliseconds. Each wakes the process: at
- * 20 and, for the metrics library's own, 10, a host at rest spent a sixth of its processor time on that.
+ * Interval at which the event loop's delay is sampled, in milliseconds. Each sample wakes the process: with
+ * intervals of 20 here and 10 in the metrics library, an idle host spent a sixth of its processor time on them.
  */
 const LOOP_DELAY_RESOLUTION_MS = 500
 
 /**
- * Runs a daemon until it is stopped. Never returns before the process may exit.
+ * Runs a daemon until it is stopped. Returns only when the process may exit.
  *
- * @param program - what to run
+ * @param program - daemon to run
  * @param args - command line arguments
- * @param signals - what the process is told; given if it listened before the program was loaded
+ * @param signals - signals of the process; passed if they were listened to before the program was loaded
  */
 export async function runDaemon<Settings extends CommonSettings> (
   program: DaemonProgram<Settings>, args: readonly string[], signals = new ProcessSignals()
@@ -92,7 +92,7 @@
 
     constructor () {
       super()
-      // One option for each setting of the schema, so that flags can't drift from it.
+      // Options are generated from the schema, so that flags always match the settings.
       for (const name of names) {
         const description = program.settings.shape[name] instanceof Object ? settingDescription(program, name) : ''
         Reflect.set(this, name, Option.String(flagName(name), { env: environmentVariableName(name), description }))
@@ -143,7 +143,7 @@
   const loopDelay = monitorEventLoopDelay({ resolution: LOOP_DELAY_RESOLUTION_MS })
   loopDelay.enable()
   telemetry.gauge('event_loop_delay_seconds', '99th percentile of event loop delay since the last reading', () => {
-    // What it records is the time between two measurements.
+    // The histogram records the time between two samples, which includes the sampling interval.
     const seconds = loopDelay.percentile(99) / 1e9 - LOOP_DELAY_RESOLUTION_MS / 1000
     loopDelay.reset()
     return Number.isFinite(seconds) ? Math.max(0, seconds) : 0
--- a/packages/daemon/src/lib/settings.test.ts
+++ b/packages/daemon/src/lib/settings.test.ts
@@ -10,20 +10,20 @@
 }
 
 describe('settings', () => {
-  it('names a setting as operators know it', () => {
+  it('derives flag and environment variable from the name of a setting', () => {
     expect(flagName('readLeaseMs')).toBe('--read-lease-ms')
     expect(environmentVariableName('readLeaseMs')).toBe('EELGRASSMUX_READ_LEASE_MS')
   })
 
-  it('accepts what is right and fills in the rest', () => {
+  it('accepts valid settings and fills in defaults', () => {
     const parsed = schema.parse({ dataCentre: 'hall-north', control: '10.0.0.1:1, 10.0.0.2:2', readLeaseMs: '500' })
     expect(parsed).toEqual({ host: '127.0.0.1', adminPort: 0, keptStories: 64, logLinesPerSecond: 200, dataCentre: 'hall-north', control: ['10.0.0.1:1', '10.0.0.2:2'], readLeaseMs: 500 })
   })
 
-  it('names every setting that is missing or wrong', () => {
+  it('reports every setting that is missing or invalid', () => {
     expect(errors({ control: 'nowhere', readLeaseMs: 'soon' })).toEqual([
       '--data-centre is required',
-      '--control nowhere is not an IP number and a port',
+      '--control nowhere is not an IP address and a port',
       '--read-lease-ms Invalid input: expected number, received NaN'
     ])
   })
--- a/packages/daemon/src/lib/testing/freePort.ts
+++ b/packages/daemon/src/lib/testing/freePort.ts
@@ -1,22 +1,22 @@
-/** Ports for tests that start hosts. */
+/** Finds ports for tests that start hosts. */
 import { createSocket } from 'node:dgram'
 import { createServer } from 'node:net'
 
 /**
- * Ports of the hosts under test lie below the range (from 32768 on) out of which the
- * system serves whoever asks for any port: one from there that was free a moment ago
- * may be somebody's connection or datagram socket when a host binds it, or binds it again.
+ * Ports of hosts under test lie below the ephemeral range, which starts at 32768. The system
+ * may assign a port of that range to another connection or datagram socket between the check
+ * that it is free and the moment when a host binds it, or binds it again after a restart.
  */
 const FIRST_PORT = 20_000
 const PORT_COUNT = 12_000
 
-/** Begins anywhere, since other runs on the same machine look for ports, too. */
+/** Starts at a random port, since other test runs on the same machine also search for ports. */
 let nextPort = Math.floor(Math.random() * PORT_COUNT)
 
 /**
- * Hosts serve calls and datagrams on the same number.
+ * Finds a port that is free for both TCP and UDP, since hosts serve gRPC calls and datagrams on the same port.
  *
- * @returns a port of the loopback that was free for both a moment ago
+ * @returns a loopback port that was free at the time of the check
  */
 export async function freePort (): Promise<number> {
   for (;;) {
--- a/packages/daemon/src/lib/useBaselineWebAssembly.ts
+++ b/packages/daemon/src/lib/useBaselineWebAssembly.ts
@@ -1,14 +1,14 @@
 /**
- * Has the engine run WebAssembly as its baseline compiler leaves it.
+ * Makes V8 run WebAssembly with its baseline compiler only.
  *
- * The HTTP client parses answers in WebAssembly. The optimizing compiler takes 0.2 s of processor time for that parser,
- * within the first second in which a host that has just started serves: as much as for all the rest of its
- * first 15 requests (own processes on loopback: 0.38 s in two seconds with it, 0.15 to 0.20 s without). Not
- * optimized, parsing takes some 6 microseconds an event, a fiftieth of what a host spends on one.
+ * The HTTP client parses responses in WebAssembly. The optimizing compiler spends 0.2 s of processor time on
+ * this parser during the first second after a start, as much as all other work for the first 15 requests
+ * (on loopback, 0.38 s in two seconds with it and 0.15 to 0.20 s without). Without the optimization, parsing takes about
+ * 6 microseconds per event, a fiftieth of what a host spends on an event.
  */
 import { setFlagsFromString } from 'node:v8'
 
-/** Call once the program's code is loaded: kept code is only taken while the engine's flags are those that it was compiled with. */
+/** Call this after the program is loaded: V8 only accepts cached code while its flags are the same as when the code was compiled. */
 export function useBaselineWebAssembly (): void {
   setFlagsFromString('--liftoff-only')
 }
--- a/packages/durable/src/lib/DataFolder.ts
+++ b/packages/durable/src/lib/DataFolder.ts
@@ -1,24 +1,24 @@
-/** The few file operations that durable state needs; the narrow interface lets tests lose unsynced bytes. */
+/** The few file operations that durable state needs. The narrow interface lets tests simulate the loss of unsynced bytes. */
 import { constants } from 'node:fs'
 import { mkdir, open, readdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises'
 import { join } from 'node:path'
 
-/** An open file that only grows. */
+/** A file that is open for appending. */
 export interface AppendFile {
-  /** Writes all bytes at the end; they last only after {@link AppendFile.sync}. */
+  /** Writes all bytes at the end of the file; they are durable only after {@link AppendFile.sync}. */
   append (bytes: Uint8Array): Promise<void>
-  /** Makes everything appended so far survive a crash. Rejects if the disk says otherwise. */
+  /** Makes everything appended so far durable; rejects if the disk reports an error. */
   sync (): Promise<void>
   close (): Promise<void>
 }
 
-/** One flat folder that holds all of a process's durable state. */
+/** A flat folder that holds all durable state of one process. */
 export interface DataFolder {
   list (): Promise<string[]>
   read (name: string): Promise<Uint8Array | undefined>
   /** Writes a whole file under a temporary name, syncs it, renames it and syncs the folder. */
   replace (name: string, bytes: Uint8Array): Promise<void>
-  /** Cuts a file to a length and opens it for appending. */
+  /** Truncates a file to a length and opens it for appending; creates it if it does not exist. */
   openAppend (name: string, length: number): Promise<AppendFile>
   remove (name: string): Promise<void>
 }
@@ -50,9 +50,9 @@
   private constructor (private readonly path: string) {}
 
   /**
-   * Opens a folder, creating it if needed.
+   * Opens a folder and creates it if needed. Deletes temporary files of replacements that a crash interrupted.
    *
-   * @param path - where the folder is
+   * @param path - path of the folder
    * @returns the opened folder
    */
   static async open (path: string): Promise<NodeDataFolder> {
--- a/packages/durable/src/lib/PersistentImage.ts
+++ b/packages/durable/src/lib/PersistentImage.ts
@@ -1,8 +1,8 @@
-/** What a sequence of durable writes amounts to; the same rules for real and simulated disks. */
+/** State that results from a sequence of durable writes; shared by real and simulated disks. */
 import { unreachable } from '@eelgrassmux/schema/invariant'
 import type { DurableWrite, LogEntry, PersistentState, Snapshot } from '@eelgrassmux/consensus/messages/raftMessages'
 
-/** State that a replica finds after the writes taken so far. */
+/** State that a replica would read after a restart, given the writes applied so far. */
 export class PersistentImage {
   #term: number
   #votedFor: string | undefined
@@ -17,12 +17,12 @@
     this.#entries = [...start.entries]
   }
 
-  /** @returns the state, independent of later writes */
+  /** @returns a copy of the state that later writes do not change */
   state (): PersistentState {
     return { term: this.#term, votedFor: this.#votedFor, snapshot: this.#snapshot, entries: [...this.#entries] }
   }
 
-  /** @param write - the next write */
+  /** @param write - next write to apply */
   applyWrite (write: DurableWrite): void {
     switch (write.kind) {
       case 'vote':
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Entries behind a snapshot stay only if the log agreed with it. */
+  /** Keeps the entries after the snapshot only if the log has the snapshot's last entry with the same term. */
   #applySnapshot (snapshot: Snapshot): void {
     const covered = this.#entries.find(entry => entry.index === snapshot.index)
     const keepsTail = covered?.term === snapshot.term
--- a/packages/durable/src/lib/RaftStorage.test.ts
+++ b/packages/durable/src/lib/RaftStorage.test.ts
@@ -21,7 +21,7 @@
   }
 
   describe('restart', () => {
-    it('finds vote and entries again, and keeps its identity', async () => {
+    it('restores vote and entries, and keeps the identity', async () => {
       const first = await open()
       await first.storage.persist([{ kind: 'vote', term: 3, votedFor: 'b' }, { kind: 'append', entry: entry(1) }, { kind: 'append', entry: entry(2) }])
       await first.storage.close()
@@ -45,7 +45,7 @@
       expect(second.persisted.entries).toEqual([entry(3, 2), entry(4, 2)])
     })
 
-    it('gives a new identity to an empty disk', async () => {
+    it('creates a new identity on an empty disk', async () => {
       const first = await open()
       await first.storage.close()
       await rm(path, { recursive: true })
@@ -65,7 +65,7 @@
       return size
     }
 
-    it('cuts a torn tail at every length', async () => {
+    it('truncates a torn tail of any length', async () => {
       const size = await writeTwoBatches()
       const whole = await readFile(join(path, 'log'))
       for (let length = size; length < whole.length; length += 1) {
@@ -81,7 +81,7 @@
       }
     })
 
-    it('refuses a damaged middle and says where', async () => {
+    it('rejects a log that is damaged in the middle, and reports the offset', async () => {
       await writeTwoBatches()
       const bytes = await readFile(join(path, 'log'))
       bytes[10] = (bytes[10] ?? 0) ^ 0xff
@@ -89,7 +89,7 @@
       expect(await RaftStorage.open(await NodeDataFolder.open(path))).toEqual({ ok: false, error: { kind: 'log-damaged', file: 'log', offset: 0 } })
     })
 
-    it('refuses a damaged snapshot', async () => {
+    it('rejects a damaged snapshot', async () => {
       const { storage } = await open()
       await storage.persist([{ kind: 'snapshot', snapshot: { index: 1, term: 1, membership, state: new Uint8Array([1]) } }])
       await storage.close()
@@ -100,7 +100,7 @@
   })
 
   describe('sync', () => {
-    it('syncs a batch once, after all of it was written', async () => {
+    it('syncs a batch once, after the whole batch is written', async () => {
       const calls: string[] = []
       const file: AppendFile = {
         append: async () => { calls.push('append') },
--- a/packages/durable/src/lib/RaftStorage.ts
+++ b/packages/durable/src/lib/RaftStorage.ts
@@ -1,4 +1,4 @@
-/** Durable state of one replica: identity, vote, log and snapshot under one data folder. */
+/** Durable state of one replica: identity, vote, log and snapshot in one data folder. */
 import { randomUUID } from 'node:crypto'
 import { decode, encode } from '@msgpack/msgpack'
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
@@ -18,14 +18,14 @@
   | { readonly kind: 'snapshot-damaged', readonly file: string }
   | { readonly kind: 'log-gap', readonly index: number, readonly expected: number }
 
-/** State found on the disk, and the storage to continue it. */
+/** State found on the disk, and the storage that later writes go to. */
 export interface OpenedStorage {
   readonly storage: RaftStorage
   readonly replicaId: string
   readonly persisted: PersistentState
 }
 
-/** Write-ahead log with group commit. One batch is one write and one sync. */
+/** Write-ahead log with group commit: a batch takes one write and one sync. */
 export class RaftStorage {
   #image = new PersistentImage()
   #file: AppendFile | undefined
@@ -33,10 +33,10 @@
   private constructor (private readonly folder: DataFolder) {}
 
   /**
-   * Reads the folder; makes an identity on an empty one.
+   * Reads the state of a replica; creates an identity if the folder is empty.
    *
-   * @param folder - the replica's own data folder
-   * @returns the storage, or why it can't be trusted
+   * @param folder - data folder of the replica
+   * @returns the storage and its state, or an error if the state is damaged
    */
   static async open (folder: DataFolder): Promise<Result<OpenedStorage, StorageError>> {
     const storage = new RaftStorage(folder)
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Makes a batch durable. A rejected promise means the process must stop: after
-   * a failed sync the disk's content is unknown and a second try proves nothing.
+   * Makes a batch durable. If the promise is rejected, the process must stop: after a failed
+   * sync, the contents of the disk are unknown, and a retry that succeeds proves nothing.
    *
-   * @param writes - writes of one batch, in order
+   * @param writes - writes of the batch, in order
    */
   async persist (writes: readonly DurableWrite[]): Promise<void> {
     if (writes.length === 0) return
@@ -94,7 +94,7 @@
     return this.#file
   }
 
-  /** After a snapshot the log starts again with the vote and the entries above it. */
+  /** Rewrites the log after a snapshot: only the vote and the entries after the snapshot remain. */
   async #rewriteLog (): Promise<void> {
     await this.#openFile().close()
     const { term, votedFor, entries } = this.#image.state()
--- a/packages/durable/src/lib/recordFraming.ts
+++ b/packages/durable/src/lib/recordFraming.ts
@@ -1,23 +1,25 @@
-/** Framing of log records: length, CRC-32 and payload. */
+/** Framing of log records; each is its length, a CRC-32 and its payload. */
 import { crc32 } from 'node:zlib'
 
-/** Bytes before each payload. */
+/** Size of the header before each payload, in bytes. */
 export const HEADER_BYTES = 8
 
-/** Largest payload accepted when reading, in bytes; a longer length is damage. */
+/** Largest payload accepted when reading, in bytes; a larger length means that the record is damaged. */
 const MAX_PAYLOAD_BYTES = 256 * 1024 * 1024
 
-/** What a scan of a log file found. */
+/** Result of scanning a log file. */
 export interface ScanResult {
   readonly payloads: Uint8Array[]
-  /** Bytes of whole records from the start. */
+  /** Number of bytes at the start of the file that hold valid records. */
   readonly validLength: number
-  /** True if whole records follow a damaged one: not a torn tail. */
+  /** True if valid records follow a damaged one, so that the damage is not a torn tail. */
   readonly hasDamagedMiddle: boolean
 }
 
 /**
- * @param payload - record body
+ * Adds the header to a payload.
+ *
+ * @param payload - payload of the record
  * @returns the framed record
  */
 export function frameRecord (payload: Uint8Array): Uint8Array {
@@ -31,7 +33,7 @@
 /**
  * Reads records up to the first that is torn or damaged.
  *
- * @param bytes - whole file
+ * @param bytes - contents of the whole file
  * @returns the records, and whether what follows them is a torn tail or damage
  */
 export function scanRecords (bytes: Uint8Array): ScanResult {
@@ -52,12 +54,12 @@
   const length = file.readUInt32LE(offset)
   const end = offset + HEADER_BYTES + length
   if (length === 0 || length > MAX_PAYLOAD_BYTES || end > file.length) return undefined
-  // A plain array: what is decoded from it must not turn into the runtime's own buffer type.
+  // A plain Uint8Array, so that byte fields decoded from it do not become Node.js Buffers.
   const payload = new Uint8Array(file.buffer, file.byteOffset + offset + HEADER_BYTES, length)
   return crc32(payload) === file.readUInt32LE(offset + 4) ? payload : undefined
 }
 
-/** A torn tail holds no whole record, so one found anywhere behind the damage means lost acknowledged data. */
+/** A torn tail holds no valid record, so a valid record anywhere after the damage means that acknowledged data is lost. */
 function hasRecordAfter (file: Buffer, from: number): boolean {
   for (let offset = from; offset + HEADER_BYTES < file.length; offset += 1) {
     if (readRecord(file, offset) !== undefined) return true
