--- a/packages/telemetry/src/lib/BoundedLogWriter.test.ts
+++ b/packages/telemetry/src/lib/BoundedLogWriter.test.ts
@@ -16,7 +16,7 @@
     vi.useRealTimers()
   })
 
-  it('never waits for a sink that takes nothing, holds a bounded amount, and says later what it dropped', () => {
+  it('never waits for a blocked sink, buffers a bounded amount, and later reports dropped lines', () => {
     vi.useFakeTimers()
     let finish: (() => void) | undefined
     const written: string[] = []
@@ -38,7 +38,7 @@
     vi.useRealTimers()
   })
 
-  it('tries again when the sink is full for a moment, and loses nothing', () => {
+  it('retries when the sink is full, and loses no lines', () => {
     vi.useFakeTimers()
     let calls = 0
     let text = ''
@@ -59,8 +59,8 @@
     vi.useRealTimers()
   })
 
-  describe('before the process ends', () => {
-    it('writes what waits, also what came during a write', async () => {
+  describe('flush', () => {
+    it('writes buffered lines, including those added during a write', async () => {
       const written: string[] = []
       let finish: () => void = () => {}
       const writer = new BoundedLogWriter((bytes, done) => {
@@ -78,17 +78,17 @@
       expect(written.join('')).toBe('during\nlast\n')
     })
 
-    it('gives up on a reader that takes nothing', async () => {
+    it('stops waiting at the limit if nobody reads', async () => {
       const writer = new BoundedLogWriter(() => {})
       writer.write('unread')
       await writer.flush(1)
     })
   })
 
-  describe('at the end of the process', () => {
+  describe('flushSync', () => {
     const dropped = (count: number): string => `dropped ${count}`
 
-    it('writes what waits, and nothing after that', () => {
+    it('writes buffered lines, and ignores later ones', () => {
       vi.useFakeTimers()
       let text = ''
       const writer = new BoundedLogWriter((bytes, done) => {
@@ -107,7 +107,7 @@
       vi.useRealTimers()
     })
 
-    it('begins with what a full sink has not taken, and says what was dropped', () => {
+    it('first writes what a full sink has not accepted, and reports dropped lines', () => {
       vi.useFakeTimers()
       let text = ''
       let calls = 0
@@ -133,7 +133,7 @@
       vi.useRealTimers()
     })
 
-    it('gives up when nothing is taken', () => {
+    it('stops when the sink accepts no bytes', () => {
       let calls = 0
       const writer = new BoundedLogWriter(undefined, dropped, () => {
         calls += 1
@@ -144,7 +144,7 @@
       expect(calls).toBe(1)
     })
 
-    it('leaves to the thread pool what that is writing', () => {
+    it('does not repeat a batch that the thread pool is writing', () => {
       vi.useFakeTimers()
       let text = ''
       const writer = new BoundedLogWriter(() => {}, dropped, bytes => {
--- a/packages/telemetry/src/lib/BoundedLogWriter.ts
+++ b/packages/telemetry/src/lib/BoundedLogWriter.ts
@@ -1,32 +1,32 @@
 /**
- * Writes log lines without ever waiting for whoever reads them.
+ * Writes log lines without ever waiting for their reader.
  *
- * Standard output may be a pipe that nobody empties, and Node.js writes to pipes
- * synchronously. Lines therefore wait in a bounded buffer and are written by the
- * thread pool, one batch at a time; lines that find the buffer full are dropped,
- * counted, and reported in a line of their own.
+ * Standard output may be a pipe that nobody reads, and Node.js writes to pipes synchronously.
+ * Lines are therefore held in a bounded buffer and written by the thread pool, one batch at
+ * a time. When the buffer is full, further lines are dropped, counted, and reported in a line
+ * of their own.
  */
 import { write } from 'node:fs'
 import { describeDroppedLines } from './describeDroppedLines.js'
 import { writeWithoutWaiting } from './writeWithoutWaiting.js'
 
-/** Writes bytes and calls back when they were taken. */
+/** Writes bytes, and calls back with an error or the number of bytes written. */
 export type ByteSink = (bytes: Buffer, done: (error: Error | null, written: number) => void) => void
 
-/** Most bytes that wait: some seconds of lines at a busy host's rate. */
+/** Capacity of the buffer in bytes: a few seconds of lines at the rate of a busy host. */
 const BUFFER_BYTES = 512 * 1024
 
-/** Pause in which lines are gathered into one write, in milliseconds. */
+/** Delay during which lines are collected into one write, in milliseconds. */
 const BATCH_DELAY_MS = 50
 
-/** Pause before a write is tried again after the sink was full, in milliseconds. */
+/** Delay before a write is retried because the sink was full, in milliseconds. */
 const RETRY_MS = 100
 
 const STANDARD_OUTPUT = 1
 
 const EMPTY = Buffer.alloc(0)
 
-/** Bounded buffer in front of a sink. */
+/** Buffers lines up to a limit and writes them to a sink. */
 export class BoundedLogWriter {
   #lines: string[] = []
   #bytes = 0
@@ -35,14 +35,14 @@
   #timer: NodeJS.Timeout | undefined
   #isWriting = false
   readonly #flushWaiters: Array<() => void> = []
-  /** What a full sink has not taken yet of the batch under way; empty while the thread pool has it. */
+  /** Rest of the current batch that the full sink has not accepted; empty while the thread pool writes the batch. */
   #unwritten: Buffer = EMPTY
   #hasEnded = false
 
   /**
-   * @param sink - where the bytes go
-   * @param describeDropped - makes the line that says how many lines were dropped
-   * @param finalSink - takes what it can at once, and returns how many bytes; called when the process ends
+   * @param sink - writes bytes asynchronously
+   * @param describeDropped - returns the line that reports the number of dropped lines
+   * @param finalSink - writes as many bytes as possible without blocking and returns their number; called when the process ends
    */
   constructor (
     private readonly sink: ByteSink = (bytes, done) => { write(STANDARD_OUTPUT, bytes, 0, bytes.length, null, done) },
@@ -50,10 +50,10 @@
     private readonly finalSink: (bytes: Buffer) => number = bytes => writeWithoutWaiting(STANDARD_OUTPUT, bytes)
   ) {}
 
-  /** Lines dropped so far. */
+  /** Number of lines dropped so far. */
   get dropped (): number { return this.#totalDropped }
 
-  /** @param line - without a line end */
+  /** @param line - line without a line end */
   write (line: string): void {
     if (this.#bytes + line.length > BUFFER_BYTES) {
       this.#dropped += 1
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Writes what waits, before the process ends.
+   * Writes the buffered lines before the process ends.
    *
-   * @param limitMs - longest wait for whoever reads the lines, in milliseconds
+   * @param limitMs - longest wait until the lines are written, in milliseconds
    */
   async flush (limitMs: number): Promise<void> {
     clearTimeout(this.#timer)
@@ -84,8 +84,8 @@
   get #isIdle (): boolean { return !this.#isWriting && this.#lines.length === 0 }
 
   /**
-   * Writes what waits as far as it is taken without waiting, and nothing after that; for
-   * the end of a process. What the thread pool has just begun to write is left to it.
+   * Writes as much of the buffer as possible without blocking, and ignores all later lines; called when
+   * the process ends. A batch that the thread pool is already writing is left to the thread pool.
    */
   flushSync (): void {
     this.#hasEnded = true
@@ -137,7 +137,7 @@
         setTimeout(() => { this.#writeAll(rest) }, isFull ? RETRY_MS : 0).unref()
         return
       }
-      // Any other error means that nobody will ever read it: there is nowhere left to say so.
+      // Any other error means that standard output is closed, so the error can't be reported anywhere.
       this.#isWriting = false
       this.#bytes = this.#lines.reduce((sum, line) => sum + line.length + 1, 0)
       if (this.#flushWaiters.length > 0) this.#flush()
--- a/packages/telemetry/src/lib/RejectedEntries.test.ts
+++ b/packages/telemetry/src/lib/RejectedEntries.test.ts
@@ -15,7 +15,7 @@
   const first = [rejectEntry('Id: missing', { Service: 's' })]
   const second = [rejectEntry('no object', 'xyz'), ...first]
 
-  it('says what is wrong once, and again only when it changes and ten seconds have passed', () => {
+  it('logs rejected entries once, and again only if they change and ten seconds have passed', () => {
     const telemetry = new RecordingTelemetry('test')
     const rejected = new RejectedEntries(telemetry)
     rejected.record('list', [], 0)
@@ -33,7 +33,7 @@
     expect(await telemetry.registry.metrics()).toContain('eelgrassmux_rejected_entries_total{source="list",program="test"} 4')
   })
 
-  it('cuts long entries short', () => {
+  it('truncates long entries', () => {
     expect(rejectEntry('too long', 'x'.repeat(1000)).excerpt).toHaveLength(120)
   })
 })
--- a/packages/telemetry/src/lib/RejectedEntries.ts
+++ b/packages/telemetry/src/lib/RejectedEntries.ts
@@ -1,36 +1,38 @@
-/** Entries of lists that were read and can't be used, as metrics and log show them. */
+/** Reports list entries that can't be used, in metrics and the log. */
 import type { LabelledCounter, Telemetry } from './Telemetry.js'
 
-/** One entry that another writer may have put into a list. */
+/** An invalid list entry; another program may have written it. */
 export interface RejectedEntry {
-  /** What is wrong with it. */
+  /** Why the entry is invalid. */
   readonly reason: string
-  /** Its beginning. */
+  /** Beginning of the entry. */
   readonly excerpt: string
 }
 
-/** Shortest time between two lines about one source, in milliseconds: lists are read several times a second. */
+/** Shortest time between two log lines about one source, in milliseconds; lists are read several times a second. */
 const LOG_INTERVAL_MS = 10_000
 
-/** Longest excerpt, in characters: enough to find the writer. */
+/** Maximum length of an excerpt in characters, enough to identify the writer of the entry. */
 const MAX_EXCERPT_LENGTH = 120
 
-/** What was last said of a source. */
+/** Last log line about a source. */
 interface LoggedRejection {
   readonly entries: string
   readonly at: number
 }
 
 /**
- * @param reason - what is wrong with the entry
- * @param entry - as read; what is no JSON is given as its text
+ * Describes an invalid entry.
+ *
+ * @param reason - why the entry is invalid
+ * @param entry - the entry as read; its text if it is not valid JSON
  */
 export function rejectEntry (reason: string, entry: unknown): RejectedEntry {
   const text = typeof entry === 'string' ? entry : JSON.stringify(entry) ?? ''
   return { reason, excerpt: text.slice(0, MAX_EXCERPT_LENGTH) }
 }
 
-/** Counts rejected entries, and says once which they are. */
+/** Counts rejected entries and logs them when they change. */
 export class RejectedEntries {
   readonly #counter: LabelledCounter
   readonly #lastLogged = new Map<string, LoggedRejection>()
@@ -41,10 +43,10 @@
   }
 
   /**
-   * Takes the rejected entries of one reading. They are logged when others are
-   * rejected than last time, at most once in ten seconds for each source.
+   * Records the rejected entries of one reading. They are logged if they differ from those logged
+   * last, at most once in ten seconds for each source.
    *
-   * @param source - which list
+   * @param source - name of the list
    * @param rejected - all rejected entries of this reading
    * @param now - monotonic milliseconds
    */
--- a/packages/telemetry/src/lib/RequestLogLimiter.test.ts
+++ b/packages/telemetry/src/lib/RequestLogLimiter.test.ts
@@ -15,23 +15,23 @@
     return Array.from({ length: lines }, () => limit.admits(isOrdinary, now)).filter(Boolean).length
   }
 
-  it('keeps half of a second\'s lines for failures, whatever came before them', () => {
+  it('reserves half of the limit for failures, even after many ordinary lines', () => {
     expect(admitted(100, true, 0)).toBe(5)
     expect(admitted(100, false, 0)).toBe(5)
   })
 
-  it('lets failures use all of them, also the first', () => {
+  it('lets failures use the whole limit', () => {
     expect(admitted(100, false, 0)).toBe(10)
     expect(admitted(100, true, 0)).toBe(0)
   })
 
-  it('begins anew each second', () => {
+  it('resets the limit every second', () => {
     expect(admitted(11, false, 500)).toBe(10)
     expect(admitted(11, false, 1499)).toBe(0)
     expect(admitted(11, false, 1500)).toBe(10)
   })
 
-  it('counts what it leaves out and reports each line once', () => {
+  it('counts omitted lines and reports each of them once', () => {
     admitted(13, false, 0)
     admitted(2, true, 0)
     expect(limit.omittedCount).toBe(5)
@@ -45,7 +45,7 @@
     expect(limit.omittedCount).toBe(7)
   })
 
-  it('reports at the end of the process what it has not reported yet', () => {
+  it('reports omitted lines that are not reported yet when the process ends', () => {
     admitted(12, false, 0)
     limit.reportNow()
     limit.reportNow()
--- a/packages/telemetry/src/lib/RequestLogLimiter.ts
+++ b/packages/telemetry/src/lib/RequestLogLimiter.ts
@@ -1,14 +1,14 @@
 /**
- * Bounds the lines about requests, so that a busy host's log stays readable and cheap.
- * Ordinary lines may use a part only: a failure finds room also when many go well.
+ * Limits the rate of log lines about requests, so that the log of a busy host stays readable and cheap.
+ * Ordinary lines may use only part of the limit, so that failures are logged even if many requests succeed.
  */
 
-/** Part of the lines of a second that ordinary lines may use. */
+/** Share of the limit that ordinary lines may use. */
 const ORDINARY_SHARE = 0.5
 
 const SECOND_MS = 1000
 
-/** Decides which lines are written. */
+/** Decides which log lines about requests are written. */
 export class RequestLogLimiter {
   #secondStartedAt = Number.NEGATIVE_INFINITY
   #lines = 0
@@ -18,18 +18,20 @@
   #timer: NodeJS.Timeout | undefined
 
   /**
-   * @param linesPerSecond - most lines in a second
-   * @param report - told how many lines were left out, within a second
+   * @param linesPerSecond - maximum number of lines per second
+   * @param report - called with the number of omitted lines, at most a second after the first of them
    */
   constructor (private readonly linesPerSecond: number, private readonly report: (count: number) => void) {}
 
-  /** Lines left out so far. */
+  /** Number of lines omitted so far. */
   get omittedCount (): number { return this.#omittedCount }
 
   /**
-   * @param isOrdinary - whether the line is not about a failure
+   * Decides whether a line may be written, and counts it as omitted if not.
+   *
+   * @param isOrdinary - true unless the line is about a failure
    * @param now - monotonic milliseconds
-   * @returns whether it may be written; if not, it is counted
+   * @returns whether the line may be written
    */
   admits (isOrdinary: boolean, now: number): boolean {
     if (now - this.#secondStartedAt >= SECOND_MS) {
@@ -46,7 +48,7 @@
     return true
   }
 
-  /** Reports what was left out and is not reported yet; also for the end of a process. */
+  /** Reports omitted lines that are not reported yet; also called when the process ends. */
   reportNow (): void {
     clearTimeout(this.#timer)
     this.#timer = undefined
--- a/packages/telemetry/src/lib/Telemetry.test.ts
+++ b/packages/telemetry/src/lib/Telemetry.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { Telemetry } from './Telemetry.js'
 
-/** Runs statements with a telemetry `log`, and reads what they left on standard output. */
+/** Runs statements in a process with a telemetry named `log`, and returns the contexts of the lines that it wrote to standard output. */
 function linesOf (statements: string): Array<Record<string, unknown>> {
   const script = `
     import { Telemetry } from '${new URL('../../dist/lib/Telemetry.js', import.meta.url).href}'
@@ -16,14 +16,14 @@
 }
 
 describe('Telemetry', () => {
-  it('shows the process, but no samples of its event loop that would wake it', async () => {
+  it('has metrics of the process, but none that sample the event loop and so wake the process', async () => {
     const metrics = await new Telemetry('test').registry.metrics()
     expect(metrics).toContain('process_cpu_seconds_total')
     expect(metrics).toContain('nodejs_eventloop_lag_seconds')
     expect(metrics).not.toContain('nodejs_eventloop_lag_p99_seconds')
   })
 
-  it('shows what was counted by label, also from one collection to the next', async () => {
+  it('counts by label, and keeps the totals between collections', async () => {
     const telemetry = new Telemetry('test')
     const counter = telemetry.labelledCounter('retries_total', 'retries')
     counter.count('lost')
@@ -35,14 +35,14 @@
     expect(metrics).toContain('eelgrassmux_retries_total{reason="rejected",program="test"} 3')
   })
 
-  it('writes lines of failures although many requests go well, and says what it left out', () => {
+  it('logs failures even if many requests succeed, and reports omitted lines', () => {
     const lines = linesOf('for (const id of \'abcdefgh\') answered(id); for (const id of \'ijk\') refused(id)')
     expect(lines.map(({ event, request, count }) => [event, request ?? count])).toEqual([
       ['answered', 'a'], ['answered', 'b'], ['refused', 'i'], ['refused', 'j'], ['request-lines-left-out', 7]
     ])
   })
 
-  it('writes program, event, request and fields', () => {
+  it('logs program, event, request and fields', () => {
     expect(linesOf('log.logStateChange(\'stopped\'); log.logFault(\'fatal\', { invariant: \'x\', message: \'y\' }); log.logDecision(\'retry-budget-used-up\', \'r\', { failure: \'lost\', siteVersion: 3 })')).toEqual([
       { program: 'small', event: 'stopped', logLevel: 30 },
       { program: 'small', event: 'fatal', invariant: 'x', message: 'y', logLevel: 50 },
--- a/packages/telemetry/src/lib/Telemetry.ts
+++ b/packages/telemetry/src/lib/Telemetry.ts
@@ -1,4 +1,4 @@
-/** Metrics registry and state-change log of one process. */
+/** Metrics registry and structured log of one process. */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
 import { ROARR, Roarr } from 'roarr'
 import { BoundedLogWriter } from './BoundedLogWriter.js'
@@ -12,29 +12,29 @@
   count (label: string, amount?: number): void
 }
 
-/** How much of the story of requests the log takes. */
+/** Limits on log lines about requests. */
 export interface RequestLogLimits {
-  /** Of requests that go well, one in so many is logged. */
+  /** Sampling rate of requests that succeed: one in this many is logged. */
   readonly keptStories: number
-  /** Most lines about requests in a second. */
+  /** Maximum number of lines about requests per second. */
   readonly logLinesPerSecond: number
 }
 
 const DEFAULT_REQUEST_LOG_LIMITS: RequestLogLimits = { keptStories: 64, logLinesPerSecond: 200 }
 
 /**
- * The metrics library samples the event loop's lag by waking the process a hundred times a
- * second; daemons have a metric of their own that wakes it four times. In milliseconds.
+ * Interval that disables the event loop sampling of the metrics library, in milliseconds. By default the
+ * library wakes the process a hundred times a second; daemons have a metric of their own that wakes it four times.
  */
 const NEVER_MS = 2 ** 31 - 1
 
-/** Names of the metrics that those samples would be shown by. */
+/** Names of the metrics that are based on the disabled samples. */
 const SAMPLED_LOOP_LAG = /^nodejs_eventloop_lag_(?!seconds$)/
 
-/** Lines that requests without failure have as well. */
+/** Events that are also logged for requests without a failure. */
 const ORDINARY_EVENTS: ReadonlySet<DecisionEvent> = new Set<DecisionEvent>(['answered', 'waits-for-room', 'waits-for-site'])
 
-/** Metrics and log of one process, both named after its program. */
+/** Metrics and log of one process, both labelled with the name of its program. */
 export class Telemetry {
   readonly registry = new Registry()
   readonly #log
@@ -43,7 +43,7 @@
 
   /**
    * @param program - name of the binary, such as `eelgrassmux-entry`
-   * @param limits - how much of the story of requests the log takes
+   * @param limits - limits on log lines about requests
    */
   constructor (readonly program: string, private readonly limits: RequestLogLimits = DEFAULT_REQUEST_LOG_LIMITS) {
     this.registry.setDefaultLabels({ program })
@@ -63,12 +63,12 @@
    * Creates a counter with one label.
    *
    * @param name - metric name without the product's prefix
-   * @param help - what is counted
-   * @param labelName - the label, `reason` for refusals and retries
+   * @param help - description of the counter
+   * @param labelName - name of the label
    * @returns the counter
    */
   labelledCounter (name: string, help: string, labelName = 'reason'): LabelledCounter {
-    // Added up here and handed over when metrics are collected: the library looks up its labels at each increment.
+    // Amounts are summed here and passed to the library when metrics are collected, since it looks up the labels on each increment.
     const pending = new Map<string, number>()
     this.registry.registerMetric(new Counter({
       name: `eelgrassmux_${name}`,
@@ -87,8 +87,8 @@
    * Creates a gauge that is read when metrics are collected.
    *
    * @param name - metric name without the product's prefix
-   * @param help - what it shows
-   * @param read - returns the present value
+   * @param help - description of the gauge
+   * @param read - returns the current value
    */
   gauge (name: string, help: string, read: () => number): void {
     const gauge = new Gauge({
@@ -101,8 +101,8 @@
    * Creates a histogram of durations.
    *
    * @param name - metric name without the product's prefix
-   * @param help - what is timed
-   * @param buckets - upper bounds in seconds
+   * @param help - description of the duration
+   * @param buckets - upper bounds of the buckets, in seconds
    * @returns a function that records one duration in milliseconds
    */
   durationHistogram (name: string, help: string, buckets: number[]): (milliseconds: number) => void {
@@ -111,10 +111,10 @@
   }
 
   /**
-   * Whether the story of a request that goes well is kept. All processes keep or drop
-   * the same requests, so that what is kept is whole.
+   * Decides whether a request that succeeds is logged. The decision depends only on the request id, so that
+   * all processes log the same requests and the trace of each logged request is complete.
    *
-   * @param requestId - the caller's id
+   * @param requestId - request id that the caller has set
    */
   isSampled (requestId: string): boolean {
     let hash = 0
@@ -123,11 +123,11 @@
   }
 
   /**
-   * Logs a decision that touches a request.
+   * Logs a decision about a request.
    *
    * @param event - name of the decision in the catalogue
-   * @param requestId - the caller's id of the attempt
-   * @param fields - inputs that decided, their age or version, and the outcome
+   * @param requestId - request id that the caller has set for this attempt
+   * @param fields - inputs of the decision, their age or version, and the outcome
    */
   logDecision<Event extends DecisionEvent> (event: Event, requestId: string, fields: DecisionFields<Event> & RequestFields): void {
     if (!this.#requestLogLimiter.admits(ORDINARY_EVENTS.has(event), performance.now())) return
@@ -135,35 +135,35 @@
   }
 
   /**
-   * Logs a change of what the process believes.
+   * Logs a change of the process's state, including its view of other parts of the system.
    *
    * @param event - name of the change in the catalogue
-   * @param fields - values that explain it
+   * @param fields - values that explain the change
    */
   logStateChange<Event extends ChangeEvent> (event: Event, ...[fields]: FieldArguments<ChangeFields<Event>>): void {
     this.#log.info({ event, ...fields }, event)
   }
 
   /**
-   * Writes the lines that wait, before the process ends.
+   * Writes the buffered lines before the process ends.
    *
-   * @param limitMs - longest wait for whoever reads them, in milliseconds
+   * @param limitMs - longest wait until the lines are written, in milliseconds
    */
   async flush (limitMs: number): Promise<void> {
     await this.#writer.flush(limitMs)
   }
 
   /**
-   * Logs a fault that an operator should look at.
+   * Logs a fault that an operator should investigate.
    *
    * @param event - name of the fault in the catalogue
-   * @param fields - values that explain it
+   * @param fields - values that explain the fault
    */
   logFault<Event extends FaultEvent> (event: Event, ...[fields]: FieldArguments<FaultFields<Event>>): void {
     this.#log.error({ event, ...fields }, event)
   }
 
-  /** Writes the last lines without waiting; call right before the process exits. */
+  /** Writes the last lines without waiting; must be called right before the process exits. */
   flushSync (): void {
     this.#requestLogLimiter.reportNow()
     this.#writer.flushSync()
--- a/packages/telemetry/src/lib/describeDroppedLines.ts
+++ b/packages/telemetry/src/lib/describeDroppedLines.ts
@@ -2,16 +2,16 @@
 
 const EVENT = 'log-lines-dropped' satisfies ChangeEvent
 
-/** Level of `warn` in the log library. */
+/** Numeric level of `warn` in the log library. */
 const WARN_LEVEL = 40
 
 /**
- * Makes the line that stands where lines were dropped, in the form of all others. It
- * can't go through the log library, which would put it behind the lines that wait.
+ * Returns the log line that takes the place of dropped lines, in the format of all other lines. It
+ * bypasses the log library, which would append it after the lines that are already buffered.
  *
  * @param program - name of the binary
- * @param count - lines dropped since the last such line
- * @returns the line without an end
+ * @param count - number of lines dropped since the last such line
+ * @returns the line without a line end
  */
 export function describeDroppedLines (program: string, count: number): string {
   const fields: ChangeFields<typeof EVENT> = { count }
--- a/packages/telemetry/src/lib/events/changeEvents.ts
+++ b/packages/telemetry/src/lib/events/changeEvents.ts
@@ -9,7 +9,7 @@
 import { stopChanges } from './stopChanges.js'
 import { storeChanges } from './storeChanges.js'
 
-/** Lines about what a process believes, by name, with the fields of each. */
+/** Lines about changes of a process's state: event names and their fields. */
 export const changeEvents = {
   ...processChanges,
   ...endpointChanges,
--- a/packages/telemetry/src/lib/events/decisionEvents.ts
+++ b/packages/telemetry/src/lib/events/decisionEvents.ts
@@ -1,7 +1,7 @@
 import { requestDecisions } from './requestDecisions.js'
 import { stopDecisions } from './stopDecisions.js'
 
-/** Lines about a request, by name; the fields of each come beside {@link requestFields}. */
+/** Lines about requests: event names and their fields, in addition to {@link requestFields}. */
 export const decisionEvents = {
   ...requestDecisions,
   ...stopDecisions
--- a/packages/telemetry/src/lib/events/directoryChanges.ts
+++ b/packages/telemetry/src/lib/events/directoryChanges.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Shards of a directory. */
+/** Changes of the shards that a directory host owns. */
 export const directoryChanges = {
   'shard-taken': z.strictObject({ shard: z.number(), epoch: z.number() }),
   'shard-lost': z.strictObject({ shard: z.number() }),
--- a/packages/telemetry/src/lib/events/eventFields.test.ts
+++ b/packages/telemetry/src/lib/events/eventFields.test.ts
@@ -5,11 +5,11 @@
 import type { DecisionFields } from './eventFields.js'
 import { faultEvents } from './faultEvents.js'
 
-/** Each wrong call bears a mark that is itself a compiler error where the call is accepted. */
+/** Each invalid call is marked with `@ts-expect-error`, which is itself a compiler error if the compiler accepts the call. */
 describe('the compiler', () => {
   const telemetry = new Telemetry('test')
 
-  it('refuses names that are not in the catalogue, or of another kind of line', () => {
+  it('rejects event names that are not in the catalogue, or belong to another kind of line', () => {
     // @ts-expect-error misspelt
     telemetry.logDecision('refuse', 'r1', { reason: 'draining', status: 503, run: 'not-run', detail: '' })
     // @ts-expect-error a change, not a decision
@@ -20,7 +20,7 @@
     telemetry.logFault('stopped')
   })
 
-  it('refuses fields that are missing, misspelt, of another type or of another event', () => {
+  it('rejects fields that are missing, misspelt, of another type or of another event', () => {
     // @ts-expect-error no detail
     telemetry.logDecision('refused', 'r1', { reason: 'draining', status: 503, run: 'not-run' })
     // @ts-expect-error text for a number
@@ -41,7 +41,7 @@
     telemetry.logFault('fatal', { invariant: 'x' })
   })
 
-  it('takes what is right', () => {
+  it('accepts valid calls', () => {
     telemetry.logDecision('retry-budget-used-up', 'r1', { failure: 'lost', route: 'a', service: 'b', siteVersion: 1, sends: 1, runs: 1, elapsedMs: 1 })
     telemetry.logStateChange('stopped')
     telemetry.logStateChange('endpoint-list-lost', { reason: 'timeout' })
@@ -54,12 +54,12 @@
   const kinds = [decisionEvents, changeEvents, faultEvents]
   const names = kinds.flatMap(kind => Object.keys(kind))
 
-  it('has each name once, in the same spelling', () => {
+  it('has unique event names in kebab case', () => {
     expect(new Set(names).size).toBe(names.length)
     for (const name of names) expect(name).toMatch(/^[a-z]+(-[a-z]+)*$/)
   })
 
-  it('keeps names that every line has to themselves', () => {
+  it('does not reuse the field names that every line has', () => {
     const fields = kinds.flatMap(kind => Object.values(kind).flatMap(schema => Object.keys(schema.shape)))
     expect(fields.filter(field => ['event', 'program', 'request', 'logLevel'].includes(field))).toEqual([])
   })
--- a/packages/telemetry/src/lib/events/eventFields.ts
+++ b/packages/telemetry/src/lib/events/eventFields.ts
@@ -1,30 +1,30 @@
-/** Types of log lines, inferred from the catalogue. Types only: a running process checks nothing and loads no schema. */
+/** Types of log lines, inferred from the catalogue. They exist only at compile time: a running process neither loads the schemas nor validates lines. */
 import type { z } from 'zod'
 import type { changeEvents } from './changeEvents.js'
 import type { decisionEvents } from './decisionEvents.js'
 import type { faultEvents } from './faultEvents.js'
 import type { requestFields } from './requestFields.js'
 
-/** Names of lines about a request. */
+/** Event names of lines about a request. */
 export type DecisionEvent = keyof typeof decisionEvents
 
-/** Names of lines about what a process believes. */
+/** Event names of lines about a change of a process's state. */
 export type ChangeEvent = keyof typeof changeEvents
 
-/** Names of lines that an operator should look at. */
+/** Event names of lines about a fault that an operator should investigate. */
 export type FaultEvent = keyof typeof faultEvents
 
-/** What any decision may state. */
+/** Optional fields of every decision. */
 export type RequestFields = Readonly<z.infer<typeof requestFields>>
 
-/** What a decision states. */
+/** Fields of a decision. */
 export type DecisionFields<Event extends DecisionEvent> = (typeof decisionEvents)[Event]['_zod']['output']
 
-/** What a change states. */
+/** Fields of a state change. */
 export type ChangeFields<Event extends ChangeEvent> = (typeof changeEvents)[Event]['_zod']['output']
 
-/** What a fault states. */
+/** Fields of a fault. */
 export type FaultFields<Event extends FaultEvent> = (typeof faultEvents)[Event]['_zod']['output']
 
-/** Arguments for fields, which may be left out if none is required. */
+/** Argument list for fields; the argument is optional if no field is required. */
 export type FieldArguments<Fields> = Record<string, never> extends Fields ? [fields?: Fields] : [fields: Fields]
--- a/packages/telemetry/src/lib/events/faultEvents.ts
+++ b/packages/telemetry/src/lib/events/faultEvents.ts
@@ -1,7 +1,7 @@
 import { controlFaults } from './controlFaults.js'
 import { processFaults } from './processFaults.js'
 
-/** Lines that an operator should look at, by name, with the fields of each. */
+/** Lines about faults that an operator should investigate: event names and their fields. */
 export const faultEvents = {
   ...processFaults,
   ...controlFaults
--- a/packages/telemetry/src/lib/events/groupChanges.ts
+++ b/packages/telemetry/src/lib/events/groupChanges.ts
@@ -2,7 +2,7 @@
 
 const committedMembership = z.strictObject({ term: z.number(), membershipIndex: z.number(), voters: z.number(), needed: z.number() })
 
-/** The group of control hosts. */
+/** Changes of the Raft group of control hosts. */
 export const groupChanges = {
   'role-changed': z.strictObject({ role: z.string(), term: z.number() }),
   'group-founded': z.strictObject({ replica: z.string(), address: z.string() }),
--- a/packages/telemetry/src/lib/events/processChanges.ts
+++ b/packages/telemetry/src/lib/events/processChanges.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod'
 
-/** Life of a process. */
+/** Lifecycle of a process. */
 export const processChanges = {
   loaded: z.strictObject({
-    /** `no`, or why the code kept by the build was not used. */
+    /** `no`, or the reason why the compiled code saved by the build was not used. */
     compiledAnew: z.string(),
     isPortOpen: z.boolean().optional()
   }),
@@ -17,14 +17,14 @@
   }),
   reloading: z.strictObject({}),
   reloaded: z.strictObject({
-    /** Empty if there was none. */
+    /** Empty if the reload succeeded. */
     error: z.string(),
     contacts: z.string()
   }),
   draining: z.strictObject({}),
   stopped: z.strictObject({}),
-  /** Lines about requests beyond the most in a second, failures last. */
+  /** Lines about requests were omitted because they exceeded the limit per second; lines about failures are omitted last. */
   'request-lines-left-out': z.strictObject({ count: z.number() }),
-  /** Lines that were not written because nobody read the ones before. */
+  /** Lines were dropped because earlier ones were not read. */
   'log-lines-dropped': z.strictObject({ count: z.number() })
 }
--- a/packages/telemetry/src/lib/events/processFaults.ts
+++ b/packages/telemetry/src/lib/events/processFaults.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod'
 
-/** Faults of any process. */
+/** Faults that any process can have. */
 export const processFaults = {
-  /** The process ends by it. */
+  /** Ends the process. */
   fatal: z.strictObject({ invariant: z.string(), message: z.string() }),
-  /** An operator's tool got no answer. */
+  /** The admin server could not answer an operator's tool. */
   'admin-failed': z.strictObject({ path: z.string(), message: z.string() })
 }
--- a/packages/telemetry/src/lib/events/quarantineChanges.ts
+++ b/packages/telemetry/src/lib/events/quarantineChanges.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** What is believed of requests that may crash the endpoints that run them. */
+/** Changes of the quarantine of requests that may crash the endpoints that run them. */
 export const quarantineChanges = {
   'endpoint-crash-checked': z.strictObject({ endpoint: z.string(), hasCrashed: z.boolean() }),
   'quarantine-decided': z.strictObject({
--- a/packages/telemetry/src/lib/events/requestDecisions.ts
+++ b/packages/telemetry/src/lib/events/requestDecisions.ts
@@ -6,9 +6,9 @@
 export const requestDecisions = {
   'waits-for-site': z.strictObject({ areEndpointsKnown: z.boolean(), isLoadKnown: z.boolean(), waiting: z.number() }),
   'waits-for-room': z.strictObject({ endpoint: z.string(), memoryShare: z.number(), tokensHeld: z.number(), tokensAhead: z.number() }),
-  /** A second attempt is made beside one whose endpoint has fallen silent. */
+  /** A second attempt is started in parallel, because the endpoint of the first has stopped responding. */
   'standby-opened': z.strictObject({ endpoint: z.string(), standby: z.string(), hadEvents: z.boolean(), remainingMs: z.number() }),
-  /** A stream that has begun waits for an endpoint that takes the rest, or for the budget. */
+  /** A stream that has begun waits for an endpoint that can resume it, or for the retry budget. */
   'waits-to-resume': z.strictObject({ waitMs: z.number(), patienceMs: z.number() }),
   'connections-used-up': z.strictObject({ endpoint: z.string(), open: z.number() }),
   'attempt-failed': z.strictObject({
@@ -18,7 +18,7 @@
     sends: z.number(),
     runs: z.number(),
     remainingMs: z.number(),
-    /** The three of requests that may have run: what was asked, and how long the endpoint had it. */
+    /** The next three fields are set if the request may have run: what was requested, how long the endpoint had it, and whether events arrived. */
     fingerprint: z.string().optional(),
     ranMs: z.number().optional(),
     hadEvents: z.boolean().optional()
--- a/packages/telemetry/src/lib/events/rolloutChanges.ts
+++ b/packages/telemetry/src/lib/events/rolloutChanges.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Orders to engines. */
+/** Orders to engines during a rollout of weights. */
 export const rolloutChanges = {
   'order-right-claimed': z.strictObject({ term: z.number(), outcome: z.string(), previous: z.string(), waitMs: z.number() }),
   'weights-ordered': z.strictObject({
--- a/packages/telemetry/src/lib/events/siteChanges.ts
+++ b/packages/telemetry/src/lib/events/siteChanges.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod'
 
-/** Sites and named weights: what operators sent, and what is in force. */
+/** Sites, named weights and evacuations: what operators have sent, and what is in force. */
 export const siteChanges = {
   'site-put': z.strictObject({ version: z.number(), bytes: z.number(), outcome: z.string() }),
   'site-regions-unknown': z.strictObject({ version: z.number(), regions: z.string() }),
--- a/packages/telemetry/src/lib/events/stopDecisions.ts
+++ b/packages/telemetry/src/lib/events/stopDecisions.ts
@@ -5,7 +5,7 @@
   hadEvents: z.boolean().optional()
 }
 
-/** Requests of an entry host that is stopping. */
+/** Decisions about requests on an entry host that is stopping. */
 export const stopDecisions = {
   'taken-while-stopping': z.strictObject({ ...stopFields, isFirstOnConnection: z.boolean().optional() }),
   'awaited-by-stop': z.strictObject(stopFields),
--- a/packages/telemetry/src/lib/writeWithoutWaiting.ts
+++ b/packages/telemetry/src/lib/writeWithoutWaiting.ts
@@ -1,19 +1,19 @@
 import { writeSync } from 'node:fs'
 
 /**
- * Writes to standard output what it takes at once.
+ * Writes to standard output as many bytes as it accepts without blocking.
  *
  * @param descriptor - file descriptor of standard output
- * @param bytes - what to write
- * @returns bytes that were taken; 0 if nobody reads
+ * @param bytes - bytes to write
+ * @returns number of bytes written; 0 if standard output is full or closed
  */
 export function writeWithoutWaiting (descriptor: number, bytes: Buffer): number {
-  // Node.js makes a pipe non-blocking when it opens the stream, and only then.
+  // Accessing process.stdout opens the stream; only then does Node.js make a pipe non-blocking.
   if (!process.stdout.writable) return 0
   try {
     return writeSync(descriptor, bytes)
   } catch {
-    // Full, or closed by whoever read it: the process ends, and there is nowhere left to say so.
+    // Standard output is full, or its reader has closed it. The process is ending, so the error can't be reported anywhere.
     return 0
   }
 }
