--- a/packages/daemon/src/lib/AdminServer.ts
+++ b/packages/daemon/src/lib/AdminServer.ts
@@ -12,8 +12,8 @@
 type Handler = (request: IncomingMessage, response: ServerResponse) => unknown
 
 /**
- * Starts the admin server. Its routes are loaded on the first request, since they import many
- * modules that a host does not need for serving.
+ * Starts the admin server. Its routes are loaded on the first request, since they load much of the
+ * Node.js runtime that a host does not need for serving.
  *
  * @param host - IP address to listen on
  * @param port - port, 0 for any free port
