--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -69,11 +69,11 @@
   /** Addresses of control hosts that may know the group, as of now. */
   contacts (): readonly string[]
   /** Opens what operators call on this platform. */
-  openOperatorEdge (sites: SiteService, telemetry: Telemetry): Promise<OperatorEdge>
+  openOperatorApi (sites: SiteService, telemetry: Telemetry): Promise<OperatorApi>
 }
 
 /** What operators call. */
-export interface OperatorEdge {
+export interface OperatorApi {
   readonly address: string
   close (): Promise<void>
 }
@@ -187,7 +187,7 @@
   const contacts = (): readonly string[] => platform?.contacts() ?? settings.join
   const keeper = new GroupKeeper(raft, rpc, contacts, settings.minimumVoters, telemetry)
   keeper.run().catch(fail)
-  const operators = await platform?.openOperatorEdge(service, telemetry)
+  const operators = await platform?.openOperatorApi(service, telemetry)
   const startedAt = performance.now()
   const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_MS)
   const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRE_MS)
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -26,7 +26,7 @@
   constructor (ports: Partial<LoadBoardPorts> = {}) {
     this.task = new LoadBoardTask({
       probe: {
-        answers: async () => {
+        isResponsive: async () => {
           this.questions += 1
           return await Promise.resolve(this.isAlive)
         },
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -25,7 +25,7 @@
    * @param service - that it belongs to
    * @returns whether it gave any answer, good or bad, in good time
    */
-  answers (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
+  isResponsive (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
 
   /**
    * @param endpoint - whom to ask
@@ -117,7 +117,7 @@
 
   async #ask (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
     const service = this.ports.service(endpoint.service)
-    const hasAnswered = service === undefined || await this.ports.probe?.answers(endpoint, service) === true
+    const hasAnswered = service === undefined || await this.ports.probe?.isResponsive(endpoint, service) === true
     const change = this.#silence.recordProbeResult(incarnation, hasAnswered, performance.now())
     if (change !== undefined) this.#note(change)
   }
--- a/apps/entry/src/lib/GracefulShutdown.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -6,7 +6,7 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import { admitWhileStopping } from '@eelgrassmux/policy/limits/admitWhileStopping'
+import { admitDuringShutdown } from '@eelgrassmux/policy/limits/admitDuringShutdown'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** Time limits of a shutdown. */
@@ -103,7 +103,7 @@
    */
   admits ({ remainingMs, expectedMs }: RequestTimeEstimate): boolean {
     if (!this.isStopping) return true
-    return admitWhileStopping({ leftMs: this.#leftMs, remainingMs, expectedMs, isBalancerLagOver: this.sinceSignalMs >= this.#lagMs })
+    return admitDuringShutdown({ timeToKillMs: this.#leftMs, remainingMs, expectedMs, hasBalancerLagElapsed: this.sinceSignalMs >= this.#lagMs })
   }
 
   /**
