--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -234,7 +234,7 @@
     }
     if (this.request.route.kind !== 'stream') endpoint.observeLatency(attempt.ageMs)
     this.#end()
-    if (this.ports.telemetry.keepsStory(this.request.id)) {
+    if (this.ports.telemetry.isSampled(this.request.id)) {
       this.#logEnd('answered', { status: head.status, endpoint: endpoint.id, ...describePlacement(attempt.choice, this.request, this.#prompt, this.#times.firstEventMs) })
     }
     this.#relay.complete()
@@ -399,6 +399,6 @@
 
   #logDecision<Event extends DecisionEvent> (event: Event, details: DecisionFields<Event>): void {
     const { route, service, siteVersion } = this.request
-    this.ports.telemetry.decided(event, this.request.id, { route: route.name, service: service.name, siteVersion, ...details })
+    this.ports.telemetry.logDecision(event, this.request.id, { route: route.name, service: service.name, siteVersion, ...details })
   }
 }
--- a/packages/daemon/src/lib/CompiledBundle.test.ts
+++ b/packages/daemon/src/lib/CompiledBundle.test.ts
@@ -18,26 +18,26 @@
 
   afterEach(() => { rmSync(folder, { recursive: true }) })
 
-  it('runs without kept code, and with it', () => {
+  it('runs with and without cached code', () => {
     const first = new CompiledBundle<Program>(path)
     expect(first.compiledAnew).toBe('missing')
     expect(first.run().answer()).toBe('one/')
-    first.keep()
+    first.saveCompiledCode()
     const second = new CompiledBundle<Program>(path)
     expect(second.compiledAnew).toBeUndefined()
     expect(second.run().answer()).toBe('one/')
   })
 
-  it('never runs code that was kept of another source', () => {
-    new CompiledBundle<Program>(path).keep()
+  it('never runs cached code of a different source', () => {
+    new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(path, 'exports.answer = () => "a longer program"')
     const changed = new CompiledBundle<Program>(path)
     expect(changed.compiledAnew).toBe('rejected')
     expect(changed.run().answer()).toBe('a longer program')
   })
 
-  it('runs when what was kept is damaged', () => {
-    new CompiledBundle<Program>(path).keep()
+  it('runs if the cached code is damaged', () => {
+    new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(`${path}.compiled`, 'damaged')
     expect(new CompiledBundle<Program>(path).run().answer()).toBe('one/')
   })
--- a/packages/daemon/src/lib/WorkGate.ts
+++ b/packages/daemon/src/lib/WorkGate.ts
@@ -1,29 +1,30 @@
 /**
- * Counts work under way and closes for new work at a planned stop.
+ * Counts work in progress, and rejects new work once a graceful stop has closed the gate.
  *
- * Work that began before the gate closed is always finished: `whenIdle` resolves
- * only after the last of it has ended.
+ * Work that began before the gate closed always finishes: `whenIdle` resolves only
+ * after all of it has ended.
  */
 import { assertInvariant } from '@eelgrassmux/schema/invariant'
 
-/** One piece of work that a planned stop waits for. */
+/** One unit of work that a graceful stop waits for. */
 export interface WorkTicket {
-  /** Ends the work; further calls do nothing. */
+  /** Marks the work as ended; further calls have no effect. */
   end (): void
 }
 
-/** Gate of one process. */
+/** Tracks the work of one process. */
 export class WorkGate {
   #isClosed = false
-  #underWay = 0
+  #activeCount = 0
   readonly #idleWaiters: Array<() => void> = []
-  /** Work belongs to the generation in which it began; each wait for what is under way starts a new one. */
+  /** Generation of new work; each call of `whenCurrentWorkEnds` starts a new generation. */
   #generation = 0
-  #earlier = 0
+  /** Work in progress of earlier generations. */
+  #earlierCount = 0
   readonly #earlierWaiters: Array<() => void> = []
 
   get isClosed (): boolean { return this.#isClosed }
-  get underWay (): number { return this.#underWay }
+  get activeCount (): number { return this.#activeCount }
 
   /**
    * Begins new work.
@@ -35,9 +36,9 @@
   }
 
   /**
-   * Begins work that belongs to work already under way, such as recording its outcome.
+   * Begins work that belongs to work in progress, such as recording its outcome.
    *
-   * @returns a ticket, also after the gate was closed
+   * @returns a ticket, even if the gate is closed
    */
   beginFollowUp (): WorkTicket {
     return this.#begin()
@@ -46,16 +47,16 @@
   /** Closes the gate for new work. */
   close (): void {
     this.#isClosed = true
-    this.#settle()
+    this.#wakeWaiters()
   }
 
-  /** Resolves when all work that is under way now has ended; other work may have begun meanwhile. */
-  async whenPresentEnds (): Promise<void> {
+  /** Resolves when all work that is in progress now has ended; it does not wait for work that begins later. */
+  async whenCurrentWorkEnds (): Promise<void> {
     this.#generation += 1
-    this.#earlier = this.#underWay
+    this.#earlierCount = this.#activeCount
     await new Promise<void>(resolve => {
       this.#earlierWaiters.push(resolve)
-      this.#settle()
+      this.#wakeWaiters()
     })
   }
 
@@ -63,31 +64,31 @@
   async whenIdle (): Promise<void> {
     await new Promise<void>(resolve => {
       this.#idleWaiters.push(resolve)
-      this.#settle()
+      this.#wakeWaiters()
     })
   }
 
   #begin (): WorkTicket {
-    this.#underWay += 1
+    this.#activeCount += 1
     const generation = this.#generation
     let isOpen = true
     return {
       end: () => {
         if (!isOpen) return
         isOpen = false
-        this.#underWay -= 1
-        if (generation < this.#generation) this.#earlier -= 1
-        assertInvariant(this.#underWay >= 0, 'graceful-stop', () => 'more work ended than began')
-        this.#settle()
+        this.#activeCount -= 1
+        if (generation < this.#generation) this.#earlierCount -= 1
+        assertInvariant(this.#activeCount >= 0, 'graceful-stop', () => 'more work ended than began')
+        this.#wakeWaiters()
       }
     }
   }
 
-  #settle (): void {
-    if (this.#earlier === 0) {
+  #wakeWaiters (): void {
+    if (this.#earlierCount === 0) {
       for (const wake of this.#earlierWaiters.splice(0)) wake()
     }
-    if (!this.#isClosed || this.#underWay > 0) return
+    if (!this.#isClosed || this.#activeCount > 0) return
     for (const wake of this.#idleWaiters.splice(0)) wake()
   }
 }
--- a/packages/rpc/src/lib/datagrams/datagramFrame.ts
+++ b/packages/rpc/src/lib/datagrams/datagramFrame.ts
@@ -1,26 +1,28 @@
-/** What stands in front of every datagram: the kind of question, and which one it is. */
+/** Header of every datagram: the method's kind, and the sequence number of the request. */
 
-/** Bytes of the frame: the kind, and a number of four bytes. */
+/** Size of the header in bytes: one for the kind, four for the sequence number. */
 const FRAME_BYTES = 5
 
-/** Numbers of questions wrap around here. */
+/** Sequence numbers wrap around at this value. */
 export const SEQUENCE_RANGE = 2 ** 32
 
-/** A datagram taken apart. */
+/** A decoded datagram. */
 export interface DatagramFrame {
   readonly kind: number
-  /** Chosen by who asks, and repeated in the answer. */
+  /** Chosen by the client, and copied to the response. */
   readonly sequence: number
   readonly payload: Buffer
 }
 
 /**
- * @param kind - of the question
- * @param sequence - of the question
- * @param payload - its message, or that of its answer
+ * Encodes a datagram.
+ *
+ * @param kind - kind of the method
+ * @param sequence - sequence number of the request
+ * @param payload - encoded request or response
  * @returns the datagram
  */
-export function frameDatagram (kind: number, sequence: number, payload: Uint8Array): Buffer {
+export function encodeFrame (kind: number, sequence: number, payload: Uint8Array): Buffer {
   const bytes = Buffer.allocUnsafe(FRAME_BYTES + payload.length)
   bytes.writeUInt8(kind, 0)
   bytes.writeUInt32BE(sequence, 1)
@@ -29,10 +31,12 @@
 }
 
 /**
+ * Decodes a datagram.
+ *
  * @param bytes - a datagram
- * @returns its parts, or undefined if it is too short for a frame
+ * @returns its header and payload, or undefined if it is too short for a header
  */
-export function readFrame (bytes: Buffer): DatagramFrame | undefined {
+export function decodeFrame (bytes: Buffer): DatagramFrame | undefined {
   if (bytes.length < FRAME_BYTES) return undefined
   return { kind: bytes.readUInt8(0), sequence: bytes.readUInt32BE(1), payload: bytes.subarray(FRAME_BYTES) }
 }
--- a/packages/telemetry/src/lib/BoundedLogWriter.test.ts
+++ b/packages/telemetry/src/lib/BoundedLogWriter.test.ts
@@ -16,7 +16,7 @@
     vi.useRealTimers()
   })
 
-  it('never waits for a sink that takes nothing, holds a bounded amount, and says later what it dropped', () => {
+  it('never waits for a blocked sink, buffers a bounded amount, and later reports dropped lines', () => {
     vi.useFakeTimers()
     let finish: (() => void) | undefined
     const written: string[] = []
@@ -38,7 +38,7 @@
     vi.useRealTimers()
   })
 
-  it('tries again when the sink is full for a moment, and loses nothing', () => {
+  it('retries when the sink is full, and loses no lines', () => {
     vi.useFakeTimers()
     let calls = 0
     let text = ''
@@ -59,8 +59,8 @@
     vi.useRealTimers()
   })
 
-  describe('before the process ends', () => {
-    it('writes what waits, also what came during a write', async () => {
+  describe('flush', () => {
+    it('writes buffered lines, including those added during a write', async () => {
       const written: string[] = []
       let finish: () => void = () => {}
       const writer = new BoundedLogWriter((bytes, done) => {
@@ -78,17 +78,17 @@
       expect(written.join('')).toBe('during\nlast\n')
     })
 
-    it('gives up on a reader that takes nothing', async () => {
+    it('stops waiting at the limit if nobody reads', async () => {
       const writer = new BoundedLogWriter(() => {})
       writer.write('unread')
       await writer.flush(1)
     })
   })
 
-  describe('at the end of the process', () => {
+  describe('flushSync', () => {
     const dropped = (count: number): string => `dropped ${count}`
 
-    it('writes what waits, and nothing after that', () => {
+    it('writes buffered lines, and ignores later ones', () => {
       vi.useFakeTimers()
       let text = ''
       const writer = new BoundedLogWriter((bytes, done) => {
@@ -100,14 +100,14 @@
       })
       writer.write('first line')
       writer.write('second line')
-      writer.writeOut()
+      writer.flushSync()
       writer.write('third line')
       vi.advanceTimersByTime(1000)
       expect(text).toBe('first line\nsecond line\n')
       vi.useRealTimers()
     })
 
-    it('begins with what a full sink has not taken, and says what was dropped', () => {
+    it('first writes what a full sink has not accepted, and reports dropped lines', () => {
       vi.useFakeTimers()
       let text = ''
       let calls = 0
@@ -127,24 +127,24 @@
       vi.advanceTimersByTime(60)
       writer.write('second line')
       writer.write('x'.repeat(1_000_000))
-      writer.writeOut()
+      writer.flushSync()
       vi.advanceTimersByTime(1000)
       expect(text).toBe('first line\nsecond line\ndropped 1\n')
       vi.useRealTimers()
     })
 
-    it('gives up when nothing is taken', () => {
+    it('stops when the sink accepts no bytes', () => {
       let calls = 0
       const writer = new BoundedLogWriter(undefined, dropped, () => {
         calls += 1
         return 0
       })
       writer.write('line')
-      writer.writeOut()
+      writer.flushSync()
       expect(calls).toBe(1)
     })
 
-    it('leaves to the thread pool what that is writing', () => {
+    it('does not repeat a batch that the thread pool is writing', () => {
       vi.useFakeTimers()
       let text = ''
       const writer = new BoundedLogWriter(() => {}, dropped, bytes => {
@@ -154,7 +154,7 @@
       writer.write('first line')
       vi.advanceTimersByTime(60)
       writer.write('second line')
-      writer.writeOut()
+      writer.flushSync()
       expect(text).toBe('second line\n')
       vi.useRealTimers()
     })
