--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -69,11 +69,11 @@
   /** Addresses of control hosts that may know the group, as of now. */
   contacts (): readonly string[]
   /** Opens what operators call on this platform. */
-  openOperatorEdge (sites: SiteService, telemetry: Telemetry): Promise<OperatorEdge>
+  openOperatorApi (sites: SiteService, telemetry: Telemetry): Promise<OperatorApi>
 }
 
 /** What operators call. */
-export interface OperatorEdge {
+export interface OperatorApi {
   readonly address: string
   close (): Promise<void>
 }
@@ -134,12 +134,12 @@
       controlServer.notify()
       stores?.siteChanged()
     },
-    roleChanged: (role, term) => { telemetry.stateChanged('role-changed', { role, term }) },
+    roleChanged: (role, term) => { telemetry.logStateChange('role-changed', { role, term }) },
     commandDecided: ({ isTaken, term, formation }) => {
       const { membershipIndex, voters, needed } = formation
-      telemetry.stateChanged(isTaken ? 'commands-taken' : 'commands-held-back', { term, membershipIndex, voters, needed })
+      telemetry.logStateChange(isTaken ? 'commands-taken' : 'commands-held-back', { term, membershipIndex, voters, needed })
     },
-    lostWhileClosing: error => { telemetry.fault('write-lost-while-closing', { message: String(error) }) },
+    lostWhileClosing: error => { telemetry.logFault('write-lost-while-closing', { message: String(error) }) },
     fail
   }, Date.now)
   const hosts = new HostTable(settings.freshnessMs)
@@ -182,12 +182,12 @@
   rollout?.start()
   if (isFounder(settings, core)) {
     await raft.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
-    telemetry.stateChanged('group-founded', { replica: replicaId, address: self.address })
+    telemetry.logStateChange('group-founded', { replica: replicaId, address: self.address })
   }
   const contacts = (): readonly string[] => platform?.contacts() ?? settings.join
   const keeper = new GroupKeeper(raft, rpc, contacts, settings.minimumVoters, telemetry)
   keeper.run().catch(fail)
-  const operators = await platform?.openOperatorEdge(service, telemetry)
+  const operators = await platform?.openOperatorApi(service, telemetry)
   const startedAt = performance.now()
   const shardTimer = setInterval(() => { void assignShards(raft, hosts, settings, startedAt) }, SHARD_PLAN_MS)
   const expireTimer = setInterval(() => { if (core.role === 'leader') void raft.propose({ kind: 'expire' }) }, EXPIRE_MS)
--- a/apps/control/src/lib/endpoints/EndpointListTask.test.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.test.ts
@@ -5,7 +5,7 @@
 import { RejectedEntries, rejectEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { EndpointListTask, type EndpointSource } from './EndpointListTask.js'
-import type { EndpointReading } from './EndpointRegister.js'
+import type { EndpointListing } from './EndpointRegistry.js'
 
 /** Longer than any test, so that only watchers make the task read. */
 const NEVER_MS = 2 ** 30
@@ -24,18 +24,18 @@
   limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 }
 }
 
-const whole = (...endpoints: ListedEndpoint[]): EndpointReading => ({ endpoints, rejected: [], incompleteBecause: undefined })
+const whole = (...endpoints: ListedEndpoint[]): EndpointListing => ({ endpoints, rejected: [], incompleteBecause: undefined })
 
 /** Reads one scripted list for each turn. */
 class ScriptedList implements EndpointSource {
   readonly task: EndpointListTask
   readonly telemetry = new Telemetry('test')
 
-  constructor (private readonly readings: Array<EndpointReading | undefined>) {
+  constructor (private readonly readings: Array<EndpointListing | undefined>) {
     this.task = new EndpointListTask(this, NEVER_MS, () => SITE, new RejectedEntries(this.telemetry), this.telemetry)
   }
 
-  async list (): Promise<Result<EndpointReading, { readonly kind: string }>> {
+  async list (): Promise<Result<EndpointListing, { readonly kind: string }>> {
     const reading = this.readings.shift()
     return reading === undefined ? fail({ kind: 'unreachable' }) : succeed(reading)
   }
--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -6,32 +6,32 @@
  * and sends on what changed.
  */
 import { EventEmitter } from 'node:events'
-import type { HeldModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
+import type { LoadedModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { Result } from '@eelgrassmux/schema/Result'
 import { rejectEntry, type RejectedEntries, type RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { endpointsOfSite } from './endpointsOfSite.js'
-import { EndpointRegister, type EndpointReading, type EndpointRestart } from './EndpointRegister.js'
+import { EndpointRegistry, type EndpointListing, type EndpointRestart } from './EndpointRegistry.js'
 
 /** Where the list comes from. */
 export interface EndpointSource {
   /** @returns what could be read of the list, or why there was no answer */
-  list (): Promise<Result<EndpointReading, { readonly kind: string }>>
+  list (): Promise<Result<EndpointListing, { readonly kind: string }>>
 }
 
 /** What this host knows of an endpoint beyond the list. */
 export interface EndpointOverlay {
   /** Start of the incarnation of which it is known, as in the list. */
   readonly startedAtMs: number | undefined
-  readonly models: readonly HeldModel[]
+  readonly models: readonly LoadedModel[]
   readonly isBusy: boolean
 }
 
 /** Keeps the newest list. */
 export class EndpointListTask {
   readonly #changes = new EventEmitter()
-  readonly #register = new EndpointRegister()
+  readonly #register = new EndpointRegistry()
   #overlays = new Map<string, EndpointOverlay>()
   #endpoints: readonly ListedEndpoint[] = []
   #fingerprint = ''
@@ -128,11 +128,11 @@
     }
   }
 
-  #take (reading: EndpointReading, now: number): void {
+  #take (reading: EndpointListing, now: number): void {
     if (reading.incompleteBecause === undefined) this.#readAt = now
     this.#logRestarts(this.#register.take(reading))
     this.#publish()
-    this.rejected.note('endpoint-list', [...reading.rejected, ...this.#strangers()], now)
+    this.rejected.record('endpoint-list', [...reading.rejected, ...this.#strangers()], now)
   }
 
   #strangers (): RejectedEntry[] {
@@ -141,14 +141,14 @@
   }
 
   #logRestarts (restarts: readonly EndpointRestart[]): void {
-    for (const { id, startedAtMs } of restarts) this.telemetry.stateChanged('endpoint-restarted', { endpoint: id, startedAtMs })
+    for (const { id, startedAtMs } of restarts) this.telemetry.logStateChange('endpoint-restarted', { endpoint: id, startedAtMs })
   }
 
   #noteReachable (lostBecause: string | undefined): void {
     const isReachable = lostBecause === undefined
     if (isReachable === this.#isReachable) return
     this.#isReachable = isReachable
-    this.telemetry.stateChanged(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: lostBecause ?? '' })
+    this.telemetry.logStateChange(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: lostBecause ?? '' })
   }
 
   #publish (): void {
@@ -159,7 +159,7 @@
     this.#endpoints = endpoints
     this.#version += 1
     const leaving = endpoints.filter(endpoint => endpoint.isLeaving).length
-    this.telemetry.stateChanged('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
+    this.telemetry.logStateChange('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
     this.#changes.emit('change')
   }
 }
--- a/apps/control/src/lib/endpoints/EndpointRegister.ts
+++ b/apps/control/src/lib/endpoints/EndpointRegistry.ts
@@ -4,7 +4,7 @@
 import type { RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
 
 /** What one reading of the list brought. */
-export interface EndpointReading {
+export interface EndpointListing {
   readonly endpoints: readonly ListedEndpoint[]
   /** Entries that name no endpoint to use. */
   readonly rejected: readonly RejectedEntry[]
@@ -28,7 +28,7 @@
  * Keeps, for each id, the entry of the latest start. The list lags, so an entry of an
  * earlier start tells only where the endpoint is.
  */
-export class EndpointRegister {
+export class EndpointRegistry {
   #listed = new Map<string, ListedEndpoint>()
   readonly #starts = new Map<string, number>()
 
@@ -41,7 +41,7 @@
    * @param reading - of the list
    * @returns endpoints that have started again since the last reading
    */
-  take (reading: EndpointReading): EndpointRestart[] {
+  take (reading: EndpointListing): EndpointRestart[] {
     const restarts = reading.endpoints.flatMap(({ id, startedAtMs }) => this.observeStart(id, startedAtMs) ?? [])
     const before = this.#listed
     this.#listed = reading.incompleteBecause === undefined ? new Map() : new Map(before)
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -10,7 +10,7 @@
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import { UnresponsiveEndpointDetector, type ResponsivenessChange } from '@eelgrassmux/routing/load/UnresponsiveEndpointDetector'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
-import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
+import { exchangeLoadReport, sendLoadReport } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { ReplicatedService } from '@eelgrassmux/schema/site/siteSchema'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -25,7 +25,7 @@
    * @param service - that it belongs to
    * @returns whether it gave any answer, good or bad, in good time
    */
-  answers (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
+  isResponsive (endpoint: ListedEndpoint, service: ReplicatedService): Promise<boolean>
 
   /**
    * @param endpoint - whom to ask
@@ -60,12 +60,12 @@
 
   /** @param datagrams - where to register */
   register (datagrams: DatagramServer): void {
-    datagrams.handle(tellLoad, report => {
+    datagrams.handle(sendLoadReport, report => {
       this.#board.observe(report, performance.now())
       this.#watch()
       return undefined
     })
-    datagrams.handle(askLoad, report => {
+    datagrams.handle(exchangeLoadReport, report => {
       this.#board.observe(report, performance.now())
       this.#watch()
       return this.#answer(report.host)
@@ -117,14 +117,14 @@
 
   async #ask (incarnation: string, endpoint: ListedEndpoint): Promise<void> {
     const service = this.ports.service(endpoint.service)
-    const hasAnswered = service === undefined || await this.ports.probe?.answers(endpoint, service) === true
+    const hasAnswered = service === undefined || await this.ports.probe?.isResponsive(endpoint, service) === true
     const change = this.#silence.recordProbeResult(incarnation, hasAnswered, performance.now())
     if (change !== undefined) this.#note(change)
   }
 
   #note ({ endpoint, isUnresponsive }: ResponsivenessChange): void {
     const work = this.#board.totals(performance.now()).work.find(entry => entry.endpoint === endpoint)
-    this.ports.telemetry.stateChanged(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
+    this.ports.telemetry.logStateChange(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
       endpoint, inFlight: work?.inFlight ?? 0, lastByteAgoMs: Math.round(work?.lastByteAgoMs ?? -1), avoiders: work?.avoiders ?? 0
     })
   }
--- a/apps/control/src/lib/quarantine/QuarantineTask.test.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.test.ts
@@ -40,7 +40,7 @@
       endpoints: () => [...this.listed.values()],
       service: () => service,
       probe: {
-        answers: async () => await Promise.resolve(true),
+        isResponsive: async () => await Promise.resolve(true),
         hasCrashed: async ({ id }) => {
           this.asked.push(id)
           return await Promise.resolve(this.hasCrashed)
--- a/apps/control/src/lib/rollout/RolloutTask.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.ts
@@ -134,7 +134,7 @@
     if (isTakenOver) this.#waitsOutUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
     this.#hasClaimed = true
     const outcome = await this.raft.propose({ kind: 'claim-orders', holder: { replicaId: core.self.id, term: core.term } })
-    this.telemetry.stateChanged('order-right-claimed', {
+    this.telemetry.logStateChange('order-right-claimed', {
       term: core.term, outcome: outcome.kind, previous: present?.replicaId ?? '', waitMs: isTakenOver ? this.orderLeaseMs : 0
     })
     return false
@@ -172,7 +172,7 @@
         : 'refused'
       // An answer that comes after leadership has ended belongs to no plan.
       if (this.#isLeading) this.#plan.observeOrder(order, outcome, performance.now())
-      this.telemetry.stateChanged('weights-ordered', {
+      this.telemetry.logStateChange('weights-ordered', {
         endpoint: order.endpoint.id, model: order.model, version: order.version, expectedOrders: order.expectedOrders, outcome, isConfirmed
       })
     }))
--- a/apps/control/src/lib/rollout/rolloutEngines.test.ts
+++ b/apps/control/src/lib/rollout/rolloutEngines.test.ts
@@ -4,7 +4,7 @@
 import { RejectedEntries } from '@eelgrassmux/telemetry/RejectedEntries'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { EndpointListTask } from '../endpoints/EndpointListTask.js'
-import type { EndpointReading } from '../endpoints/EndpointRegister.js'
+import type { EndpointListing } from '../endpoints/EndpointRegistry.js'
 import type { RaftTask } from '../raft/RaftTask.js'
 import type { EngineStatus, LoadOrder, OrderOutcome } from './RolloutPlan.js'
 import { RolloutTask, type RolloutBackend } from './RolloutTask.js'
@@ -83,7 +83,7 @@
 
   it('tells the list of a start that an engine states, and orders only engines of the site', async () => {
     const telemetry = new Telemetry('test')
-    const reading: EndpointReading = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
+    const reading: EndpointListing = { endpoints: [listed('b', 'unknown'), listed('a', 'pool')], rejected: [], incompleteBecause: undefined }
     const list = new EndpointListTask({ list: async () => succeed(reading) }, LIST_MS, () => RAFT.state.sites.put?.site, new RejectedEntries(telemetry), telemetry)
     const engines = new RestartedEngines()
     const task = new RolloutTask(RAFT, list, engines, 'host', 3000, telemetry)
--- a/apps/control/src/lib/stores/StoreTask.ts
+++ b/apps/control/src/lib/stores/StoreTask.ts
@@ -168,7 +168,7 @@
     // Nobody is told to fetch them any more, whatever becomes of the call.
     follower.forget(dead)
     const answer = await this.source.free(follower.store, dead, follower.epoch, clockMs + FREE_WITHIN_MS)
-    this.telemetry.stateChanged('stored-parts-freed', {
+    this.telemetry.logStateChange('stored-parts-freed', {
       store: follower.store.name, parts: dead.length, outcome: answer.ok ? 'done' : answer.error.kind
     })
   }
--- a/apps/soak/src/control.ts
+++ b/apps/soak/src/control.ts
@@ -25,7 +25,7 @@
     stores: new NoStores(),
     probe: new HttpEndpointProbe(),
     contacts: () => settings.join,
-    openOperatorEdge: async sites => await openOperatorEdge(settings.host, sites, settings.forgetful)
+    openOperatorApi: async sites => await openOperatorEdge(settings.host, sites, settings.forgetful)
   })
 }
 
--- a/apps/soak/src/lib/HttpEndpointProbe.ts
+++ b/apps/soak/src/lib/HttpEndpointProbe.ts
@@ -11,7 +11,7 @@
 
 /** {@link EndpointProbe} over the stand-ins. */
 export class HttpEndpointProbe implements EndpointProbe {
-  async answers (endpoint: ListedEndpoint): Promise<boolean> {
+  async isResponsive (endpoint: ListedEndpoint): Promise<boolean> {
     return await this.#statusOf(endpoint) !== undefined
   }
 
--- a/apps/soak/src/lib/HttpEndpointSource.ts
+++ b/apps/soak/src/lib/HttpEndpointSource.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { z } from 'zod'
 import type { EndpointSource } from '@eelgrassmux/control/endpoints/EndpointListTask'
-import type { EndpointReading } from '@eelgrassmux/control/endpoints/EndpointRegister'
+import type { EndpointListing } from '@eelgrassmux/control/endpoints/EndpointRegistry'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import { listedEndpointSchema } from '@eelgrassmux/schema/site/listedEndpoint'
 
@@ -14,7 +14,7 @@
   /** @param address - where the list is served */
   constructor (private readonly address: string) {}
 
-  async list (): Promise<Result<EndpointReading, { readonly kind: string }>> {
+  async list (): Promise<Result<EndpointListing, { readonly kind: string }>> {
     try {
       const response = await request(`http://${this.address}/`, { signal: AbortSignal.timeout(TIMEOUT_MS) })
       const endpoints = z.array(listedEndpointSchema).parse(await response.body.json())
--- a/apps/soak/src/lib/operatorEdge.ts
+++ b/apps/soak/src/lib/operatorEdge.ts
@@ -1,7 +1,7 @@
 /** What the soak's operator calls on a control host. */
 import { H3, serve } from 'h3'
 import { z } from 'zod'
-import type { OperatorEdge } from '@eelgrassmux/control/ControlDaemon'
+import type { OperatorApi } from '@eelgrassmux/control/ControlDaemon'
 import type { SiteService } from '@eelgrassmux/control/site/SiteService'
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
 
@@ -19,7 +19,7 @@
  * @param sites - what it leads to
  * @param isForgetful - acknowledge sites and weights without putting them in force
  */
-export async function openOperatorEdge (host: string, sites: SiteService, isForgetful: boolean): Promise<OperatorEdge> {
+export async function openOperatorEdge (host: string, sites: SiteService, isForgetful: boolean): Promise<OperatorApi> {
   const app = new H3()
   app.put('/site', async event => {
     const source = new Uint8Array(await event.req.arrayBuffer())
