--- a/apps/directory/src/lib/DirectoryDaemon.ts
+++ b/apps/directory/src/lib/DirectoryDaemon.ts
@@ -14,7 +14,7 @@
 import { ControlLink } from '@eelgrassmux/view/ControlLink'
 import { DirectoryServer } from './DirectoryServer.js'
 import { EngineWatcher } from './EngineWatcher.js'
-import { handOver } from './HandOver.js'
+import { handOverShards } from './handOverShards.js'
 import { StoreWatcher } from './StoreWatcher.js'
 
 const settingsSchema = z.object({
@@ -75,7 +75,7 @@
     const eventCounter = telemetry.labelledCounter('cache_event_reads_total', 'Reads of cache events by outcome', 'outcome')
     const objectCounter = telemetry.labelledCounter('stored_object_events_total', 'Events in the life of stored objects', 'event')
     link.onChange(() => {
-      this.#takeShards(link, address)
+      this.#updateShards(link, address)
       void this.#watchBackends(link, outcome => { eventCounter.count(outcome) }, event => { objectCounter.count(event) })
     })
     link.start()
@@ -84,7 +84,7 @@
       isReady: () => link.isReady(),
       drain: async () => {
         link.stopAccepting()
-        const isTaken = await handOver(this.#rpc, () => link.shards, address)
+        const isTaken = await handOverShards(this.#rpc, () => link.shards, address)
         telemetry.stateChanged('shards-handed-over', { isTaken })
       },
       close: async () => {
@@ -106,16 +106,16 @@
     return owned?.epoch === epoch && link.isFresh() ? owned : undefined
   }
 
-  #takeShards (link: ControlLink, address: string): void {
+  #updateShards (link: ControlLink, address: string): void {
     const now = performance.now()
     link.shards.forEach(({ owner, epoch }, shard) => {
-      const present = this.#shards.get(shard)
+      const current = this.#shards.get(shard)
       if (owner !== address) {
-        if (present !== undefined) this.telemetry.stateChanged('shard-lost', { shard })
+        if (current !== undefined) this.telemetry.stateChanged('shard-lost', { shard })
         this.#shards.delete(shard)
         return
       }
-      if (present?.epoch === epoch) return
+      if (current?.epoch === epoch) return
       const { readLeaseMs, writeReservationMs, freshnessMs } = this.settings
       const shardSettings = { ...DEFAULT_SHARD_SETTINGS, readLeaseMs, writeReservationMs, ownershipMs: freshnessMs }
       this.#shards.set(shard, new DirectoryShard(shard, epoch, shardSettings, now))
--- a/apps/directory/src/lib/DirectoryServer.ts
+++ b/apps/directory/src/lib/DirectoryServer.ts
@@ -9,7 +9,7 @@
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
 
 /** What the server needs from around it. */
-export interface DirectoryPorts {
+export interface DirectoryContext {
   /** The shard, if this directory owns it under that epoch and ownership is confirmed as of now. */
   shard (shard: number, epoch: number): DirectoryShard | undefined
   storeIsUp (store: string): boolean
@@ -22,61 +22,61 @@
 export class DirectoryServer {
   /**
    * @param residency - what engines hold
-   * @param ports - surroundings
-   * @param answers - counts answers by kind
+   * @param context - surroundings
+   * @param answerCounter - counts answers by kind
    */
   constructor (
     private readonly residency: ResidencyIndex,
-    private readonly ports: DirectoryPorts,
-    private readonly answers: LabelledCounter
+    private readonly context: DirectoryContext,
+    private readonly answerCounter: LabelledCounter
   ) {}
 
   /** @param server - where to register all methods */
   register (server: RpcServer): void {
     server.handle(lookupBlocks, async ({ shard, epoch, keys }) => {
       const resident = [...this.residency.leadingBlocks(keys)].map(([engine, blocks]) => ({ engine, blocks }))
-      const owned = this.#owned(shard, epoch)
+      const owned = this.#ownedShard(shard, epoch)
       if (owned === undefined) return WRONG_OWNER
-      this.answers.count('lookup')
+      this.answerCounter.count('lookup')
       const stored = []
       for (const { object, coversTo } of owned.coverage(keys)) {
-        if (!this.ports.storeIsUp(object.store)) break
+        if (!this.context.storeIsUp(object.store)) break
         stored.push({ object: { ...object, keys: [...object.keys] }, coversTo })
       }
       return { kind: 'found', resident, stored }
     })
     server.handle(leaseObjects, async ({ shard, epoch, keys, fromBlock }) => {
-      const owned = this.#owned(shard, epoch)
+      const owned = this.#ownedShard(shard, epoch)
       if (owned === undefined) return WRONG_OWNER
-      this.answers.count('lease')
+      this.answerCounter.count('lease')
       const leases = owned.lease(keys, fromBlock, randomUUID, performance.now())
       return { kind: 'leased', leases: leases.map(lease => ({ ...lease, object: { ...lease.object, keys: [...lease.object.keys] } })) }
     })
     server.handle(reserveWrite, async ({ shard, epoch, customer, store, keys, tokensPerBlock }) => {
-      const owned = this.#owned(shard, epoch)
+      const owned = this.#ownedShard(shard, epoch)
       if (owned === undefined) return WRONG_OWNER
       const reservation = owned.reserve({ customer, store, keys, tokensPerBlock }, performance.now())
-      this.answers.count(reservation === undefined ? 'nothing-to-write' : 'reserve')
+      this.answerCounter.count(reservation === undefined ? 'nothing-to-write' : 'reserve')
       if (reservation === undefined) return NOTHING_TO_WRITE
       return { kind: 'reserved' as const, name: reservation.name, keys: [...reservation.keys], tokens: reservation.tokens, firstBlock: reservation.firstBlock }
     })
     server.handle(publishWrite, async ({ shard, epoch, name, bytes, sha256, tier }) => {
-      const owned = this.#owned(shard, epoch)
+      const owned = this.#ownedShard(shard, epoch)
       if (owned === undefined) return WRONG_OWNER
       const published = owned.publish(name, { bytes, sha256, tier }, performance.now())
-      this.answers.count(published ? 'publish' : 'lapsed')
+      this.answerCounter.count(published ? 'publish' : 'lapsed')
       return { kind: published ? 'published' : 'lapsed' }
     })
     server.handle(abandonWrite, async ({ shard, epoch, name }) => {
-      this.#owned(shard, epoch)?.abandon(name)
-      this.answers.count('abandon')
+      this.#ownedShard(shard, epoch)?.abandon(name)
+      this.answerCounter.count('abandon')
       return {}
     })
   }
 
-  #owned (shard: number, epoch: number): DirectoryShard | undefined {
-    const owned = this.ports.shard(shard, epoch)
-    if (owned === undefined) this.answers.count('wrong-owner')
+  #ownedShard (shard: number, epoch: number): DirectoryShard | undefined {
+    const owned = this.context.shard(shard, epoch)
+    if (owned === undefined) this.answerCounter.count('wrong-owner')
     return owned
   }
 }
--- a/apps/directory/src/lib/EngineWatcher.ts
+++ b/apps/directory/src/lib/EngineWatcher.ts
@@ -3,33 +3,33 @@
 import type { ResidencyIndex } from '@eelgrassmux/cache/ResidencyIndex'
 
 /** Interval between reads of events, in milliseconds. */
-const POLL_MS = 150
+const POLL_INTERVAL_MS = 150
 
 /** Counts what each read brought. */
-export type WatchCounter = (outcome: 'events' | 'gap' | 'restart' | 'silent') => void
+export type CountReadOutcome = (outcome: 'events' | 'gap' | 'restart' | 'silent') => void
 
 /** Owns the connection to one engine. */
 export class EngineWatcher {
   #incarnation: number | undefined
   #timer: NodeJS.Timeout | undefined
-  #busy = false
+  #isPolling = false
 
   /**
    * @param engine - endpoint name
    * @param client - its adapter
    * @param index - where its blocks are noted
-   * @param counter - counts outcomes
+   * @param countOutcome - counts outcomes
    */
   constructor (
     private readonly engine: string,
     private readonly client: EngineBackend & { close (): Promise<void> },
     private readonly index: ResidencyIndex,
-    private readonly counter: WatchCounter
+    private readonly countOutcome: CountReadOutcome
   ) {}
 
   /** Starts to poll. */
   start (): void {
-    this.#timer = setInterval(() => { void this.#turn() }, POLL_MS)
+    this.#timer = setInterval(() => { void this.#poll() }, POLL_INTERVAL_MS)
   }
 
   /** Stops, forgets the engine and closes the connection. */
@@ -39,37 +39,37 @@
     await this.client.close()
   }
 
-  async #turn (): Promise<void> {
-    if (this.#busy) return
-    this.#busy = true
+  async #poll (): Promise<void> {
+    if (this.#isPolling) return
+    this.#isPolling = true
     try {
       const next = this.index.nextSequence(this.engine)
-      if (next === undefined) await this.#list()
-      else await this.#follow(next)
+      if (next === undefined) await this.#readListing()
+      else await this.#readEvents(next)
     } finally {
-      this.#busy = false
+      this.#isPolling = false
     }
   }
 
-  async #follow (next: number): Promise<void> {
+  async #readEvents (next: number): Promise<void> {
     const answer = await this.client.cacheEvents(next)
     if (!answer.ok) {
       // Its blocks are of no use while it is silent, and it may come back empty.
-      this.counter('silent')
+      this.countOutcome('silent')
       this.index.forget(this.engine)
       return
     }
     if (answer.value.incarnation !== this.#incarnation) {
-      this.counter('restart')
+      this.countOutcome('restart')
       this.index.forget(this.engine)
       return
     }
     const outcome = answer.value.kind === 'gap' ? 'gap' : this.index.apply(this.engine, answer.value.events)
     if (outcome === 'gap') this.index.forget(this.engine)
-    this.counter(outcome === 'gap' ? 'gap' : 'events')
+    this.countOutcome(outcome === 'gap' ? 'gap' : 'events')
   }
 
-  async #list (): Promise<void> {
+  async #readListing (): Promise<void> {
     const listing = await this.client.cacheListing()
     if (!listing.ok) return
     this.#incarnation = listing.value.incarnation
--- a/apps/directory/src/lib/HandOver.test.ts
+++ b/apps/directory/src/lib/handOverShards.test.ts
@@ -2,7 +2,7 @@
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import { succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { Shard } from '@eelgrassmux/state/commands'
-import { handOver } from './HandOver.js'
+import { handOverShards } from './handOverShards.js'
 
 const SELF = 'self'
 const OTHER = 'other'
@@ -11,10 +11,10 @@
 class NewOwner {
   readonly answers: string[] = []
 
-  constructor (private readonly lateBy: number) {}
+  constructor (private readonly wrongAnswerCount: number) {}
 
   async call (address: string, _method: unknown, { shard, epoch }: { shard: number, epoch: number }): Promise<Result<{ kind: string }, never>> {
-    const kind = this.answers.length < this.lateBy ? 'wrong-owner' : 'found'
+    const kind = this.answers.length < this.wrongAnswerCount ? 'wrong-owner' : 'found'
     this.answers.push(`${address} ${shard} of ${epoch}: ${kind}`)
     return succeed({ kind })
   }
@@ -29,13 +29,13 @@
       [{ owner: OTHER, epoch: 2 }, { owner: OTHER, epoch: 1 }]
     ]
     const shards = (): Shard[] => (views.length > 1 ? views.shift() : views[0]) ?? []
-    expect(await handOver(owner as unknown as RpcClient, shards, SELF)).toBe(true)
+    expect(await handOverShards(owner as unknown as RpcClient, shards, SELF)).toBe(true)
     expect(owner.answers).toEqual(['other 0 of 2: wrong-owner', 'other 0 of 2: wrong-owner', 'other 0 of 2: found'])
   })
 
   it('asks nobody if it owns nothing', async () => {
     const owner = new NewOwner(0)
-    expect(await handOver(owner as unknown as RpcClient, () => [{ owner: OTHER, epoch: 1 }], SELF)).toBe(true)
+    expect(await handOverShards(owner as unknown as RpcClient, () => [{ owner: OTHER, epoch: 1 }], SELF)).toBe(true)
     expect(owner.answers).toEqual([])
   })
 })
--- a/apps/directory/src/lib/HandOver.ts
+++ b/apps/directory/src/lib/handOverShards.ts
@@ -5,11 +5,11 @@
 import type { Shard } from '@eelgrassmux/state/commands'
 
 /** Longest wait for new owners, and interval between looks, in milliseconds. */
-const HAND_OVER_MS = 3000
-const HAND_OVER_LOOK_MS = 50
+const HAND_OVER_TIMEOUT_MS = 3000
+const POLL_INTERVAL_MS = 50
 
 /** Deadline of the question whether a new owner answers, in milliseconds. */
-const ASK_MS = 500
+const PROBE_TIMEOUT_MS = 500
 
 /**
  * Waits until other directories own all shards and answer for them, so that
@@ -21,21 +21,21 @@
  * @param address - this directory
  * @returns whether all shards were taken over; false when the wait was given up
  */
-export async function handOver (rpc: RpcClient, shards: () => readonly Shard[], address: string): Promise<boolean> {
-  const left = new Set(shards().flatMap(({ owner }, shard) => owner === address ? [shard] : []))
-  const deadline = performance.now() + HAND_OVER_MS
+export async function handOverShards (rpc: RpcClient, shards: () => readonly Shard[], address: string): Promise<boolean> {
+  const remaining = new Set(shards().flatMap(({ owner }, shard) => owner === address ? [shard] : []))
+  const deadline = performance.now() + HAND_OVER_TIMEOUT_MS
   while (performance.now() < deadline) {
-    await Promise.all([...left].map(async shard => {
-      if (await isTaken(rpc, shard, shards()[shard], address)) left.delete(shard)
+    await Promise.all([...remaining].map(async shard => {
+      if (await newOwnerAnswers(rpc, shard, shards()[shard], address)) remaining.delete(shard)
     }))
-    if (left.size === 0) return true
-    await sleep(HAND_OVER_LOOK_MS)
+    if (remaining.size === 0) return true
+    await sleep(POLL_INTERVAL_MS)
   }
   return false
 }
 
-async function isTaken (rpc: RpcClient, shard: number, present: Shard | undefined, address: string): Promise<boolean> {
-  if (present === undefined || present.owner === address || present.owner === '') return false
-  const answer = await rpc.call(present.owner, lookupBlocks, { shard, epoch: present.epoch, keys: [] }, ASK_MS)
+async function newOwnerAnswers (rpc: RpcClient, shard: number, current: Shard | undefined, address: string): Promise<boolean> {
+  if (current === undefined || current.owner === address || current.owner === '') return false
+  const answer = await rpc.call(current.owner, lookupBlocks, { shard, epoch: current.epoch, keys: [] }, PROBE_TIMEOUT_MS)
   return answer.ok && answer.value.kind === 'found'
 }
--- a/apps/eelgrassmux/src/lib/ControlClient.ts
+++ b/apps/eelgrassmux/src/lib/ControlClient.ts
@@ -19,13 +19,13 @@
   | { readonly kind: 'no-answer' }
 
 /** Under which name an operator reports. */
-const OPERATOR = 'operator'
+const OPERATOR_HOST = 'operator'
 
 /** Deadline of each call, in milliseconds. */
-const CALL_MS = 2000
+const CALL_TIMEOUT_MS = 2000
 
 /** Pause between attempts, in milliseconds. */
-const RETRY_MS = 100
+const RETRY_DELAY_MS = 100
 
 /** What a majority of control hosts know together. */
 export interface MajorityView {
@@ -53,11 +53,11 @@
     const deadline = performance.now() + this.timeoutMs
     let target: string | undefined
     for (let turn = 0; performance.now() < deadline; turn += 1) {
-      const address = target ?? this.#address(turn)
-      const answer = await this.#rpc.call(address, propose, { command }, CALL_MS)
+      const address = target ?? this.#addressOfAttempt(turn)
+      const answer = await this.#rpc.call(address, propose, { command }, CALL_TIMEOUT_MS)
       if (answer.ok && answer.value.kind === 'applied') return succeed(answer.value.result)
       target = answer.ok && answer.value.kind === 'not-leader' && answer.value.leader !== '' ? answer.value.leader : undefined
-      await sleep(RETRY_MS)
+      await sleep(RETRY_DELAY_MS)
     }
     return fail({ kind: 'uncertain' })
   }
@@ -71,7 +71,7 @@
       const next = [...contacts].filter(address => !asked.has(address))
       if (next.length === 0) break
       for (const address of next) asked.add(address)
-      const responses = await Promise.all(next.map(async address => await this.#rpc.call(address, listHosts, {}, CALL_MS)))
+      const responses = await Promise.all(next.map(async address => await this.#rpc.call(address, listHosts, {}, CALL_TIMEOUT_MS)))
       for (const response of responses) {
         if (!response.ok) continue
         answers.set(response.value.replicaId, response.value)
@@ -80,9 +80,9 @@
     }
     const newest = [...answers.values()].sort((left, right) => right.commitIndex - left.commitIndex)[0]
     const voters = new Set(newest?.voters.map(voter => voter.id))
-    const fromVoters = [...answers.values()].filter(answer => voters.has(answer.replicaId))
-    if (fromVoters.length * 2 <= voters.size) return fail({ kind: 'no-majority', answered: fromVoters.length, voters: voters.size })
-    return succeed({ answers: fromVoters, voters: voters.size })
+    const voterAnswers = [...answers.values()].filter(answer => voters.has(answer.replicaId))
+    if (voterAnswers.length * 2 <= voters.size) return fail({ kind: 'no-majority', answered: voterAnswers.length, voters: voters.size })
+    return succeed({ answers: voterAnswers, voters: voters.size })
   }
 
   /** @returns the newest configuration that a majority confirms, with its revision */
@@ -92,18 +92,18 @@
     // A member of any majority holds the newest accepted view, though it may still have to apply it.
     const newest = Math.max(...majority.value.answers.map(answer => answer.viewRevision))
     if (newest === 0) return succeed({ revision: 0, configuration: { documents: [] } })
-    const message = await this.#firstView(newest)
+    const message = await this.#readView(newest)
     if (message?.kind !== 'snapshot') return fail({ kind: 'no-answer' })
     return succeed({ revision: message.revision, configuration: { documents: message.documents } })
   }
 
   /** @returns requests that are suspected, quarantined or on probation, as a majority knows them */
-  async entries (): Promise<Result<readonly QuarantineEntryMessage[], ControlError>> {
+  async quarantineEntries (): Promise<Result<readonly QuarantineEntryMessage[], ControlError>> {
     const majority = await this.majority()
     if (!majority.ok) return majority
     const newest = Math.max(...majority.value.answers.map(answer => answer.viewRevision))
     if (newest === 0) return succeed([])
-    const message = await this.#firstView(newest)
+    const message = await this.#readView(newest)
     return message === undefined ? fail({ kind: 'no-answer' }) : succeed(message.quarantine ?? [])
   }
 
@@ -118,10 +118,10 @@
     while (performance.now() < deadline) {
       const majority = await this.majority()
       const leader = majority.ok ? leaderAddress(majority.value.answers) : undefined
-      if (leader !== undefined) await this.#rpc.call(leader, reportCrashes, { host: OPERATOR, losses: [], completed: [fingerprint] }, CALL_MS)
-      const entries = await this.entries()
+      if (leader !== undefined) await this.#rpc.call(leader, reportCrashes, { host: OPERATOR_HOST, losses: [], completed: [fingerprint] }, CALL_TIMEOUT_MS)
+      const entries = await this.quarantineEntries()
       if (entries.ok && !entries.value.some(entry => entry.fingerprint === fingerprint)) return succeed(undefined)
-      await sleep(RETRY_MS)
+      await sleep(RETRY_DELAY_MS)
     }
     return fail({ kind: 'uncertain' })
   }
@@ -138,7 +138,7 @@
     const majority = await this.majority()
     if (!majority.ok) return majority
     const leader = leaderAddress(majority.value.answers)
-    const answer = leader === undefined ? undefined : await this.#rpc.call(leader, listOrders, {}, CALL_MS)
+    const answer = leader === undefined ? undefined : await this.#rpc.call(leader, listOrders, {}, CALL_TIMEOUT_MS)
     return answer?.ok === true ? succeed(answer.value.orders) : fail({ kind: 'no-answer' })
   }
 
@@ -154,10 +154,10 @@
     while (performance.now() < deadline) {
       const majority = await this.majority()
       const leader = majority.ok ? leaderAddress(majority.value.answers) : undefined
-      const answer = leader === undefined ? undefined : await this.#rpc.call(leader, changeMembership, change, CALL_MS)
+      const answer = leader === undefined ? undefined : await this.#rpc.call(leader, changeMembership, change, CALL_TIMEOUT_MS)
       if (answer?.ok === true && answer.value.kind === 'done') return succeed(undefined)
       if (answer?.ok === true && answer.value.kind === 'refused') reason = answer.value.reason
-      await sleep(RETRY_MS)
+      await sleep(RETRY_DELAY_MS)
     }
     return fail({ kind: 'refused', reason })
   }
@@ -171,12 +171,12 @@
   async watch (onMessage: (message: ViewMessage) => void, signal: AbortSignal): Promise<void> {
     let known = 0
     for (let turn = 0; !signal.aborted; turn += 1) {
-      await this.#rpc.stream(this.#address(turn), watchView, { viewRevision: known }, message => {
+      await this.#rpc.stream(this.#addressOfAttempt(turn), watchView, { viewRevision: known }, message => {
         if (message.viewRevision <= known) return
         known = message.viewRevision
         onMessage(message)
       }, signal)
-      if (!signal.aborted) await sleep(RETRY_MS)
+      if (!signal.aborted) await sleep(RETRY_DELAY_MS)
     }
   }
 
@@ -185,23 +185,23 @@
     this.#rpc.close()
   }
 
-  async #firstView (atLeast: number): Promise<ViewMessage | undefined> {
+  async #readView (minimumRevision: number): Promise<ViewMessage | undefined> {
     const deadline = performance.now() + this.timeoutMs
     for (let turn = 0; performance.now() < deadline; turn += 1) {
       const abort = new AbortController()
-      const timer = setTimeout(() => { abort.abort() }, CALL_MS)
+      const timer = setTimeout(() => { abort.abort() }, CALL_TIMEOUT_MS)
       let first: ViewMessage | undefined
-      await this.#rpc.stream(this.#address(turn), watchView, { viewRevision: 0 }, message => {
+      await this.#rpc.stream(this.#addressOfAttempt(turn), watchView, { viewRevision: 0 }, message => {
         first ??= message
         abort.abort()
       }, abort.signal)
       clearTimeout(timer)
-      if (first !== undefined && first.viewRevision >= atLeast) return first
+      if (first !== undefined && first.viewRevision >= minimumRevision) return first
     }
     return undefined
   }
 
-  #address (turn: number): string {
+  #addressOfAttempt (turn: number): string {
     return this.addresses[turn % this.addresses.length] ?? ''
   }
 }
--- a/apps/eelgrassmux/src/lib/ControlCommand.ts
+++ b/apps/eelgrassmux/src/lib/ControlCommand.ts
@@ -12,8 +12,8 @@
   override async execute (): Promise<number> {
     const addresses = addressListSetting.safeParse(this.control)
     const timeoutMs = Number(this.timeout)
-    if (!addresses.success || addresses.data.length === 0) return this.complain(`--control ${addresses.error?.issues[0]?.message ?? 'names no control host'}`, EXIT_USAGE)
-    if (!Number.isInteger(timeoutMs) || timeoutMs < 1) return this.complain('--timeout-ms must be a whole number of milliseconds', EXIT_USAGE)
+    if (!addresses.success || addresses.data.length === 0) return this.printError(`--control ${addresses.error?.issues[0]?.message ?? 'names no control host'}`, EXIT_USAGE)
+    if (!Number.isInteger(timeoutMs) || timeoutMs < 1) return this.printError('--timeout-ms must be a whole number of milliseconds', EXIT_USAGE)
     const client = new ControlClient(addresses.data, timeoutMs)
     try {
       return await this.run(client, timeoutMs)
@@ -28,17 +28,17 @@
     this.context.stdout.write(`${line}\n`)
   }
 
-  protected complain (line: string, code = EXIT_FAILED): number {
+  protected printError (line: string, code = EXIT_FAILED): number {
     this.context.stderr.write(`eelgrassmux: ${line}\n`)
     return code
   }
 
-  protected complainOf (error: ControlError): number {
+  protected printControlError (error: ControlError): number {
     switch (error.kind) {
-      case 'no-majority': return this.complain(`${error.answered} of ${error.voters} control hosts answered; a majority is needed`)
-      case 'uncertain': return this.complain('no answer in time: the change may have been accepted; send it again with the same --request-id')
-      case 'refused': return this.complain(`refused: ${error.reason}`)
-      case 'no-answer': return this.complain('no control host answered')
+      case 'no-majority': return this.printError(`${error.answered} of ${error.voters} control hosts answered; a majority is needed`)
+      case 'uncertain': return this.printError('no answer in time: the change may have been accepted; send it again with the same --request-id')
+      case 'refused': return this.printError(`refused: ${error.reason}`)
+      case 'no-answer': return this.printError('no control host answered')
     }
   }
 }
--- a/apps/eelgrassmux/src/lib/QuarantineCommand.ts
+++ b/apps/eelgrassmux/src/lib/QuarantineCommand.ts
@@ -24,8 +24,8 @@
   }
 
   async #list (client: ControlClient): Promise<number> {
-    const entries = await client.entries()
-    if (!entries.ok) return this.complainOf(entries.error)
+    const entries = await client.quarantineEntries()
+    if (!entries.ok) return this.printControlError(entries.error)
     for (const { fingerprint, service, state, quarantines, leftMs } of entries.value) {
       this.print(`${fingerprint} ${service} ${state} for ${Math.round(leftMs / MILLISECONDS_PER_SECOND)} s, quarantined ${quarantines} times so far`)
     }
@@ -35,12 +35,12 @@
 
   async #lift (client: ControlClient, text: string): Promise<number> {
     const fingerprint = fingerprintSchema.safeParse(text)
-    if (!fingerprint.success) return this.complain(`--lift: ${fingerprint.error.issues[0]?.message ?? ''}`, EXIT_USAGE)
-    const entries = await client.entries()
-    if (!entries.ok) return this.complainOf(entries.error)
-    if (!entries.value.some(entry => entry.fingerprint === fingerprint.data)) return this.complain(`--lift: there is no entry on ${fingerprint.data}`)
+    if (!fingerprint.success) return this.printError(`--lift: ${fingerprint.error.issues[0]?.message ?? ''}`, EXIT_USAGE)
+    const entries = await client.quarantineEntries()
+    if (!entries.ok) return this.printControlError(entries.error)
+    if (!entries.value.some(entry => entry.fingerprint === fingerprint.data)) return this.printError(`--lift: there is no entry on ${fingerprint.data}`)
     const lifted = await client.clearRequest(fingerprint.data)
-    if (!lifted.ok) return this.complainOf(lifted.error)
+    if (!lifted.ok) return this.printControlError(lifted.error)
     this.print('lifted')
     return 0
   }
--- a/apps/eelgrassmux/src/lib/commands.ts
+++ b/apps/eelgrassmux/src/lib/commands.ts
@@ -9,9 +9,9 @@
 import type { DocumentName } from '@eelgrassmux/state/commands'
 import { newestEvacuations, type ControlClient } from './ControlClient.js'
 import { ControlCommand } from './ControlCommand.js'
-import { diffDocuments, describeDifference } from './diffDocuments.js'
+import { diffDocuments, formatDifference } from './diffDocuments.js'
 import { EXIT_FAILED } from './exitCodes.js'
-import { waitInForce } from './waitInForce.js'
+import { waitUntilInForce } from './waitUntilInForce.js'
 
 /** Reads and checks configuration files; complains with line and field. */
 async function readDocuments (files: readonly string[], complain: (line: string) => void): Promise<ConfigurationDocument[] | undefined> {
@@ -47,13 +47,13 @@
   freshness = Option.String('--freshness-ms', '3000', { env: 'EELGRASSMUX_FRESHNESS_MS', description: 'lease of the hosts, in milliseconds' })
 
   protected override async run (client: ControlClient, timeoutMs: number): Promise<number> {
-    const documents = await readDocuments(this.files, line => { this.complain(line) })
+    const documents = await readDocuments(this.files, line => { this.printError(line) })
     if (documents === undefined) return EXIT_FAILED
     const current = await client.configuration()
-    if (!current.ok) return this.complainOf(current.error)
+    if (!current.ok) return this.printControlError(current.error)
     const removes = this.replace ? removedNames(current.value.configuration.documents, documents) : []
     const problem = checkReferences({ documents: mergeDocuments(current.value.configuration.documents, documents, removes) })[0]
-    if (problem !== undefined) return this.complain(`${problem.field}: ${problem.message}`)
+    if (problem !== undefined) return this.printError(`${problem.field}: ${problem.message}`)
     if (this.dryRun) {
       this.print('the configuration is valid')
       return 0
@@ -66,23 +66,23 @@
       upserts: documents,
       removes
     })
-    if (!result.ok) return this.complainOf(result.error)
+    if (!result.ok) return this.printControlError(result.error)
     switch (result.value.kind) {
       case 'accepted':
         this.print(`accepted as revision ${result.value.revision}`)
         return this.wait ? await this.#wait(client, timeoutMs) : 0
-      case 'revision-conflict': return this.complain(`the newest revision is ${result.value.revision}, not ${expectedRevision ?? ''}`)
-      case 'invalid': return this.complain(result.value.message)
-      default: return this.complain(`unexpected answer ${result.value.kind}`)
+      case 'revision-conflict': return this.printError(`the newest revision is ${result.value.revision}, not ${expectedRevision ?? ''}`)
+      case 'invalid': return this.printError(result.value.message)
+      default: return this.printError(`unexpected answer ${result.value.kind}`)
     }
   }
 
   async #wait (client: ControlClient, timeoutMs: number): Promise<number> {
     const majority = await client.majority()
-    if (!majority.ok) return this.complainOf(majority.error)
+    if (!majority.ok) return this.printControlError(majority.error)
     const view = Math.max(...majority.value.answers.map(answer => answer.viewRevision))
-    const outcome = await waitInForce(client, view, Number(this.freshness), timeoutMs)
-    if (outcome.kind === 'waiting') return this.complain(`not yet in force on: ${outcome.behind.join(', ')}`)
+    const outcome = await waitUntilInForce(client, view, Number(this.freshness), timeoutMs)
+    if (outcome.kind === 'waiting') return this.printError(`not yet in force on: ${outcome.behind.join(', ')}`)
     this.print(`in force on ${outcome.hosts} hosts after ${Math.round(outcome.elapsedMs)} ms`)
     return 0
   }
@@ -110,7 +110,7 @@
 
   protected override async run (client: ControlClient): Promise<number> {
     const current = await client.configuration()
-    if (!current.ok) return this.complainOf(current.error)
+    if (!current.ok) return this.printControlError(current.error)
     this.print(`# revision ${current.value.revision}`)
     for (const document of current.value.configuration.documents) {
       if (this.kind === undefined || document.kind === this.kind) this.print(`---\n${stringify(document).trimEnd()}`)
@@ -126,12 +126,12 @@
   files = Option.Rest({ required: 1 })
 
   protected override async run (client: ControlClient): Promise<number> {
-    const documents = await readDocuments(this.files, line => { this.complain(line) })
+    const documents = await readDocuments(this.files, line => { this.printError(line) })
     if (documents === undefined) return EXIT_FAILED
     const current = await client.configuration()
-    if (!current.ok) return this.complainOf(current.error)
+    if (!current.ok) return this.printControlError(current.error)
     const differences = diffDocuments(current.value.configuration.documents, documents)
-    for (const difference of differences) this.print(describeDifference(difference))
+    for (const difference of differences) this.print(formatDifference(difference))
     if (differences.length === 0) this.print('no differences')
     return 0
   }
@@ -161,7 +161,7 @@
 
   protected override async run (client: ControlClient): Promise<number> {
     const majority = await client.majority()
-    if (!majority.ok) return this.complainOf(majority.error)
+    if (!majority.ok) return this.printControlError(majority.error)
     const seen = new Set<string>()
     const reports = majority.value.answers.flatMap(answer => answer.hosts).sort((left, right) => left.ageMs - right.ageMs)
     for (const report of reports) {
@@ -185,12 +185,12 @@
     if (this.remove !== undefined || this.transfer) {
       const change = this.remove === undefined ? { kind: 'transfer' as const } : { kind: 'remove' as const, id: this.remove }
       const changed = await client.changeMembership(change)
-      if (!changed.ok) return this.complainOf(changed.error)
+      if (!changed.ok) return this.printControlError(changed.error)
       this.print('done')
       return 0
     }
     const majority = await client.majority()
-    if (!majority.ok) return this.complainOf(majority.error)
+    if (!majority.ok) return this.printControlError(majority.error)
     const newest = [...majority.value.answers].sort((left, right) => right.commitIndex - left.commitIndex)[0]
     for (const voter of newest?.voters ?? []) this.print(`voter ${voter.id} ${voter.address}${voter.id === newest?.leader ? ' leader' : ''}`)
     for (const learner of newest?.learners ?? []) this.print(`learner ${learner.id} ${learner.address}`)
@@ -206,7 +206,7 @@
 
   protected override async run (client: ControlClient): Promise<number> {
     const orders = await client.orders()
-    if (!orders.ok) return this.complainOf(orders.error)
+    if (!orders.ok) return this.printControlError(orders.error)
     for (const order of orders.value) {
       this.print(`${order.endpoint} ${order.model} runs ${order.runningVersion === '' ? '?' : order.runningVersion} wants ${order.desiredVersion} ${order.state}`)
     }
@@ -223,7 +223,7 @@
   protected override async run (client: ControlClient): Promise<number> {
     const findings: string[] = []
     const majority = await client.majority()
-    if (!majority.ok) return this.complainOf(majority.error)
+    if (!majority.ok) return this.printControlError(majority.error)
     const { answers, voters } = majority.value
     if (answers.length < voters) findings.push(`${voters - answers.length} of ${voters} control hosts do not answer`)
     if (!answers.some(answer => answer.leader !== '')) findings.push('there is no leader')
@@ -239,11 +239,11 @@
     }
     for (const { dataCentre, isEvacuated } of newestEvacuations(answers).orders) if (isEvacuated) findings.push(`data centre ${dataCentre} is evacuated`)
     const orders = await client.orders()
-    const unsettled = orders.ok ? orders.value.filter(order => order.state !== 'as-desired') : []
-    for (const order of unsettled) findings.push(`engine ${order.endpoint} is ${order.state}`)
-    const entries = await client.entries()
-    const heldBack = entries.ok ? entries.value.filter(({ state }) => state === 'quarantined') : []
-    for (const { fingerprint, service } of heldBack) findings.push(`request ${fingerprint} of ${service} is quarantined: it crashed the endpoints that ran it`)
+    const pendingOrders = orders.ok ? orders.value.filter(order => order.state !== 'as-desired') : []
+    for (const order of pendingOrders) findings.push(`engine ${order.endpoint} is ${order.state}`)
+    const entries = await client.quarantineEntries()
+    const quarantinedEntries = entries.ok ? entries.value.filter(({ state }) => state === 'quarantined') : []
+    for (const { fingerprint, service } of quarantinedEntries) findings.push(`request ${fingerprint} of ${service} is quarantined: it crashed the endpoints that ran it`)
     for (const finding of findings) this.print(finding)
     if (findings.length === 0) this.print('all is well')
     return findings.length === 0 ? 0 : EXIT_FAILED
--- a/apps/eelgrassmux/src/lib/diffDocuments.ts
+++ b/apps/eelgrassmux/src/lib/diffDocuments.ts
@@ -11,14 +11,14 @@
 }
 
 /**
- * @param present - documents in force
- * @param wanted - documents that would be applied
+ * @param current - documents in force
+ * @param desired - documents that would be applied
  * @returns what applying would add or change
  */
-export function diffDocuments (present: readonly ConfigurationDocument[], wanted: readonly ConfigurationDocument[]): DocumentDifference[] {
-  const byName = new Map(present.map(document => [`${document.kind}/${document.name}`, document]))
+export function diffDocuments (current: readonly ConfigurationDocument[], desired: readonly ConfigurationDocument[]): DocumentDifference[] {
+  const byName = new Map(current.map(document => [`${document.kind}/${document.name}`, document]))
   const differences: DocumentDifference[] = []
-  for (const document of wanted) {
+  for (const document of desired) {
     const name = `${document.kind}/${document.name}`
     const old = byName.get(name)
     if (old === undefined) {
@@ -36,7 +36,7 @@
  * @param difference - one difference
  * @returns a line for operators
  */
-export function describeDifference (difference: DocumentDifference): string {
+export function formatDifference (difference: DocumentDifference): string {
   if (difference.change === 'added') return `+ ${difference.name}`
   return `~ ${difference.name}: ${difference.fields.join(', ')}`
 }
--- a/apps/eelgrassmux/src/lib/trace/LossReports.ts
+++ b/apps/eelgrassmux/src/lib/trace/DroppedLineReports.ts
@@ -2,16 +2,16 @@
 import type { TracedLine } from './TracedLine.js'
 
 /** Events of lines that count lines not written. */
-const LOSS_EVENTS = ['log-lines-dropped', 'request-lines-left-out'] as const
+const DROP_REPORT_EVENTS = ['log-lines-dropped', 'request-lines-left-out'] as const
 
 /** From when to when something happened, in milliseconds since 1970. */
-export interface Span {
+export interface TimeRange {
   readonly from: number
   readonly to: number
 }
 
 /** Lines of one process that were not written. */
-export interface Loss {
+export interface DroppedLines {
   readonly file: string
   readonly host: string | undefined
   readonly event: string
@@ -19,20 +19,20 @@
 }
 
 /** Collects the reports of all processes. */
-export class LossReports {
+export class DroppedLineReports {
   readonly #reports: TracedLine[] = []
 
   /**
    * @param text - text of a line
    * @returns whether it may hold a report
    */
-  static mayHold (text: string): boolean {
-    return LOSS_EVENTS.some(event => text.includes(event))
+  static mayContainReport (text: string): boolean {
+    return DROP_REPORT_EVENTS.some(event => text.includes(event))
   }
 
   /** @param lines - lines that may be reports */
   add (lines: readonly TracedLine[]): void {
-    this.#reports.push(...lines.filter(({ event }) => LOSS_EVENTS.some(loss => loss === event)))
+    this.#reports.push(...lines.filter(({ event }) => DROP_REPORT_EVENTS.some(reportEvent => reportEvent === event)))
   }
 
   /**
@@ -40,24 +40,24 @@
    * before, so the first one after the request counts as well.
    *
    * @param lines - the request's; none if it was not found, so that all reports count
-   * @param span - when it was there
+   * @param range - when it was there
    * @returns losses of the hosts that it met
    */
-  near (lines: readonly TracedLine[], span: Span): Loss[] {
-    const hosts = new Set(lines.map(hostOf))
-    const losses = new Map<string, Loss>()
-    const isCovered = new Set<string>()
+  affecting (lines: readonly TracedLine[], range: TimeRange): DroppedLines[] {
+    const hosts = new Set(lines.map(hostKey))
+    const droppedByKey = new Map<string, DroppedLines>()
+    const completedKeys = new Set<string>()
     for (const report of this.#reports) {
-      const key = JSON.stringify([hostOf(report), report.event])
-      if (lines.length > 0 && (!hosts.has(hostOf(report)) || report.time < span.from || isCovered.has(key))) continue
-      if (report.time > span.to) isCovered.add(key)
+      const key = JSON.stringify([hostKey(report), report.event])
+      if (lines.length > 0 && (!hosts.has(hostKey(report)) || report.time < range.from || completedKeys.has(key))) continue
+      if (report.time > range.to) completedKeys.add(key)
       const { file, host, event, fields } = report
-      losses.set(key, { file, host, event, lines: (losses.get(key)?.lines ?? 0) + Number(fields['count'] ?? 0) })
+      droppedByKey.set(key, { file, host, event, lines: (droppedByKey.get(key)?.lines ?? 0) + Number(fields['count'] ?? 0) })
     }
-    return [...losses.values()]
+    return [...droppedByKey.values()]
   }
 }
 
-function hostOf ({ file, host }: TracedLine): string {
+function hostKey ({ file, host }: TracedLine): string {
   return JSON.stringify([file, host])
 }
--- a/apps/eelgrassmux/src/lib/trace/RequestTrace.ts
+++ b/apps/eelgrassmux/src/lib/trace/RequestTrace.ts
@@ -1,8 +1,8 @@
 /** The story of one request, from the collected log files of several processes. */
 import { CrashedEndpoints } from './CrashedEndpoints.js'
-import { LossReports, type Loss, type Span } from './LossReports.js'
+import { DroppedLineReports, type DroppedLines, type TimeRange } from './DroppedLineReports.js'
 import { readLogFile } from './readLogFile.js'
-import { processOf, type TracedLine } from './TracedLine.js'
+import { processKey, type TracedLine } from './TracedLine.js'
 
 /** Why a file could not be read. */
 export interface UnreadableFile {
@@ -12,29 +12,29 @@
 
 /** Collects what the files say of a request. */
 export class RequestTrace {
-  readonly #ofRequest: TracedLine[] = []
-  readonly #around: TracedLine[] = []
-  readonly #losses = new LossReports()
+  readonly #requestLines: TracedLine[] = []
+  readonly #contextLines: TracedLine[] = []
+  readonly #droppedLineReports = new DroppedLineReports()
   readonly #unreadableFiles: UnreadableFile[] = []
-  #cutLines = 0
+  #truncatedLineCount = 0
 
   /** @param requestId - the caller's id */
   constructor (private readonly requestId: string) {}
 
   /** Lines in order of time; lines of one moment in the order in which they were written. */
   get lines (): readonly TracedLine[] {
-    return [...this.#ofRequest, ...this.#around].sort((left, right) => compareTimes(left, right) || compareFiles(left, right))
+    return [...this.#requestLines, ...this.#contextLines].sort((left, right) => compareTimes(left, right) || compareFiles(left, right))
   }
 
   /** Whether any line of the request was found. */
-  get isFound (): boolean { return this.#ofRequest.length > 0 }
+  get isFound (): boolean { return this.#requestLines.length > 0 }
 
   /** Lines that name the request but are cut. */
-  get cutLines (): number { return this.#cutLines }
+  get truncatedLineCount (): number { return this.#truncatedLineCount }
 
   /** Lines that were not written and may be of the request. */
-  get losses (): readonly Loss[] {
-    return this.#losses.near(this.#ofRequest, this.#span())
+  get droppedLines (): readonly DroppedLines[] {
+    return this.#droppedLineReports.affecting(this.#requestLines, this.#timeRange())
   }
 
   get unreadableFiles (): readonly UnreadableFile[] { return this.#unreadableFiles }
@@ -46,12 +46,12 @@
    */
   async readRequest (files: readonly string[]): Promise<void> {
     const name = `"request":${JSON.stringify(this.requestId)}`
-    const isWanted = (text: string): boolean => text.includes(name) || LossReports.mayHold(text)
+    const isWanted = (text: string): boolean => text.includes(name) || DroppedLineReports.mayContainReport(text)
     await this.#readAll(files, isWanted, (text, lines) => {
-      const mine = lines.filter(line => line.request === this.requestId)
-      if (mine.length === 0 && text.includes(name)) this.#cutLines += 1
-      this.#ofRequest.push(...mine)
-      this.#losses.add(lines)
+      const ownLines = lines.filter(line => line.request === this.requestId)
+      if (ownLines.length === 0 && text.includes(name)) this.#truncatedLineCount += 1
+      this.#requestLines.push(...ownLines)
+      this.#droppedLineReports.add(lines)
     })
   }
 
@@ -60,13 +60,13 @@
    *
    * @param marginMs - how long before and after the request counts, in milliseconds
    */
-  async readAround (marginMs: number): Promise<void> {
-    const processes = new Set(this.#ofRequest.map(processOf))
-    const files = [...new Set(this.#ofRequest.map(({ file }) => file))]
-    const { from, to } = this.#span()
+  async readContext (marginMs: number): Promise<void> {
+    const processes = new Set(this.#requestLines.map(processKey))
+    const files = [...new Set(this.#requestLines.map(({ file }) => file))]
+    const { from, to } = this.#timeRange()
     await this.#readAll(files, text => !text.includes('"request":'), (_text, lines) => {
-      this.#around.push(...lines.filter(line =>
-        line.request === undefined && processes.has(processOf(line)) && line.time >= from - marginMs && line.time <= to + marginMs))
+      this.#contextLines.push(...lines.filter(line =>
+        line.request === undefined && processes.has(processKey(line)) && line.time >= from - marginMs && line.time <= to + marginMs))
     })
   }
 
@@ -77,30 +77,30 @@
    * @param files - paths, also of processes that the request did not meet
    * @param marginMs - how long before and after the request counts for others, in milliseconds
    */
-  async readCrashes (files: readonly string[], marginMs: number): Promise<void> {
-    const ends = new CrashedEndpoints(this.#ofRequest)
-    const { from, to } = this.#span()
-    const span = { from: from - marginMs, to: to + marginMs }
-    await this.#readAll(files, text => ends.mayConcern(text), (_text, lines) => {
-      const known = new Set(this.#around.map(placeOf))
-      this.#around.push(...lines.filter(line => line.request !== this.requestId && !known.has(placeOf(line)) && ends.concerns(line, span)))
+  async readRelatedCrashes (files: readonly string[], marginMs: number): Promise<void> {
+    const crashedEndpoints = new CrashedEndpoints(this.#requestLines)
+    const { from, to } = this.#timeRange()
+    const range = { from: from - marginMs, to: to + marginMs }
+    await this.#readAll(files, text => crashedEndpoints.mayBeRelated(text), (_text, lines) => {
+      const known = new Set(this.#contextLines.map(lineKey))
+      this.#contextLines.push(...lines.filter(line => line.request !== this.requestId && !known.has(lineKey(line)) && crashedEndpoints.isRelated(line, range)))
     })
   }
 
   /** A request that was refused at once has one line, which says how long it had been there. */
-  #span (): Span {
-    const times = this.#ofRequest.filter(({ time }) => !Number.isNaN(time))
-    const begins = times.map(({ time, fields }) => typeof fields['elapsedMs'] === 'number' ? time - fields['elapsedMs'] : time)
+  #timeRange (): TimeRange {
+    const times = this.#requestLines.filter(({ time }) => !Number.isNaN(time))
+    const startTimes = times.map(({ time, fields }) => typeof fields['elapsedMs'] === 'number' ? time - fields['elapsedMs'] : time)
     return {
-      from: begins.reduce((least, time) => Math.min(least, time), Number.POSITIVE_INFINITY),
+      from: startTimes.reduce((least, time) => Math.min(least, time), Number.POSITIVE_INFINITY),
       to: times.reduce((most, { time }) => Math.max(most, time), Number.NEGATIVE_INFINITY)
     }
   }
 
-  async #readAll (files: readonly string[], isWanted: (text: string) => boolean, take: (text: string, lines: readonly TracedLine[]) => void): Promise<void> {
+  async #readAll (files: readonly string[], isWanted: (text: string) => boolean, collect: (text: string, lines: readonly TracedLine[]) => void): Promise<void> {
     for (const file of files) {
       try {
-        for await (const { text, lines } of readLogFile(file, isWanted)) take(text, lines)
+        for await (const { text, lines } of readLogFile(file, isWanted)) collect(text, lines)
       } catch (error) {
         this.#unreadableFiles.push({ file, reason: error instanceof Error ? error.message : String(error) })
       }
@@ -108,7 +108,7 @@
   }
 }
 
-function placeOf ({ file, lineNumber }: TracedLine): string {
+function lineKey ({ file, lineNumber }: TracedLine): string {
   return `${file}:${lineNumber}`
 }
 
--- a/apps/eelgrassmux/src/lib/trace/TraceCommand.ts
+++ b/apps/eelgrassmux/src/lib/trace/TraceCommand.ts
@@ -2,7 +2,7 @@
 import { stat } from 'node:fs/promises'
 import { Command, Option } from 'clipanion'
 import { EXIT_FAILED, EXIT_USAGE } from '../exitCodes.js'
-import { describeLines } from './describeLines.js'
+import { formatLines } from './formatLines.js'
 import { RequestTrace } from './RequestTrace.js'
 
 /** Puts the lines of one request in order. Reads files only, no control host. */
@@ -26,50 +26,50 @@
 
   override async execute (): Promise<number> {
     const marginMs = Number(this.margin)
-    if (this.id === '') return this.#complain('ID must not be empty', EXIT_USAGE)
-    if (this.margin === '' || !Number.isInteger(marginMs) || marginMs < 0) return this.#complain('--margin-ms must be a whole number of milliseconds', EXIT_USAGE)
+    if (this.id === '') return this.#printError('ID must not be empty', EXIT_USAGE)
+    if (this.margin === '' || !Number.isInteger(marginMs) || marginMs < 0) return this.#printError('--margin-ms must be a whole number of milliseconds', EXIT_USAGE)
     if (this.around || this.ends) {
-      const pipe = await findPipe(this.files)
-      if (pipe !== undefined) return this.#complain(`--${this.around ? 'around' : 'ends'} reads files twice, and ${pipe} is no regular file`, EXIT_USAGE)
+      const singlePassFile = await findSinglePassFile(this.files)
+      if (singlePassFile !== undefined) return this.#printError(`--${this.around ? 'around' : 'ends'} reads files twice, and ${singlePassFile} is no regular file`, EXIT_USAGE)
     }
     const trace = new RequestTrace(this.id)
     const files = [...new Set(this.files)]
     await trace.readRequest(files)
-    if (this.around && trace.isFound) await trace.readAround(marginMs)
-    if (this.ends && trace.isFound) await trace.readCrashes(files, marginMs)
+    if (this.around && trace.isFound) await trace.readContext(marginMs)
+    if (this.ends && trace.isFound) await trace.readRelatedCrashes(files, marginMs)
     this.#print(trace)
-    this.#printDoubts(trace)
-    if (!trace.isFound) return this.#complain(`no line of request ${this.id} in ${this.files.length} files`, EXIT_FAILED)
+    this.#printWarnings(trace)
+    if (!trace.isFound) return this.#printError(`no line of request ${this.id} in ${this.files.length} files`, EXIT_FAILED)
     return trace.unreadableFiles.length === 0 ? 0 : EXIT_FAILED
   }
 
   #print (trace: RequestTrace): void {
     const texts = this.json
       ? trace.lines.map(({ time, ...line }) => JSON.stringify({ time: Number.isNaN(time) ? null : new Date(time).toISOString(), ...line }))
-      : describeLines(trace.lines, this.id)
+      : formatLines(trace.lines, this.id)
     for (const text of texts) this.context.stdout.write(`${text}\n`)
   }
 
   /** Whatever may be missing from what was printed. */
-  #printDoubts (trace: RequestTrace): void {
-    for (const { file, reason } of trace.unreadableFiles) this.#complain(`${file} can't be read: ${reason}`, EXIT_FAILED)
-    if (trace.cutLines > 0) this.#complain(`${trace.cutLines} lines name the request but are cut`, EXIT_FAILED)
-    for (const { file, host, event, lines } of trace.losses) {
-      this.#complain(`${[host, file].filter(part => part !== undefined).join(' ')}: ${lines} lines were not written (${event}), perhaps of this request`, EXIT_FAILED)
+  #printWarnings (trace: RequestTrace): void {
+    for (const { file, reason } of trace.unreadableFiles) this.#printError(`${file} can't be read: ${reason}`, EXIT_FAILED)
+    if (trace.truncatedLineCount > 0) this.#printError(`${trace.truncatedLineCount} lines name the request but are cut`, EXIT_FAILED)
+    for (const { file, host, event, lines } of trace.droppedLines) {
+      this.#printError(`${[host, file].filter(part => part !== undefined).join(' ')}: ${lines} lines were not written (${event}), perhaps of this request`, EXIT_FAILED)
     }
   }
 
-  #complain (line: string, code: number): number {
+  #printError (line: string, code: number): number {
     this.context.stderr.write(`eelgrassmux: ${line}\n`)
     return code
   }
 }
 
 /** @returns the first of the files that can be read only once; files that are not there are left to the reading */
-async function findPipe (files: readonly string[]): Promise<string | undefined> {
+async function findSinglePassFile (files: readonly string[]): Promise<string | undefined> {
   for (const file of files) {
-    const isPipe = await stat(file).then(found => !found.isFile() && !found.isDirectory(), () => false)
-    if (isPipe) return file
+    const isSinglePass = await stat(file).then(found => !found.isFile() && !found.isDirectory(), () => false)
+    if (isSinglePass) return file
   }
   return undefined
 }
--- a/apps/eelgrassmux/src/lib/trace/TracedLine.ts
+++ b/apps/eelgrassmux/src/lib/trace/TracedLine.ts
@@ -14,6 +14,6 @@
  * @param line - a line
  * @returns a key that lines of one process share
  */
-export function processOf ({ file, host, program }: TracedLine): string {
+export function processKey ({ file, host, program }: TracedLine): string {
   return JSON.stringify([file, host, program])
 }
--- a/apps/eelgrassmux/src/lib/trace/parseLogLines.ts
+++ b/apps/eelgrassmux/src/lib/trace/parseLogLines.ts
@@ -2,7 +2,7 @@
 import { logLineSchema, type LogLine } from './LogLine.js'
 
 /** Every log line begins so. */
-const BEGINNING = '{"context":'
+const LOG_LINE_START = '{"context":'
 
 /** What a line of a file holds. */
 export interface ParsedText {
@@ -17,11 +17,11 @@
  * @returns the log lines that are whole
  */
 export function parseLogLines (text: string): ParsedText {
-  const [prefix = '', ...pieces] = text.split(BEGINNING)
-  return { prefix, lines: pieces.flatMap(piece => parseOne(BEGINNING + piece)) }
+  const [prefix = '', ...pieces] = text.split(LOG_LINE_START)
+  return { prefix, lines: pieces.flatMap(piece => parseLogLine(LOG_LINE_START + piece)) }
 }
 
-function parseOne (text: string): LogLine[] {
+function parseLogLine (text: string): LogLine[] {
   const parsed = logLineSchema.safeParse(parseJson(text))
   return parsed.success ? [parsed.data] : []
 }
--- a/apps/eelgrassmux/src/lib/trace/readLogFile.ts
+++ b/apps/eelgrassmux/src/lib/trace/readLogFile.ts
@@ -5,7 +5,7 @@
 import type { TracedLine } from './TracedLine.js'
 
 /** What one line of the file gave. */
-export interface ReadLines {
+export interface ParsedFileLine {
   readonly text: string
   readonly lines: readonly TracedLine[]
 }
@@ -16,7 +16,7 @@
  * @returns for each wanted line of the file the log lines in it, none if it is cut or other text
  * @throws the file system's error if it can't be read
  */
-export async function * readLogFile (file: string, isWanted: (text: string) => boolean): AsyncGenerator<ReadLines> {
+export async function * readLogFile (file: string, isWanted: (text: string) => boolean): AsyncGenerator<ParsedFileLine> {
   for await (const { number, text } of readTextLines(file)) {
     if (!isWanted(text)) continue
     const { prefix, lines } = parseLogLines(text)
--- a/apps/eelgrassmux/src/lib/trace/readTextLines.ts
+++ b/apps/eelgrassmux/src/lib/trace/readTextLines.ts
@@ -2,13 +2,13 @@
 import { createReadStream } from 'node:fs'
 
 /** Longest line that is kept, in characters: log lines have some hundred; what is longer is no log line, or many cut ones. */
-const LONGEST_LINE = 256 * 1024
+const MAX_LINE_LENGTH = 256 * 1024
 
 /** One line of a file. */
 export interface TextLine {
   /** From 1. */
   readonly number: number
-  /** Without its end; cut after {@link LONGEST_LINE}. */
+  /** Without its end; cut after {@link MAX_LINE_LENGTH}. */
   readonly text: string
 }
 
@@ -19,14 +19,14 @@
  */
 export async function * readTextLines (path: string): AsyncGenerator<TextLine> {
   let number = 0
-  let rest = ''
+  let remainder = ''
   for await (const chunk of createReadStream(path, { encoding: 'utf8' })) {
-    const parts = (rest + String(chunk)).split('\n')
-    rest = (parts.pop() ?? '').slice(0, LONGEST_LINE)
+    const parts = (remainder + String(chunk)).split('\n')
+    remainder = (parts.pop() ?? '').slice(0, MAX_LINE_LENGTH)
     for (const text of parts) {
       number += 1
-      yield { number, text: text.slice(0, LONGEST_LINE) }
+      yield { number, text: text.slice(0, MAX_LINE_LENGTH) }
     }
   }
-  if (rest !== '') yield { number: number + 1, text: rest }
+  if (remainder !== '') yield { number: number + 1, text: remainder }
 }
--- a/apps/eelgrassmux/src/lib/waitInForce.ts
+++ b/apps/eelgrassmux/src/lib/waitUntilInForce.ts
@@ -4,10 +4,10 @@
 import type { ControlClient, MajorityView } from './ControlClient.js'
 
 /** Interval between looks, in milliseconds. */
-const LOOK_MS = 100
+const POLL_INTERVAL_MS = 100
 
 /** Outcome of waiting. */
-export type InForce =
+export type InForceOutcome =
   | { readonly kind: 'in-force', readonly hosts: number, readonly elapsedMs: number }
   | { readonly kind: 'waiting', readonly behind: readonly string[] }
 
@@ -23,7 +23,7 @@
  * @param timeoutMs - how long to wait
  * @returns whether it is in force, or who is behind
  */
-export async function waitInForce (client: ControlClient, viewRevision: number, freshnessMs: number, timeoutMs: number): Promise<InForce> {
+export async function waitUntilInForce (client: ControlClient, viewRevision: number, freshnessMs: number, timeoutMs: number): Promise<InForceOutcome> {
   const startedAt = performance.now()
   let behind: string[] = ['no majority of control hosts answered']
   while (performance.now() < startedAt + timeoutMs) {
@@ -32,11 +32,11 @@
       const hosts = liveHosts(majority.value, freshnessMs)
       behind = [
         ...hosts.filter(host => host.viewRevision < viewRevision).map(host => host.host),
-        ...youngVoters(majority.value, freshnessMs)
+        ...recentlyStartedVoters(majority.value, freshnessMs)
       ]
       if (behind.length === 0) return { kind: 'in-force', hosts: hosts.length, elapsedMs: performance.now() - startedAt }
     }
-    await sleep(LOOK_MS)
+    await sleep(POLL_INTERVAL_MS)
   }
   return { kind: 'waiting', behind }
 }
@@ -53,6 +53,6 @@
 }
 
 /** A voter that started just now may have forgotten hosts with valid leases. */
-function youngVoters ({ answers }: MajorityView, freshnessMs: number): string[] {
+function recentlyStartedVoters ({ answers }: MajorityView, freshnessMs: number): string[] {
   return answers.filter(answer => answer.uptimeMs < freshnessMs).map(answer => `control host ${answer.replicaId} started just now`)
 }
--- a/apps/load/src/lib/completionStream.ts
+++ b/apps/load/src/lib/completionStream.ts
@@ -33,7 +33,7 @@
   readonly usage?: { readonly prompt_tokens: number, readonly prompt_tokens_details: { readonly cached_tokens: number } }
 }
 
-const NOTHING: StreamedAnswer = {
+const EMPTY_ANSWER: StreamedAnswer = {
   status: 0, runId: '', text: '', tokens: 0, version: '', promptTokens: 0, cachedTokens: 0, firstTokenMs: 0, isDone: false, problem: undefined
 }
 
@@ -47,7 +47,7 @@
  * @returns what came back; status 0 if there was no answer at all
  */
 export async function streamCompletion (call: CompletionCall, signal?: AbortSignal): Promise<StreamedAnswer> {
-  return await read(`${call.url}/v1/completions`, {
+  return await readResponse(`${call.url}/v1/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${call.credential}`, 'content-type': 'application/json' },
     body: JSON.stringify({ model: call.service, prompt: call.prompt, max_tokens: call.maxTokens, stream: true }),
@@ -65,24 +65,24 @@
  * @returns what came back
  */
 export async function resumeCompletion (url: string, credential: string, runId: string, offset: number): Promise<StreamedAnswer> {
-  return await read(`${url}/v1/runs/${runId}?offset=${offset}`, { headers: { authorization: `Bearer ${credential}` } })
+  return await readResponse(`${url}/v1/runs/${runId}?offset=${offset}`, { headers: { authorization: `Bearer ${credential}` } })
 }
 
 type CallOptions = Omit<Dispatcher.RequestOptions, 'origin' | 'path' | 'method'> & { method?: Dispatcher.HttpMethod }
 
-async function read (url: string, options: CallOptions): Promise<StreamedAnswer> {
+async function readResponse (url: string, options: CallOptions): Promise<StreamedAnswer> {
   const startedAt = performance.now()
   try {
     const response = await request(url, { ...options, dispatcher: agent })
-    if (response.statusCode !== 200) return { ...NOTHING, status: response.statusCode, problem: await response.body.json() }
+    if (response.statusCode !== 200) return { ...EMPTY_ANSWER, status: response.statusCode, problem: await response.body.json() }
     return await readAnswer(response.body, response.statusCode, startedAt)
   } catch (error) {
-    return { ...NOTHING, problem: String(error) }
+    return { ...EMPTY_ANSWER, problem: String(error) }
   }
 }
 
 async function readAnswer (body: AsyncIterable<Buffer>, status: number, startedAt: number): Promise<StreamedAnswer> {
-  let answer: StreamedAnswer = { ...NOTHING, status }
+  let answer: StreamedAnswer = { ...EMPTY_ANSWER, status }
   let pending = ''
   let isError = false
   try {
--- a/apps/load/src/lib/promptText.ts
+++ b/apps/load/src/lib/promptText.ts
@@ -10,12 +10,12 @@
  * @returns its prompt
  */
 export function promptText (line: TraceLine): string {
-  const shared = filler(`${line.customer}/${line.service}`, Math.min(line.sharedTokens, line.promptTokens) * CHARACTERS_PER_TOKEN)
-  const own = filler(line.promptId, line.promptTokens * CHARACTERS_PER_TOKEN - shared.length)
+  const shared = fillerText(`${line.customer}/${line.service}`, Math.min(line.sharedTokens, line.promptTokens) * CHARACTERS_PER_TOKEN)
+  const own = fillerText(line.promptId, line.promptTokens * CHARACTERS_PER_TOKEN - shared.length)
   return shared + own
 }
 
-function filler (seed: string, length: number): string {
+function fillerText (seed: string, length: number): string {
   const parts: string[] = []
   for (let part = 0; part * HASH_CHARACTERS < length; part += 1) {
     parts.push(createHash('sha256').update(`${seed}#${part}`).digest('hex'))
--- a/apps/load/src/lib/replay.ts
+++ b/apps/load/src/lib/replay.ts
@@ -30,10 +30,10 @@
 }
 
 /** Hosts tried one after another when one refuses before anything ran, or is gone. */
-const ATTEMPTS = 3
+const MAX_ATTEMPTS = 3
 
 /** Histogram bound, in tenths of a millisecond. */
-const LONGEST = 10 * 600_000
+const MAX_TRACKABLE_TENTHS_MS = 10 * 600_000
 
 /**
  * Replays a trace to its end.
@@ -43,15 +43,15 @@
  * @returns measures
  */
 export async function replay (lines: readonly TraceLine[], target: ReplayTarget): Promise<ReplayResult> {
-  const times = histogram()
+  const times = createHistogram()
   const timesByCustomer = new Map<string, ReturnType<typeof build>>()
   const totals = { promptTokens: 0, computedTokens: 0, refused: 0, wrong: 0, retried: 0 }
   const problems: string[] = []
   const startedAt = performance.now()
-  const one = async (line: TraceLine, turn: number): Promise<void> => {
+  const replayLine = async (line: TraceLine, turn: number): Promise<void> => {
     await sleep(Math.max(0, startedAt + line.at - performance.now()))
     const prompt = promptText(line)
-    const { answer, attempts, firstTokenMs } = await ask(line, prompt, turn, target)
+    const { answer, attempts, firstTokenMs } = await completeWithRetries(line, prompt, turn, target)
     totals.retried += attempts - 1
     if (answer.status !== 200) {
       totals.refused += 1
@@ -66,11 +66,11 @@
     totals.promptTokens += answer.promptTokens
     totals.computedTokens += answer.promptTokens - answer.cachedTokens
     times.recordValue(10 * firstTokenMs)
-    const own = timesByCustomer.get(line.customer) ?? histogram()
-    timesByCustomer.set(line.customer, own)
-    own.recordValue(10 * firstTokenMs)
+    const customerTimes = timesByCustomer.get(line.customer) ?? createHistogram()
+    timesByCustomer.set(line.customer, customerTimes)
+    customerTimes.recordValue(10 * firstTokenMs)
   }
-  await Promise.all(lines.map(one))
+  await Promise.all(lines.map(replayLine))
   return {
     requests: lines.length,
     ttftP50Ms: times.getValueAtPercentile(50) / 10,
@@ -85,7 +85,7 @@
 }
 
 /** Time to first token counts from the first attempt. */
-async function ask (line: TraceLine, prompt: string, turn: number, target: ReplayTarget): Promise<{ answer: StreamedAnswer, attempts: number, firstTokenMs: number }> {
+async function completeWithRetries (line: TraceLine, prompt: string, turn: number, target: ReplayTarget): Promise<{ answer: StreamedAnswer, attempts: number, firstTokenMs: number }> {
   const startedAt = performance.now()
   for (let attempt = 1; ; attempt += 1) {
     const url = target.urls[(turn + attempt) % target.urls.length] ?? ''
@@ -95,16 +95,16 @@
     })
     const firstTokenMs = attemptedAt - startedAt + answer.firstTokenMs
     // A model answer that was cut may be asked for again: it has no effect outside.
-    const mayRetry = answer.status === 0 || (answer.status === 200 && !answer.isDone) || isStaleHost(answer)
-    if (!mayRetry || attempt >= ATTEMPTS) return { answer, attempts: attempt, firstTokenMs }
+    const mayRetry = answer.status === 0 || (answer.status === 200 && !answer.isDone) || isUnavailableHost(answer)
+    if (!mayRetry || attempt >= MAX_ATTEMPTS) return { answer, attempts: attempt, firstTokenMs }
   }
 }
 
-function isStaleHost ({ problem }: StreamedAnswer): boolean {
+function isUnavailableHost ({ problem }: StreamedAnswer): boolean {
   const type = typeof problem === 'object' && problem !== null && 'type' in problem ? String(problem.type) : ''
   return type.endsWith(':configuration-stale') || type.endsWith(':draining')
 }
 
-function histogram (): ReturnType<typeof build> {
-  return build({ lowestDiscernibleValue: 1, highestTrackableValue: LONGEST, numberOfSignificantValueDigits: 3 })
+function createHistogram (): ReturnType<typeof build> {
+  return build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_TRACKABLE_TENTHS_MS, numberOfSignificantValueDigits: 3 })
 }
--- a/apps/load/src/lib/trace.ts
+++ b/apps/load/src/lib/trace.ts
@@ -35,25 +35,25 @@
 export const TIME_COMPRESSION = 900
 
 /** Share of requests that are a prompt's first. */
-const FIRST_SHARE = 0.4
+const FIRST_REQUEST_SHARE = 0.4
 
 /**
  * Shape of the long tail of gaps (Pareto), and the shortest gap in milliseconds:
  * half an hour before squeezing, so that a prompt returns after its answer.
  */
-const GAP_TAIL = 0.9
-const SHORTEST_GAP_MS = 2000
+const GAP_PARETO_SHAPE = 0.9
+const MIN_GAP_MS = 2000
 
 /** Skew of customers: the largest takes about half, the next a quarter of the rest. */
-const CUSTOMER_SKEW = 1.3
+const CUSTOMER_ZIPF_EXPONENT = 1.3
 
 const SHARED_TOKENS = 256
-const SHORTEST_PROMPT = 400
-const LONGEST_PROMPT = 7000
+const MIN_PROMPT_TOKENS = 400
+const MAX_PROMPT_TOKENS = 7000
 const ANSWER_TOKENS = { least: 8, most: 40 }
 
 /** Tokens that a returning prompt may have grown by. */
-const GROWTH_TOKENS = 200
+const MAX_GROWTH_TOKENS = 200
 
 /**
  * Makes a trace. The same plan gives the same trace.
@@ -66,12 +66,12 @@
   const random = (): number => uniformFloat64(generator)
   const lines: TraceLine[] = []
   const durationMs = plan.seconds * 1000
-  const firsts = Math.round(plan.seconds * plan.requestsPerSecond * FIRST_SHARE)
-  for (let prompt = 0; prompt < firsts; prompt += 1) {
+  const promptCount = Math.round(plan.seconds * plan.requestsPerSecond * FIRST_REQUEST_SHARE)
+  for (let prompt = 0; prompt < promptCount; prompt += 1) {
     const customer = chooseCustomer(plan.customers, random)
     let at = random() * durationMs
-    let promptTokens = Math.round(SHORTEST_PROMPT * (LONGEST_PROMPT / SHORTEST_PROMPT) ** random())
-    const returns = Math.floor(random() * 2 * (1 / FIRST_SHARE - 1) + random())
+    let promptTokens = Math.round(MIN_PROMPT_TOKENS * (MAX_PROMPT_TOKENS / MIN_PROMPT_TOKENS) ** random())
+    const returns = Math.floor(random() * 2 * (1 / FIRST_REQUEST_SHARE - 1) + random())
     for (let turn = 0; turn <= returns && at < durationMs; turn += 1) {
       lines.push({
         at: Math.round(at),
@@ -82,8 +82,8 @@
         sharedTokens: SHARED_TOKENS,
         answerTokens: ANSWER_TOKENS.least + Math.floor(random() * (ANSWER_TOKENS.most - ANSWER_TOKENS.least))
       })
-      at += SHORTEST_GAP_MS * (1 - random()) ** (-1 / GAP_TAIL)
-      promptTokens += Math.floor(random() * GROWTH_TOKENS)
+      at += MIN_GAP_MS * (1 - random()) ** (-1 / GAP_PARETO_SHAPE)
+      promptTokens += Math.floor(random() * MAX_GROWTH_TOKENS)
     }
   }
   return lines.sort((left, right) => left.at - right.at)
@@ -106,7 +106,7 @@
 }
 
 function chooseCustomer (customers: readonly string[], random: () => number): string {
-  const weights = customers.map((_, rank) => (rank + 1) ** -CUSTOMER_SKEW)
+  const weights = customers.map((_, rank) => (rank + 1) ** -CUSTOMER_ZIPF_EXPONENT)
   let remaining = random() * weights.reduce((sum, weight) => sum + weight, 0)
   for (const [rank, weight] of weights.entries()) {
     remaining -= weight
--- a/apps/standin/src/lib/EngineStandin.ts
+++ b/apps/standin/src/lib/EngineStandin.ts
@@ -51,16 +51,16 @@
 }
 
 /** Requests that may wait for prefill, as a multiple of the places. */
-const QUEUE_FACTOR = 4
+const MAX_RUNS_PER_SLOT = 4
 
 /** How long an ended run can still be read, in milliseconds. */
-const RUN_KEPT_MS = 5000
+const ENDED_RUN_RETENTION_MS = 5000
 
 /** Lifetime of an import that no run used, in milliseconds. */
-const IMPORT_KEPT_MS = 30_000
+const IMPORT_LIFETIME_MS = 30_000
 
 /** Time that an engine lives on with a poison run, in milliseconds. */
-const POISON_AFTER_MS = 300
+const POISON_CRASH_DELAY_MS = 300
 
 /** One stand-in engine. */
 export class EngineStandin {
@@ -79,25 +79,25 @@
   #meanRunMs = 0
   #report: EngineReport
   #reportAt = performance.now()
-  #ordersTaken = 0
+  #acceptedOrderCount = 0
   readonly #timers: NodeJS.Timeout[]
 
   /** @param settings - how it behaves */
   constructor (private readonly settings: EngineStandinSettings) {
     this.#cache = new PrefixCache(settings.cacheBlocks)
     this.#version = settings.version
-    this.#report = this.#measure()
+    this.#report = this.#measureLoad()
     this.#timers = [
       setInterval(() => { this.#decodeStep() }, settings.decodeMs),
       setInterval(() => {
-        this.#report = this.#measure()
+        this.#report = this.#measureLoad()
         this.#reportAt = performance.now()
       }, settings.reportLagMs)
     ]
   }
 
   get version (): string { return this.#version }
-  get ordersTaken (): number { return this.#ordersTaken }
+  get acceptedOrderCount (): number { return this.#acceptedOrderCount }
 
   /** @returns the load as last measured, with its age */
   report (): EngineReport {
@@ -105,7 +105,7 @@
   }
 
   /** Refuses new work from now on. */
-  leave (): void {
+  startLeaving (): void {
     this.#leaving = true
   }
 
@@ -127,7 +127,7 @@
     if (this.#leaving) return 'leaving'
     if (request.expectedVersion !== this.#version) return 'version-mismatch'
     if (importedKeys === undefined) return 'unknown-import'
-    if (this.#runs.size >= this.settings.maxRunning * QUEUE_FACTOR) return 'full'
+    if (this.#runs.size >= this.settings.maxRunning * MAX_RUNS_PER_SLOT) return 'full'
     const produced = request.produced.join('')
     const keys = blockKeys(request.cacheSalt, request.prompt + produced)
     const run: EngineRun = {
@@ -144,11 +144,11 @@
     }
     this.#runs.set(request.run, run)
     if (this.settings.poisonText !== '' && request.prompt.includes(this.settings.poisonText)) {
-      setTimeout(this.settings.end, POISON_AFTER_MS)
+      setTimeout(this.settings.end, POISON_CRASH_DELAY_MS)
       return undefined
     }
     this.#cache.store(importedKeys, performance.now())
-    const cachedBlocks = this.#cache.leading(keys)
+    const cachedBlocks = this.#cache.leadingBlockCount(keys)
     this.#cache.store(keys.slice(0, cachedBlocks), performance.now())
     const tokens = tokenCount(request.prompt + produced)
     run.cachedTokens = Math.min(tokens, cachedBlocks * TOKENS_PER_BLOCK)
@@ -179,22 +179,22 @@
   async * #readFrom (run: EngineRun, from: number): AsyncGenerator<RunMessage> {
     let position = run.messages.findIndex(message => message.kind === 'end' || message.offset + message.tokens.length > from)
     if (position < 0) position = run.messages.length
-    let held: RunMessage | undefined
+    let delayed: RunMessage | undefined
     for (;;) {
       const message = run.messages[position]
       if (message !== undefined) {
         position += 1
         if (this.settings.disorder && message.kind === 'tokens') {
-          if (message.offset % 5 === 2 && held === undefined) {
-            held = message
+          if (message.offset % 5 === 2 && delayed === undefined) {
+            delayed = message
             continue
           }
           if (message.offset % 7 === 3) yield message
         }
-        if (message.kind === 'end' && held !== undefined) yield held
+        if (message.kind === 'end' && delayed !== undefined) yield delayed
         yield message
-        if (held !== undefined) yield held
-        held = undefined
+        if (delayed !== undefined) yield delayed
+        delayed = undefined
         if (message.kind === 'end') return
         continue
       }
@@ -270,7 +270,7 @@
     this.#cache.store(blockKeys(run.request.cacheSalt, run.request.prompt + answer), performance.now())
     this.#meanRunMs += (performance.now() - run.startedAt - this.#meanRunMs) * 0.1
     this.#endRun(run)
-    setTimeout(() => { this.#runs.delete(run.request.run) }, RUN_KEPT_MS).unref()
+    setTimeout(() => { this.#runs.delete(run.request.run) }, ENDED_RUN_RETENTION_MS).unref()
   }
 
   #endRun (run: EngineRun): void {
@@ -315,7 +315,7 @@
       keys.push(...object.keys)
     }
     this.#imports.set(request.importId, keys)
-    setTimeout(() => { this.#imports.delete(request.importId) }, IMPORT_KEPT_MS).unref()
+    setTimeout(() => { this.#imports.delete(request.importId) }, IMPORT_LIFETIME_MS).unref()
     return { bytes }
   }
 
@@ -353,12 +353,12 @@
    * @param request - order with its fencing number
    * @returns false if the number is older than one already seen
    */
-  order (request: OrderRequest): boolean {
+  acceptOrder (request: OrderRequest): boolean {
     const { term, index } = request.fence
     const isOld = term < this.#fence.term || (term === this.#fence.term && index < this.#fence.index)
     if (this.settings.honoursFencing && isOld) return false
     this.#fence = request.fence
-    this.#ordersTaken += 1
+    this.#acceptedOrderCount += 1
     if (this.#loadingVersion !== request.order.version && this.#version !== request.order.version) {
       this.#loadingVersion = request.order.version
       void this.#loadWeights(request.order.version)
@@ -377,7 +377,7 @@
     if (this.#loadingVersion === version) this.#loadingVersion = undefined
   }
 
-  #measure (): EngineReport {
+  #measureLoad (): EngineReport {
     const underWay = this.#prefilling ? Math.max(0, this.#prefillEndsAt - performance.now()) * this.settings.prefillTokensPerMs : 0
     const queuedTokens = this.#prefillQueue.reduce((sum, { tokens }) => sum + tokens, underWay)
     return {
--- a/apps/standin/src/lib/PrefixCache.ts
+++ b/apps/standin/src/lib/PrefixCache.ts
@@ -9,7 +9,7 @@
 }
 
 /** Changes kept for readers; older ones are a gap. */
-const EVENTS_KEPT = 2000
+const MAX_EVENTS = 2000
 
 /** Least recently used blocks leave first. */
 export class PrefixCache {
@@ -29,7 +29,7 @@
    * @param keys - chain of a prompt
    * @returns how many leading blocks are held
    */
-  leading (keys: readonly string[]): number {
+  leadingBlockCount (keys: readonly string[]): number {
     let count = 0
     while (count < keys.length && this.#blocks.has(keys[count] ?? '')) count += 1
     return count
@@ -56,7 +56,7 @@
       this.#blocks.delete(key)
       this.#blocks.set(key, now)
     }
-    if (fresh.length > 0) this.#log('stored', fresh, now)
+    if (fresh.length > 0) this.#recordEvent('stored', fresh, now)
     const removed: string[] = []
     for (const [key, usedAt] of this.#blocks) {
       if (this.#blocks.size <= this.capacityBlocks) break
@@ -64,7 +64,7 @@
       removed.push(key)
       this.#residenceMs += (now - usedAt - this.#residenceMs) * 0.05
     }
-    if (removed.length > 0) this.#log('removed', removed, now)
+    if (removed.length > 0) this.#recordEvent('removed', removed, now)
   }
 
   /** @returns all keys held */
@@ -83,9 +83,9 @@
     return this.#events.filter(event => event.sequence >= from && event.at <= visibleBefore)
   }
 
-  #log (kind: 'stored' | 'removed', keys: readonly string[], at: number): void {
+  #recordEvent (kind: 'stored' | 'removed', keys: readonly string[], at: number): void {
     this.#events.push({ sequence: this.#nextSequence, kind, keys, at })
     this.#nextSequence += 1
-    if (this.#events.length > EVENTS_KEPT) this.#events = this.#events.slice(-EVENTS_KEPT / 2)
+    if (this.#events.length > MAX_EVENTS) this.#events = this.#events.slice(-MAX_EVENTS / 2)
   }
 }
--- a/apps/standin/src/lib/StoreStandin.ts
+++ b/apps/standin/src/lib/StoreStandin.ts
@@ -27,7 +27,7 @@
 const metaSchema = z.object({ customer: z.string(), keys: z.array(z.string()), tokens: z.number(), firstBlock: z.number() })
 
 /** Bytes sent at a time over the link. */
-const SLICE_BYTES = 64 * 1024
+const CHUNK_BYTES = 64 * 1024
 
 /** Extra time for an object on disk, in milliseconds. */
 const DISK_SEEK_MS = 4
@@ -48,7 +48,7 @@
     const app = new H3()
     app.get('/load', () => ({
       incarnation: this.settings.incarnation,
-      usedBytes: this.#used(),
+      usedBytes: this.#usedBytes(),
       capacityBytes: this.settings.memoryBytes + this.settings.diskBytes,
       backlogBytes: Math.round(Math.max(0, this.#linkFreeAt - performance.now()) * this.#linkBytesPerMs)
     }))
@@ -74,7 +74,7 @@
       return { ok: true }
     })
     app.post('/standin/fill', () => {
-      const content = new Uint8Array(Math.max(0, this.settings.memoryBytes + this.settings.diskBytes - this.#used()))
+      const content = new Uint8Array(Math.max(0, this.settings.memoryBytes + this.settings.diskBytes - this.#usedBytes()))
       this.#objects.set('filler', { name: 'filler', customer: 'none', keys: [], tokens: 0, firstBlock: 0, sha256: '', tier: 'disk', content })
       return { ok: true }
     })
@@ -82,9 +82,9 @@
   }
 
   async #put (name: string, meta: z.infer<typeof metaSchema>, content: Uint8Array, checksum: string): Promise<Response> {
-    const used = this.#used()
+    const used = this.#usedBytes()
     if (used + content.length > this.settings.memoryBytes + this.settings.diskBytes) return errorAnswer(507, 'store-full')
-    await this.#takeLink(content.length)
+    await this.#waitForLink(content.length)
     if (sha256(content) !== checksum) return errorAnswer(409, 'checksum-differs')
     const tier = used + content.length <= this.settings.memoryBytes ? 'memory' : 'disk'
     this.#objects.set(name, { name, ...meta, sha256: checksum, tier, content })
@@ -96,10 +96,10 @@
     const body = new ReadableStream<Uint8Array>({
       pull: async controller => {
         if (offset === 0 && object.tier === 'disk') await sleep(DISK_SEEK_MS)
-        const slice = object.content.subarray(offset, offset + SLICE_BYTES)
-        await this.#takeLink(slice.length)
-        offset += slice.length
-        controller.enqueue(slice)
+        const chunk = object.content.subarray(offset, offset + CHUNK_BYTES)
+        await this.#waitForLink(chunk.length)
+        offset += chunk.length
+        controller.enqueue(chunk)
         if (offset >= object.content.length) controller.close()
       }
     })
@@ -107,13 +107,13 @@
   }
 
   /** All transfers share the link in the order they ask for it. */
-  async #takeLink (bytes: number): Promise<void> {
+  async #waitForLink (bytes: number): Promise<void> {
     const start = Math.max(this.#linkFreeAt, performance.now())
     this.#linkFreeAt = start + bytes / this.#linkBytesPerMs
     await sleep(this.#linkFreeAt - performance.now())
   }
 
-  #used (): number {
+  #usedBytes (): number {
     let used = 0
     for (const { content } of this.#objects.values()) used += content.length
     return used
--- a/apps/standin/src/lib/engineRoutes.ts
+++ b/apps/standin/src/lib/engineRoutes.ts
@@ -51,18 +51,18 @@
     return 'error' in result ? errorAnswer(409, result.error) : result
   })
   app.post('/orders', async event => {
-    const taken = engine.order(await readJson(event, orderRequestSchema))
+    const taken = engine.acceptOrder(await readJson(event, orderRequestSchema))
     return taken ? { ok: true } : errorAnswer(409, 'stale-fence')
   })
   app.post('/standin/leave', () => {
-    engine.leave()
+    engine.startLeaving()
     return { ok: true }
   })
-  app.get('/standin/orders', () => ({ taken: engine.ordersTaken }))
+  app.get('/standin/orders', () => ({ taken: engine.acceptedOrderCount }))
   return app
 }
 
-function streamRun (event: H3Event, engine: EngineStandin, run: string, from: number, cancelWhenGone: boolean): Response {
+function streamRun (event: H3Event, engine: EngineStandin, run: string, from: number, cancelOnDisconnect: boolean): Response {
   const messages = engine.read(run, from)
   if (messages === undefined) return errorAnswer(404, 'unknown-run')
   const encoder = new TextEncoder()
@@ -74,11 +74,11 @@
     },
     async cancel () {
       await messages.return(undefined)
-      if (cancelWhenGone) setTimeout(() => { engine.cancel(run) }, ORPHAN_GRACE_MS).unref()
+      if (cancelOnDisconnect) setTimeout(() => { engine.cancel(run) }, RECONNECT_GRACE_MS).unref()
     }
   })
   return new Response(body, { headers: { 'content-type': 'text/event-stream' } })
 }
 
 /** A run whose reader is gone can be read again within this time, in milliseconds; longer than any test needs. */
-const ORPHAN_GRACE_MS = 3000
+const RECONNECT_GRACE_MS = 3000
--- a/apps/standin/src/lib/plainStandins.ts
+++ b/apps/standin/src/lib/otherStandins.ts
@@ -46,7 +46,7 @@
 }
 
 /** Loads at once that the weight store bears without slowing down. */
-const LOADS_AT_FULL_SPEED = 2
+const MAX_LOADS_AT_FULL_SPEED = 2
 
 /**
  * A weight store that slows down for everyone when more than two replicas load at once.
@@ -55,14 +55,14 @@
  * @returns its routes
  */
 export function weightRoutes (settings: WeightStandinSettings): H3 {
-  let loading = 0
+  let concurrentLoads = 0
   let most = 0
   const app = new H3()
   app.get('/weights/:model/:version', async () => {
-    loading += 1
-    most = Math.max(most, loading)
-    await sleep(settings.loadMs * Math.max(1, loading / LOADS_AT_FULL_SPEED))
-    loading -= 1
+    concurrentLoads += 1
+    most = Math.max(most, concurrentLoads)
+    await sleep(settings.loadMs * Math.max(1, concurrentLoads / MAX_LOADS_AT_FULL_SPEED))
+    concurrentLoads -= 1
     return new Response('weights')
   })
   app.get('/standin/most', () => ({ most }))
--- a/apps/standin/src/main.ts
+++ b/apps/standin/src/main.ts
@@ -5,7 +5,7 @@
 import { EngineStandin } from './lib/EngineStandin.js'
 import { engineRoutes } from './lib/engineRoutes.js'
 import { serveStandin } from './lib/httpApp.js'
-import { membershipRoutes, serviceRoutes, weightRoutes } from './lib/plainStandins.js'
+import { membershipRoutes, serviceRoutes, weightRoutes } from './lib/otherStandins.js'
 import { StoreStandin } from './lib/StoreStandin.js'
 
 /** Common to all stand-ins: where to listen, and one line that says so. */
