--- a/apps/directory/src/lib/DirectoryDaemon.ts
+++ b/apps/directory/src/lib/DirectoryDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the directory's tasks together. */
+/** Directory daemon: connects the RPC server, the shards and the watchers of engines and stores. */
 import { z } from 'zod'
 import { EngineClient } from '@eelgrassmux/backends/EngineClient'
 import { StoreClient } from '@eelgrassmux/backends/StoreClient'
@@ -29,7 +29,7 @@
 /** @internal */
 type DirectorySettings = z.infer<typeof settingsSchema>
 
-/** The directory's program. */
+/** Program definition of the directory. */
 export const directoryProgram: DaemonProgram<DirectorySettings> = {
   name: 'eelgrassmux-directory',
   description: 'Knows which engines and stores hold which cache blocks',
@@ -37,7 +37,7 @@
   start: async (settings, telemetry) => await new DirectoryDaemon(settings, telemetry).start()
 }
 
-/** Owns the shards and the watchers. */
+/** Owns the shards, and a watcher for each engine and store of the configuration. */
 class DirectoryDaemon {
   readonly #clock = new SystemClock()
   readonly #rpc = new RpcClient()
--- a/apps/directory/src/lib/DirectoryServer.ts
+++ b/apps/directory/src/lib/DirectoryServer.ts
@@ -1,4 +1,4 @@
-/** Serves look-ups and the life cycle of stored objects for the shards owned here. */
+/** RPC handlers for block lookups, leases and writes of stored objects in the shards that this directory owns. */
 import { randomUUID } from 'node:crypto'
 import type { DirectoryShard } from '@eelgrassmux/cache/DirectoryShard'
 import type { ResidencyIndex } from '@eelgrassmux/cache/ResidencyIndex'
@@ -8,9 +8,9 @@
 import type { RpcServer } from '@eelgrassmux/rpc/RpcServer'
 import type { LabelledCounter } from '@eelgrassmux/telemetry/Telemetry'
 
-/** What the server needs from around it. */
+/** State of the directory that the handlers read. */
 export interface DirectoryContext {
-  /** The shard, if this directory owns it under that epoch and ownership is confirmed as of now. */
+  /** Returns the shard if this directory owns it at that epoch and its ownership is currently confirmed. */
   shard (shard: number, epoch: number): DirectoryShard | undefined
   storeIsUp (store: string): boolean
 }
@@ -18,11 +18,11 @@
 const NOTHING_TO_WRITE = { kind: 'nothing-to-write' } as const
 const WRONG_OWNER = { kind: 'wrong-owner' } as const
 
-/** Answers entry hosts. */
+/** Handles the directory calls of entry hosts. */
 export class DirectoryServer {
   /**
-   * @param residency - what engines hold
-   * @param context - surroundings
+   * @param residency - index of the blocks in the engines' caches
+   * @param context - shards and stores of this directory
    * @param answerCounter - counts answers by kind
    */
   constructor (
@@ -31,7 +31,7 @@
     private readonly answerCounter: LabelledCounter
   ) {}
 
-  /** @param server - where to register all methods */
+  /** @param server - RPC server on which to register all methods */
   register (server: RpcServer): void {
     server.handle(lookupBlocks, async ({ shard, epoch, keys }) => {
       const resident = [...this.residency.leadingBlocks(keys)].map(([engine, blocks]) => ({ engine, blocks }))
--- a/apps/directory/src/lib/EngineWatcher.ts
+++ b/apps/directory/src/lib/EngineWatcher.ts
@@ -1,24 +1,24 @@
-/** Follows one engine's cache events into the residency index. */
+/** Applies the cache events of one engine to the residency index. */
 import type { EngineBackend } from '@eelgrassmux/backends/EngineClient'
 import type { ResidencyIndex } from '@eelgrassmux/cache/ResidencyIndex'
 
 /** Interval between reads of events, in milliseconds. */
 const POLL_INTERVAL_MS = 150
 
-/** Counts what each read brought. */
+/** Counts the outcome of a read of cache events. */
 export type CountReadOutcome = (outcome: 'events' | 'gap' | 'restart' | 'silent') => void
 
-/** Owns the connection to one engine. */
+/** Owns the connection to one engine and polls its cache events. */
 export class EngineWatcher {
   #incarnation: number | undefined
   #timer: NodeJS.Timeout | undefined
   #isPolling = false
 
   /**
-   * @param engine - endpoint name
-   * @param client - its adapter
-   * @param index - where its blocks are noted
-   * @param countOutcome - counts outcomes
+   * @param engine - endpoint name of the engine
+   * @param client - client of the engine
+   * @param index - index to update
+   * @param countOutcome - counts outcomes of reads
    */
   constructor (
     private readonly engine: string,
@@ -27,12 +27,12 @@
     private readonly countOutcome: CountReadOutcome
   ) {}
 
-  /** Starts to poll. */
+  /** Starts polling. */
   start (): void {
     this.#timer = setInterval(() => { void this.#poll() }, POLL_INTERVAL_MS)
   }
 
-  /** Stops, forgets the engine and closes the connection. */
+  /** Stops polling, removes the engine from the index and closes the connection. */
   async stop (): Promise<void> {
     clearInterval(this.#timer)
     this.index.forget(this.engine)
@@ -54,7 +54,7 @@
   async #readEvents (next: number): Promise<void> {
     const answer = await this.client.cacheEvents(next)
     if (!answer.ok) {
-      // Its blocks are of no use while it is silent, and it may come back empty.
+      // Blocks of an unresponsive engine can't be used, and it may restart with an empty cache.
       this.countOutcome('silent')
       this.index.forget(this.engine)
       return
--- a/apps/directory/src/lib/StoreWatcher.ts
+++ b/apps/directory/src/lib/StoreWatcher.ts
@@ -1,25 +1,25 @@
-/** Watches one store for the shards of this directory: listing, capacity and deletions. */
+/** Polls one store for the shards of this directory: reconciles its listing, evicts objects above capacity and deletes freed ones. */
 import type { StoreBackend, StoreListing, StoreLoad } from '@eelgrassmux/backends/StoreClient'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 import type { DirectoryShard } from '@eelgrassmux/cache/DirectoryShard'
 
-/** Interval between looks at the store, in milliseconds. */
+/** Interval between polls of the store, in milliseconds. */
 const POLL_INTERVAL_MS = 500
 
-/** A listing is read every so many looks. */
+/** The listing is read once in this many polls. */
 const POLLS_PER_LISTING = 8
 
-/** Failed looks in a row after which the store's objects are not offered. */
+/** Consecutive failed polls after which lookups no longer return the store's objects. */
 const FAILURES_UNTIL_HIDDEN = 2
 
-/** Eviction starts above the first and goes down to the second share of the capacity. */
+/** Eviction starts when the used share of the capacity exceeds the high watermark, and stops at the low one. */
 const EVICTION_HIGH_WATERMARK = 0.9
 const EVICTION_LOW_WATERMARK = 0.8
 
-/** Counts what happened to objects. */
+/** Counts an event in the life of stored objects. */
 export type CountObjectEvent = (event: 'adopted' | 'evicted' | 'deleted' | 'orphan-deleted' | 'store-restart' | 'store-hidden') => void
 
-/** Owns the connection to one store. */
+/** Owns the connection to one store and polls it. */
 export class StoreWatcher {
   #incarnation: number | undefined
   #failures = 0
@@ -28,12 +28,12 @@
   #isPolling = false
 
   /**
-   * @param clock - time
+   * @param clock - source of the current time
    * @param store - store name
-   * @param client - its adapter
-   * @param shards - shards owned now
-   * @param isOwnershipConfirmed - whether ownership is confirmed as of now
-   * @param countEvent - counts events
+   * @param client - client of the store
+   * @param shards - returns the shards that this directory owns
+   * @param isOwnershipConfirmed - returns whether the ownership of the shards is currently confirmed
+   * @param countEvent - counts events of stored objects
    */
   constructor (
     private readonly clock: Clock,
@@ -44,27 +44,27 @@
     private readonly countEvent: CountObjectEvent
   ) {}
 
-  /** Whether the store answers; objects of a silent one are not offered. */
+  /** Whether the store answers. Lookups don't return objects of a store that is down. */
   get isUp (): boolean { return this.#failures < FAILURES_UNTIL_HIDDEN && this.#incarnation !== undefined }
 
-  /** Starts to look. */
+  /** Starts polling. */
   start (): void {
     this.#timer = setInterval(() => { void this.poll() }, POLL_INTERVAL_MS)
     void this.poll()
   }
 
-  /** Reads the listing at the next look, for a shard that was just taken over. */
+  /** Has the next poll read the listing, for a shard that was just taken over. */
   requestListing (): void {
     this.#pollIndex = 0
   }
 
-  /** Stops and closes the connection. */
+  /** Stops polling and closes the connection. */
   async stop (): Promise<void> {
     clearInterval(this.#timer)
     await this.client.close()
   }
 
-  /** One look at the store. */
+  /** Polls the store once, unless a poll is still in progress. */
   async poll (): Promise<void> {
     if (this.#isPolling) return
     this.#isPolling = true
@@ -104,7 +104,7 @@
     const now = this.clock.now()
     for (const shard of this.shards()) {
       const own = listing.value.objects.filter(object => object.name.startsWith(`s${shard.shard}-`))
-      // Only what was known before the listing was asked for can be missing from it.
+      // An object published after the listing was requested may be absent from it, so only objects known before are checked.
       shard.reconcileStore(this.store, knownBefore.get(shard) ?? new Set(), new Set(own.map(object => object.name)))
       await this.#adoptOrDeleteUnknown(shard, own, requestedAt, now)
     }
@@ -125,7 +125,7 @@
     if (load.usedBytes <= load.capacityBytes * EVICTION_HIGH_WATERMARK) return
     const excess = load.usedBytes - load.capacityBytes * EVICTION_LOW_WATERMARK
     for (const shard of this.shards()) {
-      // Each shard gives up its part, so that the owners together free the excess.
+      // Each shard evicts in proportion to its bytes, so that all owners together free the excess.
       const shardExcess = excess * shard.bytesIn(this.store) / load.usedBytes
       const victims = shardExcess > 0 ? shard.evict(this.store, shardExcess, this.clock.now()) : []
       victims.forEach(() => { this.countEvent('evicted') })
--- a/apps/directory/src/lib/handOverShards.test.ts
+++ b/apps/directory/src/lib/handOverShards.test.ts
@@ -7,7 +7,7 @@
 const SELF = 'self'
 const OTHER = 'other'
 
-/** A new owner whom the view has not reached for some questions. */
+/** A new owner that has not received the view yet and answers `wrong-owner` to the first lookups. */
 class NewOwner {
   readonly answers: string[] = []
 
@@ -20,8 +20,8 @@
   }
 }
 
-describe('handOver', () => {
-  it('ends only when the new owner answers for the shard, and not when the view names it', async () => {
+describe('handOverShards', () => {
+  it('waits until the new owner answers for the shard, not only until the view names it', async () => {
     const owner = new NewOwner(2)
     const views: Shard[][] = [
       [{ owner: SELF, epoch: 1 }, { owner: OTHER, epoch: 1 }],
@@ -33,7 +33,7 @@
     expect(owner.answers).toEqual(['other 0 of 2: wrong-owner', 'other 0 of 2: wrong-owner', 'other 0 of 2: found'])
   })
 
-  it('asks nobody if it owns nothing', async () => {
+  it('makes no calls if the directory owns no shard', async () => {
     const owner = new NewOwner(0)
     expect(await handOverShards(owner as unknown as RpcClient, () => [{ owner: OTHER, epoch: 1 }], SELF)).toBe(true)
     expect(owner.answers).toEqual([])
--- a/apps/directory/src/lib/handOverShards.ts
+++ b/apps/directory/src/lib/handOverShards.ts
@@ -1,25 +1,25 @@
-/** Hands a directory's shards over at a planned stop. */
+/** Waits for the handover of a directory's shards during a graceful shutdown. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { lookupBlocks } from '@eelgrassmux/rpc/methods/directoryMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Shard } from '@eelgrassmux/state/commands'
 
-/** Longest wait for new owners, and interval between looks, in milliseconds. */
+/** Maximum wait for new owners, and interval between checks, in milliseconds. */
 const HAND_OVER_TIMEOUT_MS = 3000
 const POLL_INTERVAL_MS = 50
 
-/** Deadline of the question whether a new owner answers, in milliseconds. */
+/** Deadline of the call that checks whether a new owner serves a shard, in milliseconds. */
 const PROBE_TIMEOUT_MS = 500
 
 /**
- * Waits until other directories own all shards and answer for them, so that
- * look-ups find an owner throughout. That the view names another owner is not
- * enough: the view may not have reached it.
+ * Waits until other directories own all shards of this directory and answer for
+ * them, so that lookups always find an owner. A new owner in the view is not
+ * enough, because the new owner may not have received that view yet.
  *
  * @param rpc - client for calls to the new owners
- * @param shards - owners in the view of this directory, as of now
- * @param address - this directory
- * @returns whether all shards were taken over; false when the wait was given up
+ * @param shards - returns the owners in this directory's current view
+ * @param address - address of this directory
+ * @returns true if all shards were taken over, false after {@link HAND_OVER_TIMEOUT_MS}
  */
 export async function handOverShards (rpc: RpcClient, shards: () => readonly Shard[], address: string): Promise<boolean> {
   const remaining = new Set(shards().flatMap(({ owner }, shard) => owner === address ? [shard] : []))
--- a/apps/eelgrassmux/src/lib/ControlClient.ts
+++ b/apps/eelgrassmux/src/lib/ControlClient.ts
@@ -1,4 +1,4 @@
-/** The operators' way to the control hosts: finds the leader, asks a majority. */
+/** Client of the control hosts for operators: finds the leader and queries a majority. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Configuration } from '@eelgrassmux/schema/configuration'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
@@ -11,43 +11,44 @@
 import type { QuarantineEntryMessage } from '@eelgrassmux/schema/quarantineEntry'
 import type { Command, CommandResult, EvacuationImage } from '@eelgrassmux/state/commands'
 
-/** Why an operator's request has no answer. */
+/** Reason why a request of an operator failed. */
 export type ControlError =
   | { readonly kind: 'no-majority', readonly answered: number, readonly voters: number }
   | { readonly kind: 'uncertain' }
   | { readonly kind: 'refused', readonly reason: string }
   | { readonly kind: 'no-answer' }
 
-/** Under which name an operator reports. */
+/** Host name in the reports that an operator sends. */
 const OPERATOR_HOST = 'operator'
 
 /** Deadline of each call, in milliseconds. */
 const CALL_TIMEOUT_MS = 2000
 
-/** Pause between attempts, in milliseconds. */
+/** Delay between attempts, in milliseconds. */
 const RETRY_DELAY_MS = 100
 
-/** What a majority of control hosts know together. */
+/** Answers of a majority of the voting control hosts. */
 export interface MajorityView {
   readonly answers: HostsResponse[]
   readonly voters: number
 }
 
-/** Talks to the control hosts. */
+/** Calls the control hosts and retries until a timeout. */
 export class ControlClient {
   readonly #rpc = new RpcClient()
 
   /**
-   * @param addresses - control hosts
-   * @param timeoutMs - how long each request is tried
+   * @param addresses - addresses of control hosts
+   * @param timeoutMs - how long each request is retried, in milliseconds
    */
   constructor (private readonly addresses: readonly string[], private readonly timeoutMs: number) {}
 
   /**
-   * Proposes a command to the leader. Resending it is safe: it carries a request id.
+   * Proposes a command to the leader. The call may send the command several times, which is safe because
+   * the command carries a request id.
    *
-   * @param command - what to apply
-   * @returns its result
+   * @param command - command to apply
+   * @returns the result of the command
    */
   async propose (command: Command): Promise<Result<CommandResult, ControlError>> {
     const deadline = performance.now() + this.timeoutMs
@@ -62,7 +63,7 @@
     return fail({ kind: 'uncertain' })
   }
 
-  /** @returns what a majority of the voters know */
+  /** @returns the answers of a majority of the voters */
   async majority (): Promise<Result<MajorityView, ControlError>> {
     const contacts = new Set(this.addresses)
     const answers = new Map<string, HostsResponse>()
@@ -85,11 +86,11 @@
     return succeed({ answers: voterAnswers, voters: voters.size })
   }
 
-  /** @returns the newest configuration that a majority confirms, with its revision */
+  /** @returns the newest configuration that a majority has accepted, with its revision */
   async configuration (): Promise<Result<{ revision: number, configuration: Configuration }, ControlError>> {
     const majority = await this.majority()
     if (!majority.ok) return majority
-    // A member of any majority holds the newest accepted view, though it may still have to apply it.
+    // At least one member of any majority has the newest accepted view, but may not have applied it yet.
     const newest = Math.max(...majority.value.answers.map(answer => answer.viewRevision))
     if (newest === 0) return succeed({ revision: 0, configuration: { documents: [] } })
     const message = await this.#readView(newest)
@@ -97,7 +98,7 @@
     return succeed({ revision: message.revision, configuration: { documents: message.documents } })
   }
 
-  /** @returns requests that are suspected, quarantined or on probation, as a majority knows them */
+  /** @returns the requests that are suspected, quarantined or on probation, as known to a majority */
   async quarantineEntries (): Promise<Result<readonly QuarantineEntryMessage[], ControlError>> {
     const majority = await this.majority()
     if (!majority.ok) return majority
@@ -108,10 +109,10 @@
   }
 
   /**
-   * Lets a request through again, as if it had come through.
+   * Lifts the quarantine of a request, by reporting that the request completed.
    *
-   * @param fingerprint - of a request with an entry
-   * @returns nothing once it is agreed
+   * @param fingerprint - fingerprint of a request with a quarantine entry
+   * @returns nothing once a majority has removed the entry
    */
   async clearRequest (fingerprint: string): Promise<Result<undefined, ControlError>> {
     const deadline = performance.now() + this.timeoutMs
@@ -126,14 +127,14 @@
     return fail({ kind: 'uncertain' })
   }
 
-  /** @returns the last orders about data centres, as a majority knows them */
+  /** @returns the latest evacuation order of each data centre, as known to a majority */
   async evacuations (): Promise<Result<EvacuationImage, ControlError>> {
     const majority = await this.majority()
     if (!majority.ok) return majority
     return succeed(newestEvacuations(majority.value.answers))
   }
 
-  /** @returns each engine's state against the desired one, from the leader */
+  /** @returns the running and the desired version of each engine, from the leader */
   async orders (): Promise<Result<OrderReport[], ControlError>> {
     const majority = await this.majority()
     if (!majority.ok) return majority
@@ -143,10 +144,10 @@
   }
 
   /**
-   * Changes who votes.
+   * Changes the membership of the control hosts, or transfers leadership.
    *
-   * @param change - what to do
-   * @returns nothing, or why it was refused
+   * @param change - change to make
+   * @returns nothing, or why the change was refused
    */
   async changeMembership (change: MembershipChange): Promise<Result<undefined, ControlError>> {
     const deadline = performance.now() + this.timeoutMs
@@ -163,10 +164,10 @@
   }
 
   /**
-   * Follows the view until stopped.
+   * Watches the view until the signal is aborted, and reconnects after errors.
    *
-   * @param onMessage - called for each change
-   * @param signal - ends it
+   * @param onMessage - called for each newer view
+   * @param signal - stops watching
    */
   async watch (onMessage: (message: ViewMessage) => void, signal: AbortSignal): Promise<void> {
     let known = 0
@@ -207,8 +208,8 @@
 }
 
 /**
- * @param answers - of a majority of control hosts, some of which may lag
- * @returns the newest orders about data centres that any of them has
+ * @param answers - answers of a majority of control hosts, some of which may lag behind
+ * @returns the newest evacuation orders in the answers
  */
 export function newestEvacuations (answers: readonly HostsResponse[]): EvacuationImage {
   const none: EvacuationImage = { revision: 0, orders: [] }
--- a/apps/eelgrassmux/src/lib/ControlCommand.ts
+++ b/apps/eelgrassmux/src/lib/ControlCommand.ts
@@ -1,10 +1,10 @@
-/** What all commands share that ask the control hosts. */
+/** Base class of the commands that call the control hosts. */
 import { Command, Option } from 'clipanion'
 import { addressListSetting } from '@eelgrassmux/daemon/settings'
 import { ControlClient, type ControlError } from './ControlClient.js'
 import { EXIT_FAILED, EXIT_USAGE } from './exitCodes.js'
 
-/** Options, and how failures are told. */
+/** Parses the common options and prints errors. */
 export abstract class ControlCommand extends Command {
   control = Option.String('--control', '', { env: 'EELGRASSMUX_CONTROL', description: 'control hosts, separated by commas' })
   timeout = Option.String('--timeout-ms', '10000', { env: 'EELGRASSMUX_TIMEOUT_MS', description: 'how long to try, in milliseconds' })
--- a/apps/eelgrassmux/src/lib/EvacuateCommand.ts
+++ b/apps/eelgrassmux/src/lib/EvacuateCommand.ts
@@ -1,4 +1,4 @@
-/** `evacuate`: has nothing more sent to a data centre's endpoints, or sends there again. */
+/** `evacuate`: stops sending requests to the endpoints of a data centre, or resumes. */
 import { Command, Option } from 'clipanion'
 import { dataCentreNameSchema } from '@eelgrassmux/schema/site/evacuation'
 import type { ControlClient } from './ControlClient.js'
@@ -8,7 +8,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Orders an evacuation, ends it, or shows what is in force where. */
+/** Starts or ends the evacuation of a data centre, or shows its status. */
 export class EvacuateCommand extends ControlCommand {
   static override paths = [['evacuate']]
   static override usage = Command.Usage({
--- a/apps/eelgrassmux/src/lib/QuarantineCommand.ts
+++ b/apps/eelgrassmux/src/lib/QuarantineCommand.ts
@@ -1,4 +1,4 @@
-/** `quarantine`: requests that are quarantined because they crashed the endpoints that ran them. */
+/** `quarantine`: lists requests that are quarantined because they crashed endpoints, and lifts quarantines. */
 import { Command, Option } from 'clipanion'
 import { fingerprintSchema } from '@eelgrassmux/schema/quarantineEntry'
 import type { ControlClient } from './ControlClient.js'
@@ -7,9 +7,9 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Lists entries, and lifts one. */
+/** Lists all quarantine entries, or lifts the quarantine of one request. */
 export class QuarantineCommand extends ControlCommand {
-  /** The second name is the one of earlier releases. */
+  /** `verdicts` is the name of this command in earlier releases. */
   static override paths = [['quarantine'], ['verdicts']]
   static override usage = Command.Usage({
     description: 'list requests that are suspected, quarantined or on probation, or let one through again',
--- a/apps/eelgrassmux/src/lib/commands.ts
+++ b/apps/eelgrassmux/src/lib/commands.ts
@@ -13,24 +13,24 @@
 import { EXIT_FAILED } from './exitCodes.js'
 import { waitUntilInForce } from './waitUntilInForce.js'
 
-/** Reads and checks configuration files; complains with line and field. */
-async function readDocuments (files: readonly string[], complain: (line: string) => void): Promise<ConfigurationDocument[] | undefined> {
+/** Reads and validates configuration files; reports errors with their line and field. */
+async function readDocuments (files: readonly string[], printError: (line: string) => void): Promise<ConfigurationDocument[] | undefined> {
   const texts = await Promise.all(files.map(async file => await readFile(file, 'utf8')))
   const documents: ConfigurationDocument[] = []
   let isValid = true
   texts.forEach((text, position) => {
-    // References may point to documents that are in force already: the control hosts check those.
+    // References may point to documents that are in force already, so the control hosts check references.
     const parsed = parseConfiguration(text, { checkReferences: false })
     if (parsed.ok) documents.push(...parsed.value.documents)
     else {
       isValid = false
-      for (const { line, field, message } of parsed.error) complain(`${files[position]}:${line}: ${field === '' ? '' : `${field}: `}${message}`)
+      for (const { line, field, message } of parsed.error) printError(`${files[position]}:${line}: ${field === '' ? '' : `${field}: `}${message}`)
     }
   })
   return isValid ? documents : undefined
 }
 
-/** `apply`: sends documents. */
+/** `apply`: sends configuration documents to the control hosts. */
 export class ApplyCommand extends ControlCommand {
   static override paths = [['apply']]
   static override usage = Command.Usage({
@@ -88,21 +88,21 @@
   }
 }
 
-function removedNames (present: readonly ConfigurationDocument[], wanted: readonly ConfigurationDocument[]): DocumentName[] {
-  const names = new Set(wanted.map(({ kind, name }) => `${kind}/${name}`))
-  return present.filter(({ kind, name }) => !names.has(`${kind}/${name}`)).map(({ kind, name }) => ({ kind, name }))
+function removedNames (current: readonly ConfigurationDocument[], desired: readonly ConfigurationDocument[]): DocumentName[] {
+  const names = new Set(desired.map(({ kind, name }) => `${kind}/${name}`))
+  return current.filter(({ kind, name }) => !names.has(`${kind}/${name}`)).map(({ kind, name }) => ({ kind, name }))
 }
 
 function mergeDocuments (
-  present: readonly ConfigurationDocument[], upserts: readonly ConfigurationDocument[], removes: readonly DocumentName[]
+  current: readonly ConfigurationDocument[], upserts: readonly ConfigurationDocument[], removes: readonly DocumentName[]
 ): ConfigurationDocument[] {
-  const merged = new Map(present.map(document => [`${document.kind}/${document.name}`, document]))
+  const merged = new Map(current.map(document => [`${document.kind}/${document.name}`, document]))
   for (const { kind, name } of removes) merged.delete(`${kind}/${name}`)
   for (const document of upserts) merged.set(`${document.kind}/${document.name}`, document)
   return [...merged.values()]
 }
 
-/** `show`: prints the configuration. */
+/** `show`: prints the newest accepted configuration. */
 export class ShowCommand extends ControlCommand {
   static override paths = [['show']]
   static override usage = Command.Usage({ description: 'print the newest accepted configuration' })
@@ -119,7 +119,7 @@
   }
 }
 
-/** `diff`: compares files with what is in force. */
+/** `diff`: compares configuration files with the newest accepted configuration. */
 export class DiffCommand extends ControlCommand {
   static override paths = [['diff']]
   static override usage = Command.Usage({ description: 'show what apply would change' })
@@ -137,7 +137,7 @@
   }
 }
 
-/** `watch`: prints each change. */
+/** `watch`: prints changes of the view as they arrive. */
 export class WatchCommand extends ControlCommand {
   static override paths = [['watch']]
   static override usage = Command.Usage({ description: 'print changes of configuration and shard owners until interrupted' })
@@ -154,7 +154,7 @@
   }
 }
 
-/** `hosts`: lists hosts and what is in force on them. */
+/** `hosts`: lists hosts with the view that is in force on each. */
 export class HostsCommand extends ControlCommand {
   static override paths = [['hosts']]
   static override usage = Command.Usage({ description: 'list entry hosts and directories with the view in force on each' })
@@ -174,7 +174,7 @@
   }
 }
 
-/** `members`: lists and changes the control hosts. */
+/** `members`: lists the control hosts, removes one, or transfers leadership. */
 export class MembersCommand extends ControlCommand {
   static override paths = [['members']]
   static override usage = Command.Usage({ description: 'list control hosts, remove one, or hand leadership over' })
@@ -199,7 +199,7 @@
   }
 }
 
-/** `orders`: shows engines against the desired versions. */
+/** `orders`: shows the running and the desired weight version of each engine. */
 export class OrdersCommand extends ControlCommand {
   static override paths = [['orders']]
   static override usage = Command.Usage({ description: 'show the weight version of each engine against the desired one' })
@@ -214,7 +214,7 @@
   }
 }
 
-/** `doctor`: says what is wrong. */
+/** `doctor`: checks the control hosts, other hosts, engines and quarantine entries, and prints problems. */
 export class DoctorCommand extends ControlCommand {
   static override paths = [['doctor']]
   static override usage = Command.Usage({ description: 'check control hosts, hosts and engines; exit 1 if something is wrong' })
@@ -230,8 +230,8 @@
     const view = Math.max(...answers.map(answer => answer.viewRevision))
     const freshest = new Map<string, { ageMs: number, viewRevision: number }>()
     for (const report of answers.flatMap(answer => answer.hosts)) {
-      const present = freshest.get(report.host)
-      if (present === undefined || report.ageMs < present.ageMs) freshest.set(report.host, report)
+      const known = freshest.get(report.host)
+      if (known === undefined || report.ageMs < known.ageMs) freshest.set(report.host, report)
     }
     for (const [host, { ageMs, viewRevision }] of freshest) {
       if (ageMs > Number(this.freshness)) findings.push(`host ${host} was heard of ${Math.round(ageMs)} ms ago`)
--- a/apps/eelgrassmux/src/lib/diffDocuments.ts
+++ b/apps/eelgrassmux/src/lib/diffDocuments.ts
@@ -2,18 +2,18 @@
 import { isDeepStrictEqual } from 'node:util'
 import type { ConfigurationDocument } from '@eelgrassmux/schema/configuration'
 
-/** One document that would change. */
+/** Change of one document. */
 export interface DocumentDifference {
   readonly name: string
   readonly change: 'added' | 'changed'
-  /** Top-level fields that differ. */
+  /** Top-level fields whose values differ. */
   readonly fields: readonly string[]
 }
 
 /**
- * @param current - documents in force
- * @param desired - documents that would be applied
- * @returns what applying would add or change
+ * @param current - documents of the current configuration
+ * @param desired - documents to apply
+ * @returns the documents that would be added or changed
  */
 export function diffDocuments (current: readonly ConfigurationDocument[], desired: readonly ConfigurationDocument[]): DocumentDifference[] {
   const byName = new Map(current.map(document => [`${document.kind}/${document.name}`, document]))
@@ -33,8 +33,8 @@
 }
 
 /**
- * @param difference - one difference
- * @returns a line for operators
+ * @param difference - change of one document
+ * @returns one line of text for operators
  */
 export function formatDifference (difference: DocumentDifference): string {
   if (difference.change === 'added') return `+ ${difference.name}`
--- a/apps/eelgrassmux/src/lib/exitCodes.ts
+++ b/apps/eelgrassmux/src/lib/exitCodes.ts
@@ -1,7 +1,7 @@
-/** Exit codes of the command line besides 0. */
+/** Exit codes of the command line other than 0. */
 
-/** A refusal or failure. */
+/** The command was refused or failed. */
 export const EXIT_FAILED = 1
 
-/** Wrong use. */
+/** The arguments are invalid. */
 export const EXIT_USAGE = 2
--- a/apps/eelgrassmux/src/lib/trace/CrashedEndpoints.ts
+++ b/apps/eelgrassmux/src/lib/trace/CrashedEndpoints.ts
@@ -1,19 +1,19 @@
-/** Which lines say why the endpoints ended that a request was lost with: who else was there, and what was judged. */
+/** Finds lines that explain why endpoints crashed while they ran a request: other requests lost with them, and quarantine decisions. */
 import type { TimeRange } from './DroppedLineReports.js'
 import type { TracedLine } from './TracedLine.js'
 
-/** A request's fingerprint wherever it stands in a field. */
+/** Matches request fingerprints anywhere in the text of a field. */
 const FINGERPRINT_PATTERN = /\b[0-9a-f]{32}\b/g
 
-/** Lines about requests whose fate at an endpoint shows who was there when it ended. */
+/** Event of a failed attempt. With a fingerprint, it shows that the request was running on the endpoint when the endpoint crashed. */
 const ATTEMPT_FAILED_EVENT = 'attempt-failed'
 
-/** Endpoints and fingerprints that lines of one request name. */
+/** Crashed endpoints and fingerprints that the lines of one request name. */
 export class CrashedEndpoints {
   readonly #endpoints: ReadonlySet<string>
   readonly #fingerprints: ReadonlySet<string>
 
-  /** @param lines - of the request */
+  /** @param lines - log lines of the request */
   constructor (lines: readonly TracedLine[]) {
     const lostAttempts = lines.filter(({ event, fields }) => event === ATTEMPT_FAILED_EVENT && fields['fingerprint'] !== undefined)
     this.#endpoints = new Set(lostAttempts.map(({ fields }) => String(fields['endpoint'])))
@@ -21,16 +21,17 @@
   }
 
   /**
-   * @param text - a line as written
-   * @returns whether it is worth reading
+   * @param text - unparsed text of a line
+   * @returns whether the line may be related to the crashes and has to be parsed
    */
   mayBeRelated (text: string): boolean {
     return [...this.#endpoints, ...this.#fingerprints].some(name => text.includes(name))
   }
 
   /**
-   * @param line - that names an endpoint or a fingerprint
-   * @param range - time in which others count that were at an endpoint
+   * @param line - a log line that names an endpoint or a fingerprint
+   * @param range - time during which attempts of other requests on the endpoints are related
+   * @returns whether the line is related to the crashes
    */
   isRelated ({ event, fields, time }: TracedLine, range: TimeRange): boolean {
     if (this.#fingerprints.has(String(fields['fingerprint'] ?? ''))) return true
--- a/apps/eelgrassmux/src/lib/trace/DroppedLineReports.ts
+++ b/apps/eelgrassmux/src/lib/trace/DroppedLineReports.ts
@@ -1,16 +1,16 @@
-/** What processes said of lines that they did not write. */
+/** Reports in which processes count log lines that they did not write. */
 import type { TracedLine } from './TracedLine.js'
 
-/** Events of lines that count lines not written. */
+/** Events that report a number of lines that were not written. */
 const DROP_REPORT_EVENTS = ['log-lines-dropped', 'request-lines-left-out'] as const
 
-/** From when to when something happened, in milliseconds since 1970. */
+/** Range of time, in milliseconds since the Unix epoch. */
 export interface TimeRange {
   readonly from: number
   readonly to: number
 }
 
-/** Lines of one process that were not written. */
+/** Number of lines that the processes of one host did not write to a file, from reports of one event. */
 export interface DroppedLines {
   readonly file: string
   readonly host: string | undefined
@@ -18,30 +18,30 @@
   readonly lines: number
 }
 
-/** Collects the reports of all processes. */
+/** Collects the reports from all log files. */
 export class DroppedLineReports {
   readonly #reports: TracedLine[] = []
 
   /**
-   * @param text - text of a line
-   * @returns whether it may hold a report
+   * @param text - unparsed text of a line
+   * @returns whether the line may contain a report
    */
   static mayContainReport (text: string): boolean {
     return DROP_REPORT_EVENTS.some(event => text.includes(event))
   }
 
-  /** @param lines - lines that may be reports */
+  /** @param lines - log lines; those that are not reports are ignored */
   add (lines: readonly TracedLine[]): void {
     this.#reports.push(...lines.filter(({ event }) => DROP_REPORT_EVENTS.some(reportEvent => reportEvent === event)))
   }
 
   /**
-   * Losses that a request may have part in. A report covers what was lost since the one
-   * before, so the first one after the request counts as well.
+   * Returns the dropped lines that may include lines of a request. A report covers the time
+   * since the previous report, so the first report after the request counts as well.
    *
-   * @param lines - the request's; none if it was not found, so that all reports count
-   * @param range - when it was there
-   * @returns losses of the hosts that it met
+   * @param lines - lines of the request; if empty, all reports count
+   * @param range - time during which the request was in progress
+   * @returns dropped lines of the hosts that logged the request
    */
   affecting (lines: readonly TracedLine[], range: TimeRange): DroppedLines[] {
     const hosts = new Set(lines.map(hostKey))
--- a/apps/eelgrassmux/src/lib/trace/LogLine.ts
+++ b/apps/eelgrassmux/src/lib/trace/LogLine.ts
@@ -1,25 +1,25 @@
-/** A log line as the programs write it. */
+/** Schema of the log lines that the programs write. */
 import { z } from 'zod'
 
 const fieldSchema = z.union([z.string(), z.number(), z.boolean()])
 
-/** What of a line is read; the rest of its context are the fields of its event. */
+/** Fields that are read from a line; the other fields of its context are the fields of the event. */
 export const logLineSchema = z.object({
   context: z.looseObject({ event: z.string(), program: z.string().default(''), request: z.string().optional(), logLevel: z.number().optional() }),
   time: z.number().default(Number.NaN)
 }).transform(({ context: { event, program, request, logLevel, ...rest }, time }) => ({
-  /** Milliseconds since 1970 by the writer's clock; not a number if the line has none. */
+  /** Milliseconds since the Unix epoch by the clock of the writing host; NaN if the line has no time. */
   time,
   program,
   event,
-  /** The caller's id; undefined for a change of what the process believes. */
+  /** Request id from the caller; undefined for a line about the state of the process. */
   request,
   isFault: logLevel !== undefined && logLevel >= ERROR_LEVEL,
   fields: Object.fromEntries(Object.entries(rest).map(([name, value]) => [name, fieldSchema.catch(JSON.stringify(value)).parse(value)]))
 }))
 
-/** A line that was read. */
+/** A parsed log line. */
 export type LogLine = z.infer<typeof logLineSchema>
 
-/** Level of `error` in the log library. */
+/** Numeric value of the `error` level in the log library. */
 const ERROR_LEVEL = 50
--- a/apps/eelgrassmux/src/lib/trace/RequestTrace.ts
+++ b/apps/eelgrassmux/src/lib/trace/RequestTrace.ts
@@ -1,16 +1,16 @@
-/** The story of one request, from the collected log files of several processes. */
+/** Log lines about one request, from the collected log files of several processes. */
 import { CrashedEndpoints } from './CrashedEndpoints.js'
 import { DroppedLineReports, type DroppedLines, type TimeRange } from './DroppedLineReports.js'
 import { readLogFile } from './readLogFile.js'
 import { processKey, type TracedLine } from './TracedLine.js'
 
-/** Why a file could not be read. */
+/** A file that could not be read, with the reason. */
 export interface UnreadableFile {
   readonly file: string
   readonly reason: string
 }
 
-/** Collects what the files say of a request. */
+/** Collects the log lines about a request. */
 export class RequestTrace {
   readonly #requestLines: TracedLine[] = []
   readonly #contextLines: TracedLine[] = []
@@ -18,21 +18,21 @@
   readonly #unreadableFiles: UnreadableFile[] = []
   #truncatedLineCount = 0
 
-  /** @param requestId - the caller's id */
+  /** @param requestId - request id from the caller */
   constructor (private readonly requestId: string) {}
 
-  /** Lines in order of time; lines of one moment in the order in which they were written. */
+  /** Lines in order of time; lines with the same time are in order of file and line number. */
   get lines (): readonly TracedLine[] {
     return [...this.#requestLines, ...this.#contextLines].sort((left, right) => compareTimes(left, right) || compareFiles(left, right))
   }
 
-  /** Whether any line of the request was found. */
+  /** Whether a line of the request was found. */
   get isFound (): boolean { return this.#requestLines.length > 0 }
 
-  /** Lines that name the request but are cut. */
+  /** Number of lines that name the request but are truncated. */
   get truncatedLineCount (): number { return this.#truncatedLineCount }
 
-  /** Lines that were not written and may be of the request. */
+  /** Lines that were not written and may include lines of the request. */
   get droppedLines (): readonly DroppedLines[] {
     return this.#droppedLineReports.affecting(this.#requestLines, this.#timeRange())
   }
@@ -42,7 +42,7 @@
   /**
    * Reads the lines of the request.
    *
-   * @param files - paths; what can't be read is noted
+   * @param files - paths; a file that can't be read is added to {@link unreadableFiles}
    */
   async readRequest (files: readonly string[]): Promise<void> {
     const name = `"request":${JSON.stringify(this.requestId)}`
@@ -56,9 +56,10 @@
   }
 
   /**
-   * Reads what the processes that the request met came to believe meanwhile; call after {@link readRequest}.
+   * Reads lines about the state of the processes that handled the request, from around the time of
+   * the request. Call it after {@link readRequest}.
    *
-   * @param marginMs - how long before and after the request counts, in milliseconds
+   * @param marginMs - time before and after the request to include, in milliseconds
    */
   async readContext (marginMs: number): Promise<void> {
     const processes = new Set(this.#requestLines.map(processKey))
@@ -71,11 +72,11 @@
   }
 
   /**
-   * Reads what is known of the endpoints that the request was lost with, and of the request under other ids;
-   * call after {@link readRequest}.
+   * Reads lines about the endpoints that crashed while they ran the request, and about the same
+   * request under other ids. Call it after {@link readRequest}.
    *
-   * @param files - paths, also of processes that the request did not meet
-   * @param marginMs - how long before and after the request counts for others, in milliseconds
+   * @param files - paths, including those of processes that did not handle the request
+   * @param marginMs - time before and after the request in which lines of other requests are included, in milliseconds
    */
   async readRelatedCrashes (files: readonly string[], marginMs: number): Promise<void> {
     const crashedEndpoints = new CrashedEndpoints(this.#requestLines)
@@ -87,7 +88,7 @@
     })
   }
 
-  /** A request that was refused at once has one line, which says how long it had been there. */
+  /** Time from arrival to the last line. A request that was refused at once has only one line, so its arrival follows from `elapsedMs`. */
   #timeRange (): TimeRange {
     const times = this.#requestLines.filter(({ time }) => !Number.isNaN(time))
     const startTimes = times.map(({ time, fields }) => typeof fields['elapsedMs'] === 'number' ? time - fields['elapsedMs'] : time)
--- a/apps/eelgrassmux/src/lib/trace/TraceCommand.ts
+++ b/apps/eelgrassmux/src/lib/trace/TraceCommand.ts
@@ -1,11 +1,11 @@
-/** `trace`: what collected log files say of one request. */
+/** `trace`: prints the log lines of one request from collected log files. */
 import { stat } from 'node:fs/promises'
 import { Command, Option } from 'clipanion'
 import { EXIT_FAILED, EXIT_USAGE } from '../exitCodes.js'
 import { formatLines } from './formatLines.js'
 import { RequestTrace } from './RequestTrace.js'
 
-/** Puts the lines of one request in order. Reads files only, no control host. */
+/** Prints the log lines of one request in order of time. Reads only files and makes no calls to control hosts. */
 export class TraceCommand extends Command {
   static override paths = [['trace']]
   static override usage = Command.Usage({
@@ -50,7 +50,7 @@
     for (const text of texts) this.context.stdout.write(`${text}\n`)
   }
 
-  /** Whatever may be missing from what was printed. */
+  /** Prints which lines may be missing from the output. */
   #printWarnings (trace: RequestTrace): void {
     for (const { file, reason } of trace.unreadableFiles) this.#printError(`${file} can't be read: ${reason}`, EXIT_FAILED)
     if (trace.truncatedLineCount > 0) this.#printError(`${trace.truncatedLineCount} lines name the request but are cut`, EXIT_FAILED)
@@ -65,7 +65,7 @@
   }
 }
 
-/** @returns the first of the files that can be read only once; files that are not there are left to the reading */
+/** @returns the first file that can be read only once, such as a pipe; a missing file is reported when it is read */
 async function findSinglePassFile (files: readonly string[]): Promise<string | undefined> {
   for (const file of files) {
     const isSinglePass = await stat(file).then(found => !found.isFile() && !found.isDirectory(), () => false)
--- a/apps/eelgrassmux/src/lib/trace/formatLines.ts
+++ b/apps/eelgrassmux/src/lib/trace/formatLines.ts
@@ -1,16 +1,16 @@
-/** Traced lines as text for people. */
+/** Formats traced lines as text for operators. */
 import type { TracedLine } from './TracedLine.js'
 
-/** Marks a line that is not of the request itself. */
+/** Marks a line that does not belong to the request itself. */
 const CONTEXT_LINE_MARK = '~'
 
-/** Words that need no quotes. */
+/** Matches values that need no quotes. */
 const UNQUOTED_VALUE = /^[^\s"=]+$/
 
 /**
- * @param lines - in order
- * @param requestId - of the request that is traced
- * @returns a text line for each: time, milliseconds from the request's first one, where it stands, program, event, fields
+ * @param lines - traced lines in order of time
+ * @param requestId - id of the traced request
+ * @returns one text line for each: time, milliseconds since the first line of the request, host and position, program, event, fields
  */
 export function formatLines (lines: readonly TracedLine[], requestId: string): string[] {
   const start = lines.find(({ time, request }) => request === requestId && !Number.isNaN(time))?.time ?? 0
@@ -28,7 +28,7 @@
   })
 }
 
-/** Whose line it is, if it is another request's. */
+/** Returns the id of the line's request, if that is another request than the traced one. */
 function formatOtherRequest (line: TracedLine | undefined, requestId: string): string {
   return line?.request === undefined || line.request === requestId ? '' : `request=${formatValue(line.request)} `
 }
--- a/apps/eelgrassmux/src/lib/trace/parseLogLines.ts
+++ b/apps/eelgrassmux/src/lib/trace/parseLogLines.ts
@@ -1,20 +1,20 @@
-/** Finds log lines in a line of a collected file. */
+/** Finds the log lines in one line of a collected file. */
 import { logLineSchema, type LogLine } from './LogLine.js'
 
-/** Every log line begins so. */
+/** Text with which every log line starts. */
 const LOG_LINE_START = '{"context":'
 
-/** What a line of a file holds. */
+/** Content of one line of a file. */
 export interface ParsedText {
-  /** What stands before the log line, such as a time and a host's name. */
+  /** Text before the log line, such as a time and a host name. */
   readonly prefix: string
-  /** Usually one; two if the end of a line was lost with the process that wrote it. */
+  /** Usually one log line; two if the first one was truncated because its process ended while writing it. */
   readonly lines: readonly LogLine[]
 }
 
 /**
  * @param text - a line of a file
- * @returns the log lines that are whole
+ * @returns the complete log lines and the text before the first one
  */
 export function parseLogLines (text: string): ParsedText {
   const [prefix = '', ...pieces] = text.split(LOG_LINE_START)
@@ -30,7 +30,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    // Cut lines are expected; the caller counts those that it misses.
+    // Truncated lines are expected; the caller counts those that mention its request.
     return undefined
   }
 }
--- a/apps/eelgrassmux/src/lib/trace/readLogFile.ts
+++ b/apps/eelgrassmux/src/lib/trace/readLogFile.ts
@@ -1,20 +1,20 @@
-/** Reads the log lines of one collected file. */
+/** Reads the log lines of one collected log file. */
 import { hostOfPrefix } from './hostOfPrefix.js'
 import { parseLogLines } from './parseLogLines.js'
 import { readTextLines } from './readTextLines.js'
 import type { TracedLine } from './TracedLine.js'
 
-/** What one line of the file gave. */
+/** One line of the file with the log lines in it. */
 export interface ParsedFileLine {
   readonly text: string
   readonly lines: readonly TracedLine[]
 }
 
 /**
- * @param file - path
- * @param isWanted - cheap look at a line's text, before it is parsed
- * @returns for each wanted line of the file the log lines in it, none if it is cut or other text
- * @throws the file system's error if it can't be read
+ * @param file - path of the file
+ * @param isWanted - fast check of a line's text that decides whether to parse the line
+ * @returns each wanted line with its log lines; none if the line is truncated or other text
+ * @throws the file system's error if the file can't be read
  */
 export async function * readLogFile (file: string, isWanted: (text: string) => boolean): AsyncGenerator<ParsedFileLine> {
   for await (const { number, text } of readTextLines(file)) {
--- a/apps/eelgrassmux/src/lib/trace/readTextLines.test.ts
+++ b/apps/eelgrassmux/src/lib/trace/readTextLines.test.ts
@@ -17,18 +17,18 @@
     return lines
   }
 
-  it('gives every line its number, also empty ones and a last one without an end', async () => {
+  it('numbers all lines, including empty ones and a last line without a terminator', async () => {
     expect(await read('a\n\nb')).toEqual([{ number: 1, text: 'a' }, { number: 2, text: '' }, { number: 3, text: 'b' }])
     expect(await read('a\n')).toEqual([{ number: 1, text: 'a' }])
     expect(await read('')).toEqual([])
   })
 
-  it('puts lines together that lie in several chunks, with signs of several bytes', async () => {
+  it('joins lines that span several chunks, with multi-byte characters', async () => {
     const texts = Array.from({ length: 5000 }, (_, number) => `${number} ${'ö€'.repeat(number % 50)}`)
     expect((await read(texts.join('\n'))).map(({ text }) => text)).toEqual(texts)
   })
 
-  it('keeps the beginning only of a line without end, and counts on behind it', async () => {
+  it('truncates an overlong line and numbers the lines after it correctly', async () => {
     const lines = await read(`a\n${'x'.repeat(3_000_000)}\nb`)
     expect(lines.map(({ number, text }) => [number, text.slice(0, 1)])).toEqual([[1, 'a'], [2, 'x'], [3, 'b']])
     expect(lines[1]?.text.length).toBeLessThan(300_000)
--- a/apps/eelgrassmux/src/lib/trace/readTextLines.ts
+++ b/apps/eelgrassmux/src/lib/trace/readTextLines.ts
@@ -1,21 +1,21 @@
-/** Reads a file line by line, whatever it holds, in bounded memory. */
+/** Reads a file of any content line by line, in bounded memory. */
 import { createReadStream } from 'node:fs'
 
-/** Longest line that is kept, in characters: log lines have some hundred; what is longer is no log line, or many cut ones. */
+/** Maximum length of a line, in characters. Log lines have a few hundred; a longer line is no log line, or consists of many truncated ones. */
 const MAX_LINE_LENGTH = 256 * 1024
 
 /** One line of a file. */
 export interface TextLine {
-  /** From 1. */
+  /** Line number, from 1. */
   readonly number: number
-  /** Without its end; cut after {@link MAX_LINE_LENGTH}. */
+  /** Text without the line terminator, truncated to {@link MAX_LINE_LENGTH}. */
   readonly text: string
 }
 
 /**
- * @param path - the file
- * @returns its lines, the last one also if it has no end
- * @throws the file system's error if it can't be read
+ * @param path - path of the file
+ * @returns the lines of the file, including a last line without a terminator
+ * @throws the file system's error if the file can't be read
  */
 export async function * readTextLines (path: string): AsyncGenerator<TextLine> {
   let number = 0
--- a/apps/eelgrassmux/src/lib/waitUntilInForce.ts
+++ b/apps/eelgrassmux/src/lib/waitUntilInForce.ts
@@ -1,27 +1,27 @@
-/** Waits until no live host acts on an older configuration. */
+/** Waits until no live host uses an older view. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { HostReport } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { ControlClient, MajorityView } from './ControlClient.js'
 
-/** Interval between looks, in milliseconds. */
+/** Interval between checks, in milliseconds. */
 const POLL_INTERVAL_MS = 100
 
-/** Outcome of waiting. */
+/** Outcome of the wait. */
 export type InForceOutcome =
   | { readonly kind: 'in-force', readonly hosts: number, readonly elapsedMs: number }
   | { readonly kind: 'waiting', readonly behind: readonly string[] }
 
 /**
- * Waits until every host that may be alive has a view in force, or its lease has run out.
+ * Waits until each host has the view in force or its lease has expired.
  *
- * A host with a valid lease has been confirmed by a majority of voters, so it is
- * in the table of at least one voter of any majority that is asked here.
+ * A majority of the voters confirms the lease of a host, so every majority that
+ * answers here contains at least one voter that knows the host.
  *
- * @param client - way to the control hosts
- * @param viewRevision - view that must be in force
- * @param freshnessMs - lease of the hosts
- * @param timeoutMs - how long to wait
- * @returns whether it is in force, or who is behind
+ * @param client - client of the control hosts
+ * @param viewRevision - minimum view revision
+ * @param freshnessMs - duration of a host's lease, in milliseconds
+ * @param timeoutMs - maximum wait, in milliseconds
+ * @returns the number of hosts on which the view is in force, or the hosts that lag behind
  */
 export async function waitUntilInForce (client: ControlClient, viewRevision: number, freshnessMs: number, timeoutMs: number): Promise<InForceOutcome> {
   const startedAt = performance.now()
@@ -41,18 +41,18 @@
   return { kind: 'waiting', behind }
 }
 
-/** Each host's newest report over the majority, if its lease may still run. */
+/** Returns the newest report of each host in the majority's answers, if its lease may still be valid. */
 function liveHosts ({ answers }: MajorityView, freshnessMs: number): HostReport[] {
   const newest = new Map<string, HostReport>()
   for (const report of answers.flatMap(answer => answer.hosts)) {
     const key = `${report.role}/${report.host}`
-    const present = newest.get(key)
-    if (report.ageMs <= freshnessMs && (present === undefined || report.ageMs < present.ageMs)) newest.set(key, report)
+    const known = newest.get(key)
+    if (report.ageMs <= freshnessMs && (known === undefined || report.ageMs < known.ageMs)) newest.set(key, report)
   }
   return [...newest.values()]
 }
 
-/** A voter that started just now may have forgotten hosts with valid leases. */
+/** Returns the voters that started less than one lease ago: such a voter may no longer know hosts with valid leases. */
 function recentlyStartedVoters ({ answers }: MajorityView, freshnessMs: number): string[] {
   return answers.filter(answer => answer.uptimeMs < freshnessMs).map(answer => `control host ${answer.replicaId} started just now`)
 }
--- a/apps/eelgrassmux/src/main.ts
+++ b/apps/eelgrassmux/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command line. */
+/** Command line for operators. */
 import { Builtins, Cli } from 'clipanion'
 import {
   ApplyCommand, DiffCommand, DoctorCommand, HostsCommand, MembersCommand, OrdersCommand, ShowCommand, WatchCommand
