--- a/apps/load/src/lib/completionStream.ts
+++ b/apps/load/src/lib/completionStream.ts
@@ -1,7 +1,7 @@
-/** A caller's side of one streamed completion. */
+/** Client of the streaming completion API. */
 import { Agent, request, type Dispatcher } from 'undici'
 
-/** What a streamed completion brought. */
+/** Result of one streamed completion. */
 export interface StreamedAnswer {
   readonly status: number
   readonly runId: string
@@ -12,11 +12,11 @@
   readonly cachedTokens: number
   readonly firstTokenMs: number
   readonly isDone: boolean
-  /** Body of a refusal, or of the error event that ended the stream, or what the connection said. */
+  /** Body of an error response, data of the error event that ended the stream, or message of a connection error. */
   readonly problem: unknown
 }
 
-/** A caller's request. */
+/** Parameters of a completion request. */
 export interface CompletionCall {
   readonly url: string
   readonly credential: string
@@ -42,9 +42,9 @@
 /**
  * Streams a completion.
  *
- * @param call - what to ask
- * @param signal - leaves early
- * @returns what came back; status 0 if there was no answer at all
+ * @param call - parameters of the request
+ * @param signal - aborts the request
+ * @returns the answer; status 0 if there was no response
  */
 export async function streamCompletion (call: CompletionCall, signal?: AbortSignal): Promise<StreamedAnswer> {
   return await readResponse(`${call.url}/v1/completions`, {
@@ -56,13 +56,13 @@
 }
 
 /**
- * Continues a run from an offset.
+ * Resumes the stream of a run from an offset.
  *
- * @param url - entry host
- * @param credential - caller's credential
- * @param runId - run to continue
- * @param offset - first token wanted
- * @returns what came back
+ * @param url - URL of an entry host
+ * @param credential - credential of the caller
+ * @param runId - id of the run
+ * @param offset - offset of the first token to read
+ * @returns the answer from that offset; status 0 if there was no response
  */
 export async function resumeCompletion (url: string, credential: string, runId: string, offset: number): Promise<StreamedAnswer> {
   return await readResponse(`${url}/v1/runs/${runId}?offset=${offset}`, { headers: { authorization: `Bearer ${credential}` } })
--- a/apps/load/src/lib/isExpectedAnswer.ts
+++ b/apps/load/src/lib/isExpectedAnswer.ts
@@ -2,12 +2,12 @@
 import type { StreamedAnswer } from './completionStream.js'
 
 /**
- * Checks an answer against what the stand-in engine must have said.
+ * Checks an answer against the tokens that the stand-in engine generates for the prompt.
  *
- * @param answer - what came back
- * @param prompt - what was asked
- * @param length - tokens expected
- * @returns whether the answer is whole, of one version and the prompt's own
+ * @param answer - received answer
+ * @param prompt - prompt of the request
+ * @param length - expected number of tokens
+ * @returns whether the answer is complete and all its tokens belong to this prompt and one weight version
  */
 export function isExpectedAnswer (answer: Pick<StreamedAnswer, 'isDone' | 'text' | 'version'>, prompt: string, length: number): boolean {
   const tokenAt = answerTokens(prompt, answer.version)
--- a/apps/load/src/lib/promptText.ts
+++ b/apps/load/src/lib/promptText.ts
@@ -1,4 +1,4 @@
-/** Text of trace prompts: the same id gives the same text, a longer one only more of it. */
+/** Generates prompt texts for traces. The same prompt id always gives the same text, and a shorter prompt is a prefix of a longer one. */
 import { createHash } from 'node:crypto'
 import { CHARACTERS_PER_TOKEN } from '@eelgrassmux/cache/blockKeys'
 import type { TraceLine } from './trace.js'
@@ -7,7 +7,7 @@
 
 /**
  * @param line - one request of a trace
- * @returns its prompt
+ * @returns the prompt of the request
  */
 export function promptText (line: TraceLine): string {
   const shared = fillerText(`${line.customer}/${line.service}`, Math.min(line.sharedTokens, line.promptTokens) * CHARACTERS_PER_TOKEN)
--- a/apps/load/src/lib/replay.ts
+++ b/apps/load/src/lib/replay.ts
@@ -1,4 +1,4 @@
-/** Replays a trace, open loop, against entry hosts. */
+/** Open-loop replay of a trace against entry hosts. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { build } from 'hdr-histogram-js'
 import { streamCompletion, type StreamedAnswer } from './completionStream.js'
@@ -6,41 +6,41 @@
 import { promptText } from './promptText.js'
 import type { TraceLine } from './trace.js'
 
-/** Where and as whom to replay. */
+/** Entry hosts to replay against, and the credentials to use. */
 export interface ReplayTarget {
   readonly urls: readonly string[]
-  /** Credential of each customer. */
+  /** Credential by customer. */
   readonly credentials: ReadonlyMap<string, string>
 }
 
-/** Measures of one replay. */
+/** Measurements of one replay. */
 export interface ReplayResult {
   readonly requests: number
   readonly ttftP50Ms: number
   readonly ttftP95Ms: number
   readonly recomputedShare: number
   readonly refused: number
-  /** Answers cut, mixed or doubled. */
+  /** Answers that are truncated, mix tokens of several versions or prompts, or repeat tokens. */
   readonly wrong: number
-  /** Attempts beyond the first, made as a caller behind a balancer makes them. */
+  /** Attempts after the first one, each sent to the next host, like those of a caller behind a load balancer. */
   readonly retried: number
-  /** Times to first token by customer, 95th percentile in milliseconds. */
+  /** 95th percentile of the time to first token by customer, in milliseconds. */
   readonly ttftP95ByCustomer: Record<string, number>
   readonly problems: readonly string[]
 }
 
-/** Hosts tried one after another when one refuses before anything ran, or is gone. */
+/** Maximum attempts per request, each at the next host, if a host refuses before it runs the request or becomes unreachable. */
 const MAX_ATTEMPTS = 3
 
-/** Histogram bound, in tenths of a millisecond. */
+/** Upper bound of the histograms, in tenths of a millisecond. */
 const MAX_TRACKABLE_TENTHS_MS = 10 * 600_000
 
 /**
- * Replays a trace to its end.
+ * Replays a trace and waits for all answers.
  *
- * @param lines - the trace
- * @param target - where to send it
- * @returns measures
+ * @param lines - requests of the trace
+ * @param target - entry hosts and credentials
+ * @returns the measurements
  */
 export async function replay (lines: readonly TraceLine[], target: ReplayTarget): Promise<ReplayResult> {
   const times = createHistogram()
@@ -48,10 +48,10 @@
   const totals = { promptTokens: 0, computedTokens: 0, refused: 0, wrong: 0, retried: 0 }
   const problems: string[] = []
   const startedAt = performance.now()
-  const replayLine = async (line: TraceLine, turn: number): Promise<void> => {
+  const replayLine = async (line: TraceLine, index: number): Promise<void> => {
     await sleep(Math.max(0, startedAt + line.at - performance.now()))
     const prompt = promptText(line)
-    const { answer, attempts, firstTokenMs } = await completeWithRetries(line, prompt, turn, target)
+    const { answer, attempts, firstTokenMs } = await completeWithRetries(line, prompt, index, target)
     totals.retried += attempts - 1
     if (answer.status !== 200) {
       totals.refused += 1
@@ -79,22 +79,22 @@
     refused: totals.refused,
     wrong: totals.wrong,
     retried: totals.retried,
-    ttftP95ByCustomer: Object.fromEntries([...timesByCustomer].map(([name, own]) => [name, own.getValueAtPercentile(95) / 10])),
+    ttftP95ByCustomer: Object.fromEntries([...timesByCustomer].map(([name, customerTimes]) => [name, customerTimes.getValueAtPercentile(95) / 10])),
     problems
   }
 }
 
-/** Time to first token counts from the first attempt. */
-async function completeWithRetries (line: TraceLine, prompt: string, turn: number, target: ReplayTarget): Promise<{ answer: StreamedAnswer, attempts: number, firstTokenMs: number }> {
+/** Sends a request, with retries. Measures the time to first token from the start of the first attempt. */
+async function completeWithRetries (line: TraceLine, prompt: string, index: number, target: ReplayTarget): Promise<{ answer: StreamedAnswer, attempts: number, firstTokenMs: number }> {
   const startedAt = performance.now()
   for (let attempt = 1; ; attempt += 1) {
-    const url = target.urls[(turn + attempt) % target.urls.length] ?? ''
+    const url = target.urls[(index + attempt) % target.urls.length] ?? ''
     const attemptedAt = performance.now()
     const answer = await streamCompletion({
       url, credential: target.credentials.get(line.customer) ?? '', service: line.service, prompt, maxTokens: line.answerTokens
     })
     const firstTokenMs = attemptedAt - startedAt + answer.firstTokenMs
-    // A model answer that was cut may be asked for again: it has no effect outside.
+    // A truncated completion can be requested again, because completions have no side effects.
     const mayRetry = answer.status === 0 || (answer.status === 200 && !answer.isDone) || isUnavailableHost(answer)
     if (!mayRetry || attempt >= MAX_ATTEMPTS) return { answer, attempts: attempt, firstTokenMs }
   }
--- a/apps/load/src/lib/trace.ts
+++ b/apps/load/src/lib/trace.ts
@@ -1,25 +1,25 @@
-/** Traces of prompts that return after gaps: recorded as JSON lines, or made from a seed. */
+/** Traces of prompts that are sent again after gaps: recorded as JSON lines, or generated from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { z } from 'zod'
 
 /** One request of a trace. */
 export const traceLineSchema = z.strictObject({
-  /** Milliseconds from the start, after squeezing. */
+  /** Milliseconds since the start of the trace, after time compression. */
   at: z.number().min(0),
   customer: z.string(),
   service: z.string(),
   promptId: z.string(),
-  /** Length of the prompt in tokens. */
+  /** Length of the prompt, in tokens. */
   promptTokens: z.number().int().min(1),
-  /** Leading tokens that all prompts of this customer and service share. */
+  /** Number of leading tokens that all prompts of this customer and service share. */
   sharedTokens: z.number().int().min(0),
   answerTokens: z.number().int().min(1)
 })
 
 export type TraceLine = z.infer<typeof traceLineSchema>
 
-/** Shape of a made trace. */
+/** Parameters of a generated trace. */
 export interface TracePlan {
   readonly seed: number
   readonly seconds: number
@@ -29,22 +29,23 @@
 }
 
 /**
- * Real gaps run from minutes to days. One second of a trace stands for this many
- * seconds, so that a gap of 15 minutes becomes a second.
+ * Number of real seconds that one second of a trace represents. Real gaps between
+ * uses of a prompt last from minutes to days; a gap of 15 minutes becomes one second.
  */
 export const TIME_COMPRESSION = 900
 
-/** Share of requests that are a prompt's first. */
+/** Share of requests that are the first use of their prompt. */
 const FIRST_REQUEST_SHARE = 0.4
 
 /**
- * Shape of the long tail of gaps (Pareto), and the shortest gap in milliseconds:
- * half an hour before squeezing, so that a prompt returns after its answer.
+ * Shape of the Pareto distribution of gaps, and the minimum gap in milliseconds. The
+ * minimum is half an hour before time compression, so that a prompt is sent again only
+ * after its answer.
  */
 const GAP_PARETO_SHAPE = 0.9
 const MIN_GAP_MS = 2000
 
-/** Skew of customers: the largest takes about half, the next a quarter of the rest. */
+/** Exponent of the Zipf distribution of customers: the largest sends about half of the requests, the next a quarter of the rest. */
 const CUSTOMER_ZIPF_EXPONENT = 1.3
 
 const SHARED_TOKENS = 256
@@ -52,14 +53,14 @@
 const MAX_PROMPT_TOKENS = 7000
 const ANSWER_TOKENS = { least: 8, most: 40 }
 
-/** Tokens that a returning prompt may have grown by. */
+/** Upper bound of the tokens by which a prompt grows between two uses. */
 const MAX_GROWTH_TOKENS = 200
 
 /**
- * Makes a trace. The same plan gives the same trace.
+ * Generates a trace. The same plan always gives the same trace.
  *
- * @param plan - its shape
- * @returns lines by rising time
+ * @param plan - parameters of the trace
+ * @returns requests in order of time
  */
 export function makeTrace (plan: TracePlan): TraceLine[] {
   const generator = xoroshiro128plus(plan.seed)
@@ -93,8 +94,8 @@
  * Reads a recorded trace.
  *
  * @param text - JSON lines
- * @returns the lines
- * @throws Error that names the line and field of the first mistake
+ * @returns requests of the trace
+ * @throws Error with the line and field of the first invalid request
  */
 export function parseTrace (text: string): TraceLine[] {
   return text.split('\n').filter(line => line.trim() !== '').map((line, index) => {
--- a/apps/load/src/main.ts
+++ b/apps/load/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Makes traces of returning prompts and replays them. */
+/** Command line that generates traces of recurring prompts and replays them. */
 import { readFile } from 'node:fs/promises'
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { makeTrace, parseTrace } from './lib/trace.js'
--- a/apps/standin/src/lib/EngineStandin.ts
+++ b/apps/standin/src/lib/EngineStandin.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for a model engine: continuous batching with one prefill at a time,
- * a bounded prefix cache, late cache events, lagging load reports, imports,
+ * Stand-in for a model engine. Simulates continuous batching with one prefill at a
+ * time, a bounded prefix cache, delayed cache events and load reports, imports,
  * exports, orders and weight versions.
  */
 import { blockKeys, TOKENS_PER_BLOCK, tokenCount } from '@eelgrassmux/cache/blockKeys'
@@ -12,7 +12,7 @@
 import { objectContent, sha256 } from './blockContent.js'
 import { PrefixCache } from './PrefixCache.js'
 
-/** How the stand-in behaves. Times are in milliseconds. */
+/** Settings of the stand-in engine. Times are in milliseconds. */
 export interface EngineStandinSettings {
   readonly model: string
   readonly version: string
@@ -25,16 +25,16 @@
   readonly reportLagMs: number
   readonly weightStore: string
   readonly honoursFencing: boolean
-  /** A run whose prompt contains this text ends the engine; empty for none. */
+  /** A run whose prompt contains this text crashes the engine; empty to disable. */
   readonly poisonText: string
-  /** Told some time after such a run began; ends the process. */
-  readonly end: () => void
-  /** Sends some chunks twice and swaps neighbours, as a lossy stream would. */
+  /** Called {@link POISON_CRASH_DELAY_MS} after the start of such a run; ends the process. */
+  readonly crash: () => void
+  /** Sends some chunks twice and swaps adjacent ones, to simulate a stream with duplicates and reordering. */
   readonly disorder: boolean
   readonly incarnation: number
 }
 
-/** Why a request was not started. */
+/** Reason why a run was not started. */
 export type EngineRefusal = 'leaving' | 'full' | 'version-mismatch' | 'unknown-import'
 
 interface EngineRun {
@@ -50,25 +50,25 @@
   ended: boolean
 }
 
-/** Requests that may wait for prefill, as a multiple of the places. */
+/** Maximum number of runs, waiting ones included, per slot of `maxRunning`. */
 const MAX_RUNS_PER_SLOT = 4
 
-/** How long an ended run can still be read, in milliseconds. */
+/** Time after its end in which a run can still be read, in milliseconds. */
 const ENDED_RUN_RETENTION_MS = 5000
 
-/** Lifetime of an import that no run used, in milliseconds. */
+/** Time after which an import is discarded, in milliseconds. */
 const IMPORT_LIFETIME_MS = 30_000
 
-/** Time that an engine lives on with a poison run, in milliseconds. */
+/** Time from the start of a poison run to the crash of the engine, in milliseconds. */
 const POISON_CRASH_DELAY_MS = 300
 
-/** One stand-in engine. */
+/** Simulates one engine. */
 export class EngineStandin {
   readonly #cache: PrefixCache
   readonly #runs = new Map<string, EngineRun>()
   readonly #imports = new Map<string, readonly string[]>()
   #prefillQueue: Array<{ run: EngineRun, tokens: number }> = []
-  /** End of the prefill under way. */
+  /** End of the current prefill. */
   #prefillEndsAt = 0
   #prefilling = false
   #decoding = new Set<EngineRun>()
@@ -82,7 +82,7 @@
   #acceptedOrderCount = 0
   readonly #timers: NodeJS.Timeout[]
 
-  /** @param settings - how it behaves */
+  /** @param settings - settings of the engine */
   constructor (private readonly settings: EngineStandinSettings) {
     this.#cache = new PrefixCache(settings.cacheBlocks)
     this.#version = settings.version
@@ -99,12 +99,12 @@
   get version (): string { return this.#version }
   get acceptedOrderCount (): number { return this.#acceptedOrderCount }
 
-  /** @returns the load as last measured, with its age */
+  /** @returns the last measured load, with the age of the measurement */
   report (): EngineReport {
     return { ...this.#report, state: this.#leaving ? 'leaving' : 'serving', ageMs: performance.now() - this.#reportAt }
   }
 
-  /** Refuses new work from now on. */
+  /** Refuses new runs from now on. */
   startLeaving (): void {
     this.#leaving = true
   }
@@ -119,8 +119,8 @@
   /**
    * Starts a run.
    *
-   * @param request - what to run
-   * @returns why it was not started, or undefined
+   * @param request - run to start
+   * @returns the reason why the run was not started, or undefined if it was started
    */
   start (request: RunRequest): EngineRefusal | undefined {
     const importedKeys = request.importId === undefined ? [] : this.#imports.get(request.importId)
@@ -144,7 +144,7 @@
     }
     this.#runs.set(request.run, run)
     if (this.settings.poisonText !== '' && request.prompt.includes(this.settings.poisonText)) {
-      setTimeout(this.settings.end, POISON_CRASH_DELAY_MS)
+      setTimeout(this.settings.crash, POISON_CRASH_DELAY_MS)
       return undefined
     }
     this.#cache.store(importedKeys, performance.now())
@@ -157,10 +157,10 @@
   }
 
   /**
-   * Reads a run's messages from an offset until its end.
+   * Reads the messages of a run from an offset to the end of the run.
    *
    * @param id - run id
-   * @param from - first token offset wanted
+   * @param from - offset of the first token to read
    * @returns a stream of messages, or undefined for an unknown run
    */
   read (id: string, from: number): AsyncGenerator<RunMessage> | undefined {
@@ -168,7 +168,7 @@
     return run === undefined ? undefined : this.#readFrom(run, from)
   }
 
-  /** @param id - run to end early */
+  /** @param id - id of the run to cancel */
   cancel (id: string): void {
     const run = this.#runs.get(id)
     if (run === undefined) return
@@ -283,24 +283,24 @@
   // --- Cache ---
 
   /**
-   * @param from - first sequence number wanted
-   * @returns visible events, or undefined after a gap
+   * @param from - first sequence number to read
+   * @returns the published events, or undefined if some are no longer available
    */
   cacheEvents (from: number): ReturnType<PrefixCache['eventsFrom']> {
     return this.#cache.eventsFrom(from, performance.now() - this.settings.eventLagMs)
   }
 
-  /** @returns all keys and the sequence number that follows them */
+  /** @returns all cached keys and the sequence number of the next event */
   cacheListing (): { keys: string[], nextSequence: number } {
     return { keys: this.#cache.keys(), nextSequence: this.#cache.nextSequence }
   }
 
   /**
-   * Reads objects from stores and stages them for one run.
+   * Reads objects from stores and stages their blocks for one run.
    *
-   * @param request - objects and where they lie
-   * @param signal - aborted when the caller gives up
-   * @returns bytes read, or why it failed
+   * @param request - objects with the addresses of their stores
+   * @param signal - aborts the import
+   * @returns the number of bytes read, or the reason of the failure
    */
   async stageImport (request: ImportRequest, signal: AbortSignal): Promise<{ bytes: number } | { error: string }> {
     let bytes = 0
@@ -319,7 +319,7 @@
     return { bytes }
   }
 
-  /** @param importId - import that no run will use */
+  /** @param importId - id of an import that no run will use */
   discardImport (importId: string): void {
     this.#imports.delete(importId)
   }
@@ -327,8 +327,8 @@
   /**
    * Writes blocks from the cache to a store.
    *
-   * @param request - blocks and target
-   * @returns the store's acknowledgement, or why it failed
+   * @param request - keys of the blocks, and the target object
+   * @returns the acknowledgement of the store, or the reason of the failure
    */
   async exportBlocks (request: ExportRequest): Promise<ExportResponse | { error: string }> {
     if (!this.#cache.holds(request.keys)) return { error: 'blocks-gone' }
@@ -348,10 +348,10 @@
   // --- Orders ---
 
   /**
-   * Takes an order of the control hosts.
+   * Accepts an order from the control hosts, unless its fencing token is stale.
    *
-   * @param request - order with its fencing number
-   * @returns false if the number is older than one already seen
+   * @param request - order with its fencing token
+   * @returns false if the fencing token is older than one of an earlier order
    */
   acceptOrder (request: OrderRequest): boolean {
     const { term, index } = request.fence
@@ -372,7 +372,7 @@
       await response.body.arrayBuffer()
       if (response.statusCode === 200 && this.#loadingVersion === version) this.#version = version
     } catch {
-      // The control hosts see that the version did not change and order again.
+      // The control hosts see that the version did not change, and repeat the order.
     }
     if (this.#loadingVersion === version) this.#loadingVersion = undefined
   }
--- a/apps/standin/src/lib/PrefixCache.ts
+++ b/apps/standin/src/lib/PrefixCache.ts
@@ -1,6 +1,6 @@
-/** Bounded prefix cache of the stand-in engine, with a numbered log of what entered and left. */
+/** Bounded prefix cache of the stand-in engine, with a numbered log of stored and removed blocks. */
 
-/** One change of the cache. */
+/** One change of the cache contents. */
 export interface LoggedCacheEvent {
   readonly sequence: number
   readonly kind: 'stored' | 'removed'
@@ -8,26 +8,26 @@
   readonly at: number
 }
 
-/** Changes kept for readers; older ones are a gap. */
+/** Maximum number of events kept for readers. A reader that needs an older event gets a gap. */
 const MAX_EVENTS = 2000
 
-/** Least recently used blocks leave first. */
+/** LRU cache of block keys. */
 export class PrefixCache {
   readonly #blocks = new Map<string, number>()
   #events: LoggedCacheEvent[] = []
   #nextSequence = 1
   #residenceMs = 0
 
-  /** @param capacityBlocks - most blocks held */
+  /** @param capacityBlocks - maximum number of blocks */
   constructor (private readonly capacityBlocks: number) {}
 
   get nextSequence (): number { return this.#nextSequence }
-  /** Mean time lately evicted blocks had been held since their last use, in milliseconds; 0 before the first eviction. */
+  /** Moving average of the time from the last use of a block to its eviction, in milliseconds; 0 before the first eviction. */
   get residenceMs (): number { return this.#residenceMs }
 
   /**
-   * @param keys - chain of a prompt
-   * @returns how many leading blocks are held
+   * @param keys - block keys of a prompt, in chain order
+   * @returns the number of leading blocks in the cache
    */
   leadingBlockCount (keys: readonly string[]): number {
     let count = 0
@@ -36,22 +36,22 @@
   }
 
   /**
-   * @param keys - any keys
-   * @returns whether all are held
+   * @param keys - block keys in any order
+   * @returns whether the cache holds all of them
    */
   holds (keys: readonly string[]): boolean {
     return keys.every(key => this.#blocks.has(key))
   }
 
   /**
-   * Adds blocks or marks them as used.
+   * Adds blocks, or marks them as used, and evicts the least recently used blocks above the capacity.
    *
-   * @param keys - blocks in chain order
-   * @param now - monotonic milliseconds
+   * @param keys - block keys in chain order
+   * @param now - monotonic time, in milliseconds
    */
   store (keys: readonly string[], now: number): void {
     const fresh = keys.filter(key => !this.#blocks.has(key))
-    // Later blocks of a chain are useless without earlier ones, so earlier ones count as used last.
+    // Later blocks of a chain can't be used without the earlier ones, so earlier blocks are marked as more recently used.
     for (const key of [...keys].reverse()) {
       this.#blocks.delete(key)
       this.#blocks.set(key, now)
@@ -67,15 +67,15 @@
     if (removed.length > 0) this.#recordEvent('removed', removed, now)
   }
 
-  /** @returns all keys held */
+  /** @returns the keys of all blocks in the cache */
   keys (): string[] {
     return [...this.#blocks.keys()]
   }
 
   /**
-   * @param from - first sequence number wanted
-   * @param visibleBefore - events after this time are not published yet
-   * @returns the events, or undefined if some are gone
+   * @param from - first sequence number to read
+   * @param visibleBefore - time after which events are not published yet, in monotonic milliseconds
+   * @returns the events, or undefined if some are no longer available
    */
   eventsFrom (from: number, visibleBefore: number): LoggedCacheEvent[] | undefined {
     const oldest = this.#events[0]?.sequence ?? this.#nextSequence
--- a/apps/standin/src/lib/StoreStandin.ts
+++ b/apps/standin/src/lib/StoreStandin.ts
@@ -1,11 +1,11 @@
-/** Stand-in for a KV cache store: memory and disk tiers behind one limited link. */
+/** Stand-in for a KV cache store, with memory and disk tiers behind one link of limited bandwidth. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { H3 } from 'h3'
 import { z } from 'zod'
 import { sha256 } from './blockContent.js'
 import { errorAnswer } from './httpApp.js'
 
-/** How the stand-in behaves. */
+/** Settings of the stand-in store. */
 export interface StoreStandinSettings {
   readonly memoryBytes: number
   readonly diskBytes: number
@@ -13,7 +13,7 @@
   readonly incarnation: number
 }
 
-interface HeldObject {
+interface StoredObject {
   readonly name: string
   readonly customer: string
   readonly keys: readonly string[]
@@ -26,24 +26,24 @@
 
 const metaSchema = z.object({ customer: z.string(), keys: z.array(z.string()), tokens: z.number(), firstBlock: z.number() })
 
-/** Bytes sent at a time over the link. */
+/** Bytes that a read sends over the link at a time. */
 const CHUNK_BYTES = 64 * 1024
 
-/** Extra time for an object on disk, in milliseconds. */
+/** Additional latency of reads from disk, in milliseconds. */
 const DISK_SEEK_MS = 4
 
-/** One stand-in store. */
+/** Simulates one store. */
 export class StoreStandin {
-  readonly #objects = new Map<string, HeldObject>()
+  readonly #objects = new Map<string, StoredObject>()
   #linkFreeAt = 0
   #linkBytesPerMs: number
 
-  /** @param settings - how it behaves */
+  /** @param settings - settings of the store */
   constructor (private readonly settings: StoreStandinSettings) {
     this.#linkBytesPerMs = settings.linkBytesPerSecond / 1000
   }
 
-  /** @returns the routes */
+  /** @returns the HTTP routes */
   routes (): H3 {
     const app = new H3()
     app.get('/load', () => ({
@@ -91,7 +91,7 @@
     return Response.json({ bytes: content.length, sha256: checksum, tier })
   }
 
-  #send (object: HeldObject): Response {
+  #send (object: StoredObject): Response {
     let offset = 0
     const body = new ReadableStream<Uint8Array>({
       pull: async controller => {
@@ -106,7 +106,7 @@
     return new Response(body, { headers: { 'content-length': String(object.content.length) } })
   }
 
-  /** All transfers share the link in the order they ask for it. */
+  /** Waits until the link has transferred the bytes. Transfers share the link in the order of their calls. */
   async #waitForLink (bytes: number): Promise<void> {
     const start = Math.max(this.#linkFreeAt, performance.now())
     this.#linkFreeAt = start + bytes / this.#linkBytesPerMs
--- a/apps/standin/src/lib/engineRoutes.ts
+++ b/apps/standin/src/lib/engineRoutes.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * @param engine - what the routes drive
- * @param incarnation - distinguishes this start from earlier ones
+ * @param engine - engine that serves the requests
+ * @param incarnation - number that distinguishes this start of the engine from earlier ones
  * @returns the routes
  */
 export function engineRoutes (engine: EngineStandin, incarnation: number): H3 {
@@ -51,8 +51,8 @@
     return 'error' in result ? errorAnswer(409, result.error) : result
   })
   app.post('/orders', async event => {
-    const taken = engine.acceptOrder(await readJson(event, orderRequestSchema))
-    return taken ? { ok: true } : errorAnswer(409, 'stale-fence')
+    const isAccepted = engine.acceptOrder(await readJson(event, orderRequestSchema))
+    return isAccepted ? { ok: true } : errorAnswer(409, 'stale-fence')
   })
   app.post('/standin/leave', () => {
     engine.startLeaving()
@@ -80,5 +80,5 @@
   return new Response(body, { headers: { 'content-type': 'text/event-stream' } })
 }
 
-/** A run whose reader is gone can be read again within this time, in milliseconds; longer than any test needs. */
+/** Time after a disconnect in which a reader can read the run again, in milliseconds. It is longer than any test needs. */
 const RECONNECT_GRACE_MS = 3000
--- a/apps/standin/src/lib/httpApp.ts
+++ b/apps/standin/src/lib/httpApp.ts
@@ -1,4 +1,4 @@
-/** Small helpers shared by the stand-ins' HTTP servers. */
+/** Helpers of the stand-ins' HTTP servers. */
 import { H3, HTTPError, serve, type H3Event } from 'h3'
 import type { z } from 'zod'
 import { portOf } from '@eelgrassmux/daemon/AdminServer'
@@ -10,10 +10,10 @@
 }
 
 /**
- * Serves an app and returns where it listens.
+ * Starts an HTTP server and waits until it listens.
  *
- * @param app - routes
- * @param host - IP number
+ * @param app - routes to serve
+ * @param host - IP address
  * @param port - port, 0 for a free one
  * @returns the running server
  */
@@ -24,11 +24,12 @@
 }
 
 /**
- * Reads and checks a JSON body.
+ * Reads and validates a JSON body.
  *
  * @param event - the request
- * @param schema - what the body must look like
- * @returns the checked body
+ * @param schema - schema of the body
+ * @returns the validated body
+ * @throws HTTPError with status 400 and the first invalid field
  */
 export async function readJson<Body> (event: H3Event, schema: z.ZodType<Body>): Promise<Body> {
   const parsed = schema.safeParse(await event.req.json())
@@ -39,8 +40,8 @@
 
 /**
  * @param status - HTTP status
- * @param reason - short stable reason
- * @returns an error answer
+ * @param reason - short, stable error code
+ * @returns an error response
  */
 export function errorAnswer (status: number, reason: string): Response {
   return Response.json({ error: reason }, { status })
--- a/apps/standin/src/lib/otherStandins.ts
+++ b/apps/standin/src/lib/otherStandins.ts
@@ -1,9 +1,9 @@
-/** Stand-ins for a plain service, the weight store and the platform's membership list. */
+/** Stand-ins for a service without a model, the weight store and the platform's membership list. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { H3, readBody } from 'h3'
 import { errorAnswer } from './httpApp.js'
 
-/** How the stand-in service behaves. */
+/** Settings of the stand-in service. */
 export interface ServiceStandinSettings {
   readonly name: string
   readonly workMs: number
@@ -11,10 +11,10 @@
 }
 
 /**
- * A service that counts each execution by request body, so that a doubled one is noticed.
+ * Stand-in service that counts executions by request body, so that tests can detect duplicate executions.
  *
- * @param settings - how it behaves
- * @returns its routes
+ * @param settings - settings of the stand-in
+ * @returns the routes
  */
 export function serviceRoutes (settings: ServiceStandinSettings): H3 {
   const executions = new Map<string, number>()
@@ -40,19 +40,19 @@
   return app
 }
 
-/** How the stand-in weight store behaves. */
+/** Settings of the stand-in weight store. */
 export interface WeightStandinSettings {
   readonly loadMs: number
 }
 
-/** Loads at once that the weight store bears without slowing down. */
+/** Maximum number of concurrent loads at which the weight store does not slow down. */
 const MAX_LOADS_AT_FULL_SPEED = 2
 
 /**
- * A weight store that slows down for everyone when more than two replicas load at once.
+ * Stand-in weight store on which loads take longer when more than {@link MAX_LOADS_AT_FULL_SPEED} run at once.
  *
- * @param settings - how it behaves
- * @returns its routes
+ * @param settings - settings of the stand-in
+ * @returns the routes
  */
 export function weightRoutes (settings: WeightStandinSettings): H3 {
   let concurrentLoads = 0
@@ -69,7 +69,7 @@
   return app
 }
 
-/** How the stand-in list behaves. */
+/** Settings of the stand-in membership list. */
 export interface MembershipStandinSettings {
   readonly lagMs: number
 }
@@ -81,10 +81,10 @@
 }
 
 /**
- * A membership list that shows changes late and can stop updating.
+ * Stand-in membership list that publishes changes with a delay and can stop updating.
  *
- * @param settings - how it behaves
- * @returns its routes
+ * @param settings - settings of the stand-in
+ * @returns the routes
  */
 export function membershipRoutes (settings: MembershipStandinSettings): H3 {
   const members = new Map<string, Member>()
--- a/apps/standin/src/lib/standinAnswer.ts
+++ b/apps/standin/src/lib/standinAnswer.ts
@@ -1,12 +1,12 @@
-/** Answers of the stand-in engine: a function of prompt and version, so that a mixed or cut answer is noticed. */
+/** Answers of the stand-in engine. They depend only on prompt and weight version, so that tests can detect mixed or truncated answers. */
 import { createHash } from 'node:crypto'
 
 /**
- * Prepares the tokens of one answer.
+ * Returns a generator of the tokens of one answer.
  *
- * @param prompt - whole prompt
+ * @param prompt - complete prompt
  * @param version - weight version
- * @returns a function from offset to token
+ * @returns a function that maps an offset to a token
  */
 export function answerTokens (prompt: string, version: string): (offset: number) => string {
   const seed = createHash('sha256').update(JSON.stringify([version, prompt])).digest('hex')
--- a/apps/standin/src/main.ts
+++ b/apps/standin/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Stand-ins for everything outside the system, for development and tests. */
+/** Command line that starts stand-ins for external systems, for development and tests. */
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import type { H3 } from 'h3'
 import { EngineStandin } from './lib/EngineStandin.js'
@@ -8,7 +8,7 @@
 import { membershipRoutes, serviceRoutes, weightRoutes } from './lib/otherStandins.js'
 import { StoreStandin } from './lib/StoreStandin.js'
 
-/** Common to all stand-ins: where to listen, and one line that says so. */
+/** Base class of the stand-in commands: serves the routes and prints the address on which it listens. */
 abstract class StandinCommand extends Command {
   host = Option.String('--host', '127.0.0.1')
   port = Option.String('--port', '0')
@@ -56,7 +56,7 @@
       honoursFencing: !this.ignoresFencing,
       disorder: this.disorder,
       poisonText: this.poisonText,
-      end: () => { process.exit(1) },
+      crash: () => { process.exit(1) },
       incarnation
     })
     return engineRoutes(engine, incarnation)
