--- a/apps/standin/src/lib/EngineStandin.ts
+++ b/apps/standin/src/lib/EngineStandin.ts
@@ -348,10 +348,10 @@
   // --- Orders ---
 
   /**
-   * Accepts an order from the control hosts, unless its fencing token is stale.
+   * Accepts an order from the control hosts. If `honoursFencing` is set, rejects an order with a stale fencing token.
    *
    * @param request - order with its fencing token
-   * @returns false if the fencing token is older than one of an earlier order
+   * @returns whether the order was accepted
    */
   acceptOrder (request: OrderRequest): boolean {
     const { term, index } = request.fence
--- a/apps/standin/src/lib/standinAnswer.ts
+++ b/apps/standin/src/lib/standinAnswer.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto'
 
 /**
- * Returns a generator of the tokens of one answer.
+ * Creates the function that computes the tokens of one answer.
  *
  * @param prompt - complete prompt
  * @param version - weight version
