--- a/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
@@ -176,7 +176,7 @@
     const { shard } = directory
     if (shard === undefined) return
     for (const { store, name } of shard.deletable(this.simulation.now() + SETTINGS.readLeaseMs)) {
-      void this.#stores.get(store)?.remove(name).then(() => { shard.deleted(name) })
+      void this.#stores.get(store)?.remove(name).then(() => { shard.confirmDeleted(name) })
     }
   }
 
--- a/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
@@ -64,7 +64,7 @@
         ({ name, incarnation, state: leavingSince === undefined ? 'live' : 'leaving' }))
       // The platform's list lags by seconds, and may stop for good.
       this.simulation.after(1000 + this.simulation.random() * 4000, () => { if (!this.#isListStopped) this.#list = snapshot })
-      this.#table.observeList(this.#list)
+      this.#table.observeMemberList(this.#list)
     })
   }
 
--- a/apps/bench/src/lib/prove/worlds/RunWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/RunWorld.ts
@@ -174,7 +174,7 @@
   cacheListing = unsupported
   stageImport = unsupported
   exportBlocks = unsupported
-  order = unsupported
+  sendOrder = unsupported
   async discardImport (): Promise<void> {}
 }
 
--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -6,7 +6,7 @@
  * watches it and forwards the changes.
  */
 import { EventEmitter } from 'node:events'
-import type { HeldModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
+import type { LoadedModel, ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
 import type { Result } from '@eelgrassmux/schema/Result'
 import { rejectEntry, type RejectedEntries, type RejectedEntry } from '@eelgrassmux/telemetry/RejectedEntries'
@@ -24,7 +24,7 @@
 export interface EndpointOverlay {
   /** Start time of the incarnation that the information applies to, as in the list. */
   readonly startedAtMs: number | undefined
-  readonly models: readonly HeldModel[]
+  readonly models: readonly LoadedModel[]
   readonly isBusy: boolean
 }
 
@@ -132,7 +132,7 @@
     if (listing.incompleteBecause === undefined) this.#readAt = now
     this.#logRestarts(this.#registry.applyListing(listing))
     this.#publish()
-    this.rejected.note('endpoint-list', [...listing.rejected, ...this.#rejectUnknownServices()], now)
+    this.rejected.record('endpoint-list', [...listing.rejected, ...this.#rejectUnknownServices()], now)
   }
 
   #rejectUnknownServices (): RejectedEntry[] {
@@ -141,14 +141,14 @@
   }
 
   #logRestarts (restarts: readonly EndpointRestart[]): void {
-    for (const { id, startedAtMs } of restarts) this.telemetry.stateChanged('endpoint-restarted', { endpoint: id, startedAtMs })
+    for (const { id, startedAtMs } of restarts) this.telemetry.logStateChange('endpoint-restarted', { endpoint: id, startedAtMs })
   }
 
   #updateReachability (failureReason: string | undefined): void {
     const isReachable = failureReason === undefined
     if (isReachable === this.#isReachable) return
     this.#isReachable = isReachable
-    this.telemetry.stateChanged(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: failureReason ?? '' })
+    this.telemetry.logStateChange(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: failureReason ?? '' })
   }
 
   #publish (): void {
@@ -159,7 +159,7 @@
     this.#endpoints = endpoints
     this.#version += 1
     const leaving = endpoints.filter(endpoint => endpoint.isLeaving).length
-    this.telemetry.stateChanged('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
+    this.telemetry.logStateChange('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
     this.#changes.emit('change')
   }
 }
--- a/apps/control/src/lib/orders/OrderTask.ts
+++ b/apps/control/src/lib/orders/OrderTask.ts
@@ -134,7 +134,7 @@
     this.#orderedAt.set(endpoint.name, performance.now())
     const fence = { term: core.term, index: core.commitIndex }
     const order = { kind: 'load-version' as const, model: endpoint.model, version }
-    const answer = await this.#client(endpoint).order({ fence, order }, ORDER_TIMEOUT_MS)
+    const answer = await this.#client(endpoint).sendOrder({ fence, order }, ORDER_TIMEOUT_MS)
     if (answer.ok) this.counter('accepted')
     else this.counter(answer.error.kind === 'rejected' && answer.error.detail === 'stale-fence' ? 'stale-fence' : 'failed')
   }
--- a/apps/directory/src/lib/StoreWatcher.ts
+++ b/apps/directory/src/lib/StoreWatcher.ts
@@ -97,7 +97,7 @@
   }
 
   async #readListing (): Promise<void> {
-    const knownBefore = new Map(this.shards().map(shard => [shard, new Set(shard.namesIn(this.store))]))
+    const knownBefore = new Map(this.shards().map(shard => [shard, new Set(shard.objectNamesIn(this.store))]))
     const requestedAt = this.clock.now()
     const listing = await this.client.list()
     if (!listing.ok) return
@@ -112,7 +112,7 @@
 
   async #adoptOrDeleteUnknown (shard: DirectoryShard, objects: StoreListing['objects'], requestedAt: number, now: number): Promise<void> {
     for (const object of objects) {
-      if (shard.isWaitingOut(now)) {
+      if (shard.isInGracePeriod(now)) {
         if (shard.adopt({ ...object, store: this.store }, requestedAt)) this.countEvent('adopted')
       } else if (shard.isOrphan(object.name, now) && this.isOwnershipConfirmed()) {
         await this.client.remove(object.name)
@@ -138,7 +138,7 @@
         if (store !== this.store || !this.isOwnershipConfirmed()) continue
         const removed = await this.client.remove(name)
         if (!removed.ok) continue
-        shard.deleted(name)
+        shard.confirmDeleted(name)
         this.countEvent('deleted')
       }
     }
--- a/apps/entry/src/lib/fleet/FleetWatcher.ts
+++ b/apps/entry/src/lib/fleet/FleetWatcher.ts
@@ -63,8 +63,8 @@
    * @param dataCentres - evacuated data centres, whose endpoints get no new work
    */
   evacuate (configuration: ConfigurationIndex, dataCentres: ReadonlySet<string>): void {
-    this.engineTable.evacuate(endpointNamesIn(configuration.engines, dataCentres))
-    this.serviceTable.evacuate(endpointNamesIn(configuration.plainEndpoints, dataCentres))
+    this.engineTable.setEvacuated(endpointNamesIn(configuration.engines, dataCentres))
+    this.serviceTable.setEvacuated(endpointNamesIn(configuration.plainEndpoints, dataCentres))
   }
 
   /**
@@ -156,8 +156,8 @@
     const list = await this.#membership?.list()
     // An unreadable list changes nothing: it says nothing about the liveness of endpoints.
     if (list?.ok !== true) return
-    this.engineTable.observeList(list.value.members)
-    this.serviceTable.observeList(list.value.members)
+    this.engineTable.observeMemberList(list.value.members)
+    this.serviceTable.observeMemberList(list.value.members)
   }
 }
 
--- a/apps/entry/src/lib/plain/PlainHandler.ts
+++ b/apps/entry/src/lib/plain/PlainHandler.ts
@@ -142,7 +142,7 @@
       const wasNotStarted = isNotStarted(answer.error)
       if (wasNotStarted) dispatch.markNotStarted()
       if (answer.error.kind !== 'not-started') this.fleet.serviceTable.observeFailure(endpoint.name, performance.now())
-      const mayRepeat = wasNotStarted || (profile.retries > 0 && budget.tryRetry())
+      const mayRepeat = wasNotStarted || (profile.retries > 0 && budget.tryConsume())
       if (!mayRepeat || triedEndpoints.size > Math.max(profile.retries, 1) || performance.now() >= deadline) {
         return fail(refuse({ reason: 'endpoint-failed', status: 502, detail: `the last attempt ended with ${answer.error.kind}`, retryAfterSeconds: 1 }, dispatch))
       }
--- a/apps/entry/src/lib/routed/AnswerRelay.ts
+++ b/apps/entry/src/lib/routed/AnswerRelay.ts
@@ -50,7 +50,7 @@
   get head (): AnswerHead | undefined { return this.#head }
   /** Why the present attempt's answer, which has ended, is not the rest of what the caller has. */
   get fault (): AnswerFault | undefined {
-    if (this.#cursor?.isInsideEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
+    if (this.#cursor?.hasPartialEvent === true) return { failure: 'lost', detail: 'the stream ended inside an event' }
     if (this.canResume && this.exchange.hasHead && this.#head?.status !== OK) return { failure: 'failed', detail: `status ${this.#head?.status ?? 0} in place of the rest of the stream` }
     return undefined
   }
@@ -91,7 +91,7 @@
   dropIncomplete (): void {
     this.#held = undefined
     this.#heldBytes = 0
-    this.#cursor?.dropIncomplete()
+    this.#cursor?.discardPartialEvent()
   }
 
   /** Ends the answer as complete. */
--- a/apps/entry/src/lib/runs/Exporter.ts
+++ b/apps/entry/src/lib/runs/Exporter.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_SHARD_SETTINGS } from '@eelgrassmux/cache/DirectoryShard'
 import { rendezvousOrder } from '@eelgrassmux/cache/rendezvous'
 import type { WorkGate } from '@eelgrassmux/daemon/WorkGate'
-import { decideKeep } from '@eelgrassmux/policy/placement/decideKeep'
+import { decideExport } from '@eelgrassmux/policy/placement/decideExport'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 import type { Customer, Profile } from '@eelgrassmux/schema/configuration'
 import type { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
@@ -109,13 +109,13 @@
       return false
     }
     const missingTokens = (keys.length - (found.value.stored.at(-1)?.coversTo ?? 0)) * TOKENS_PER_BLOCK
-    const decision = decideKeep({
+    const decision = decideExport({
       ...run.profile,
       residenceSeconds: load.residenceSeconds,
       missingTokens,
       missingBytes: missingTokens * load.bytesPerToken,
       prefillTokensPerMs: load.prefillTokensPerMs,
-      linkBusy: this.#relativeBacklog(store)
+      linkUtilization: this.#relativeBacklog(store)
     })
     this.decisions.count(decision)
     if (decision !== 'export') return decision !== 'link-busy'
--- a/apps/entry/src/lib/runs/Importer.ts
+++ b/apps/entry/src/lib/runs/Importer.ts
@@ -87,7 +87,7 @@
     }))
     const startedAt = this.clock.now()
     const timeoutMs = Math.min(leaseEndsAt - startedAt, this.#timeoutMs(placed))
-    for (const { object } of leases) this.links.recordStart(object.store, object.bytes)
+    for (const { object } of leases) this.links.recordTransferStart(object.store, object.bytes)
     const staged = await engine.stageImport({ importId, objects }, Math.max(1, timeoutMs), AbortSignal.any([signal, AbortSignal.timeout(Math.max(1, Math.ceil(timeoutMs)))]))
     const endedAt = this.clock.now()
     this.#recordTransfers(placed, leases, endedAt - startedAt, staged.ok, endedAt)
@@ -120,7 +120,7 @@
     for (const [store, bytes] of bytesByStore) {
       const estimatedBacklog = Math.max(0, placed.placement.importMs * (this.links.views(now).get(store)?.bytesPerMs ?? 0) - bytes)
       // An incomplete transfer moved at most its size, so the sample overestimates the speed.
-      this.links.recordEnd(store, bytes + (complete ? estimatedBacklog : 0), elapsedMs, now)
+      this.links.recordTransferEnd(store, bytes + (complete ? estimatedBacklog : 0), elapsedMs, now)
     }
   }
 }
--- a/apps/entry/src/lib/runs/RunTask.ts
+++ b/apps/entry/src/lib/runs/RunTask.ts
@@ -250,7 +250,7 @@
       this.ports.clock.sleep(hedgeAfterMs, timer.signal).then(() => !timer.signal.aborted)
     ])
     timer.abort()
-    if (!isLate || !this.ports.budget.tryRetry()) return primary
+    if (!isLate || !this.ports.budget.tryConsume()) return primary
     const ranked = await this.ports.placer.place({
       customer: this.request.customer,
       model: this.request.model,
@@ -369,7 +369,7 @@
     if (isSafe && this.#hasTokens) this.#resumptionRetries.noteRefusal()
     const isWithinProfile = this.#attempts - this.#resumptionRetries.refusals <= this.request.profile.retries
     // Only retries of work that may already have run spend the budget; refusals by full or leaving engines cost nothing.
-    if (isWithinProfile && (isSafe || this.ports.budget.tryRetry())) {
+    if (isWithinProfile && (isSafe || this.ports.budget.tryConsume())) {
       this.ports.retries.count(reason)
       return true
     }
--- a/packages/backends/src/lib/EngineClient.ts
+++ b/packages/backends/src/lib/EngineClient.ts
@@ -30,7 +30,7 @@
   stageImport (request: ImportRequest, timeoutMs: number, signal: AbortSignal): Promise<Result<{ bytes: number }, BackendError>>
   discardImport (importId: string): Promise<void>
   exportBlocks (request: ExportRequest, timeoutMs: number): Promise<Result<ExportResponse, BackendError>>
-  order (request: OrderRequest, timeoutMs: number): Promise<Result<{ ok: true }, BackendError>>
+  sendOrder (request: OrderRequest, timeoutMs: number): Promise<Result<{ ok: true }, BackendError>>
 }
 
 /** {@link EngineBackend} over HTTP with server-sent events. */
@@ -81,7 +81,7 @@
     return await this.#http.json({ method: 'POST', path: '/exports', json: request, timeoutMs }, exportResponseSchema)
   }
 
-  async order (request: OrderRequest, timeoutMs: number): Promise<Result<{ ok: true }, BackendError>> {
+  async sendOrder (request: OrderRequest, timeoutMs: number): Promise<Result<{ ok: true }, BackendError>> {
     return await this.#http.json({ method: 'POST', path: '/orders', json: request, timeoutMs }, okSchema)
   }
 
--- a/packages/backends/src/lib/HttpBackend.ts
+++ b/packages/backends/src/lib/HttpBackend.ts
@@ -2,7 +2,7 @@
 import { errors, Pool, type Dispatcher } from 'undici'
 import type { z } from 'zod'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
-import { readRetryAfter } from '@eelgrassmux/schema/readRetryAfter'
+import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { BackendError } from './BackendError.js'
 
 /** Connections kept to one back end; runs hold one each. */
@@ -97,7 +97,7 @@
  */
 export function requestedPause (headers: Dispatcher.ResponseData['headers']): { readonly retryAfterMs?: number } {
   const value = headers['retry-after']
-  const retryAfterMs = readRetryAfter(Array.isArray(value) ? value[0] : value, Date.now())
+  const retryAfterMs = parseRetryAfter(Array.isArray(value) ? value[0] : value, Date.now())
   return retryAfterMs === undefined ? {} : { retryAfterMs }
 }
 
--- a/packages/cache/src/lib/DirectoryShard.test.ts
+++ b/packages/cache/src/lib/DirectoryShard.test.ts
@@ -103,7 +103,7 @@
     it('forgets what a store lost, but not what was published after its listing', () => {
       const shard = newShard()
       store(shard, chain('a', 3), 0)
-      const expected = new Set(shard.namesIn('s'))
+      const expected = new Set(shard.objectNamesIn('s'))
       store(shard, chain('b', 3), 0)
       shard.reconcileStore('s', expected, new Set())
       expect(shard.coverage(chain('a', 3))).toEqual([])
--- a/packages/cache/src/lib/DirectoryShard.ts
+++ b/packages/cache/src/lib/DirectoryShard.ts
@@ -73,7 +73,7 @@
    *
    * @param now - monotonic milliseconds
    */
-  isWaitingOut (now: number): boolean { return now < this.#freeNothingBefore }
+  isInGracePeriod (now: number): boolean { return now < this.#freeNothingBefore }
 
   get objectCount (): number { return this.#published.size }
   get unpublishedCount (): number { return this.#unpublished.size }
@@ -223,7 +223,7 @@
    * @param store - store name
    * @returns names of the published objects in it
    */
-  namesIn (store: string): string[] {
+  objectNamesIn (store: string): string[] {
     return [...this.#published.values()].filter(({ object }) => object.store === store).map(({ object }) => object.name)
   }
 
@@ -285,7 +285,7 @@
    * @returns objects to delete by exact name
    */
   deletable (now: number): DeletableObject[] {
-    if (this.isWaitingOut(now)) return []
+    if (this.isInGracePeriod(now)) return []
     const ready = [...this.#unpublished.values()].filter(({ leasedUntil }) => leasedUntil < now)
     return ready.map(({ object }) => ({ store: object.store, name: object.name }))
   }
@@ -297,7 +297,7 @@
    * @param now - monotonic milliseconds
    */
   isOrphan (name: string, now: number): boolean {
-    if (this.isWaitingOut(now)) return false
+    if (this.isInGracePeriod(now)) return false
     return this.#isUnknown(name)
   }
 
@@ -314,7 +314,7 @@
   }
 
   /** @param name - object the store has deleted */
-  deleted (name: string): void {
+  confirmDeleted (name: string): void {
     this.#unpublished.delete(name)
   }
 
--- a/packages/policy/src/lib/health/EndpointTable.test.ts
+++ b/packages/policy/src/lib/health/EndpointTable.test.ts
@@ -13,7 +13,7 @@
 describe('EndpointTable', () => {
   describe('leaving', () => {
     it.each([
-      ['the list', (endpoints: EndpointTable) => { endpoints.observeList([{ name: 'a', state: 'leaving', incarnation: 1 }]) }],
+      ['the list', (endpoints: EndpointTable) => { endpoints.observeMemberList([{ name: 'a', state: 'leaving', incarnation: 1 }]) }],
       ['its own report', (endpoints: EndpointTable) => { endpoints.observeReport('a', { leaving: true, incarnation: 1 }, 1) }],
       ['its answer to a request', (endpoints: EndpointTable) => { endpoints.observeLeaving('a') }]
     ])('is believed from %s', (_source, observe) => {
@@ -25,7 +25,7 @@
     it('is not taken back by a list or report of the same incarnation that lags', () => {
       const endpoints = table('a')
       endpoints.observeLeaving('a')
-      endpoints.observeList([{ name: 'a', state: 'live', incarnation: 1 }])
+      endpoints.observeMemberList([{ name: 'a', state: 'live', incarnation: 1 }])
       endpoints.observeReport('a', { leaving: false, incarnation: 1 }, 5)
       expect(endpoints.ineligibility('a', 6)).toBe('leaving')
     })
@@ -34,7 +34,7 @@
       const endpoints = table('a')
       endpoints.observeLeaving('a')
       endpoints.observeReport('a', { leaving: false, incarnation: 2 }, 5)
-      endpoints.observeList([{ name: 'a', state: 'leaving', incarnation: 1 }])
+      endpoints.observeMemberList([{ name: 'a', state: 'leaving', incarnation: 1 }])
       expect(endpoints.ineligibility('a', 6)).toBeUndefined()
     })
   })
@@ -59,7 +59,7 @@
   describe('silence', () => {
     it('counts against an endpoint although the list goes on to show it live', () => {
       const endpoints = table('a')
-      endpoints.observeList([{ name: 'a', state: 'live', incarnation: 1 }])
+      endpoints.observeMemberList([{ name: 'a', state: 'live', incarnation: 1 }])
       expect(endpoints.ineligibility('a', LIFETIME)).toBeUndefined()
       expect(endpoints.ineligibility('a', LIFETIME + 1)).toBe('silent')
     })
--- a/packages/policy/src/lib/health/EndpointTable.ts
+++ b/packages/policy/src/lib/health/EndpointTable.ts
@@ -60,7 +60,7 @@
   }
 
   /** @param members - the platform's list as last read */
-  observeList (members: readonly ListedMember[]): void {
+  observeMemberList (members: readonly ListedMember[]): void {
     for (const member of members) {
       const state = this.#endpoints.get(member.name)
       if (state === undefined) continue
@@ -142,7 +142,7 @@
   }
 
   /** @param names - endpoints in data centres that are evacuated; all others are not */
-  evacuate (names: ReadonlySet<string>): void {
+  setEvacuated (names: ReadonlySet<string>): void {
     this.#evacuated = names
   }
 
--- a/packages/policy/src/lib/health/LinkTable.ts
+++ b/packages/policy/src/lib/health/LinkTable.ts
@@ -67,7 +67,7 @@
    * @param store - store name
    * @param bytes - size of a transfer that starts now
    */
-  recordStart (store: string, bytes: number): void {
+  recordTransferStart (store: string, bytes: number): void {
     const link = this.#links.get(store)
     if (link !== undefined) link.ownPendingBytes += bytes
   }
@@ -80,7 +80,7 @@
    * @param elapsedMs - from start to end
    * @param now - monotonic milliseconds
    */
-  recordEnd (store: string, bytes: number, elapsedMs: number, now: number): void {
+  recordTransferEnd (store: string, bytes: number, elapsedMs: number, now: number): void {
     const link = this.#links.get(store)
     if (link === undefined) return
     link.samples.push(Math.min(bytes / Math.max(1, elapsedMs), link.configuredBytesPerMs))
--- a/packages/policy/src/lib/limits/RetryBudget.ts
+++ b/packages/policy/src/lib/limits/RetryBudget.ts
@@ -28,7 +28,7 @@
    *
    * @returns false if the budget is used up
    */
-  tryRetry (): boolean {
+  tryConsume (): boolean {
     if (this.#budget < 1) return false
     this.#budget -= 1
     return true
--- a/packages/policy/src/lib/limits/admitWhileStopping.ts
+++ b/packages/policy/src/lib/limits/admitDuringShutdown.ts
@@ -10,13 +10,13 @@
 /** What a stopping host knows of a request and of its own time. */
 export interface StoppingSituation {
   /** Milliseconds until the process is killed. */
-  readonly leftMs: number
+  readonly timeToKillMs: number
   /** Milliseconds until the request's own time is over, by its route or its caller. */
   readonly remainingMs: number
   /** Milliseconds within which nine in ten such requests end, if known. */
   readonly expectedMs: number | undefined
   /** Whether the balancer has had the time to notice that the host is stopping. */
-  readonly isBalancerLagOver: boolean
+  readonly hasBalancerLagElapsed: boolean
 }
 
 /** Time before the kill that admission leaves free, in milliseconds: a signal is noticed late and an answer is written late by some tenths of a second on a busy host. */
@@ -30,8 +30,8 @@
  *
  * @param situation - what is known
  */
-export function admitWhileStopping (situation: StoppingSituation): boolean {
-  const { leftMs, remainingMs, expectedMs, isBalancerLagOver } = situation
+export function admitDuringShutdown (situation: StoppingSituation): boolean {
+  const { timeToKillMs: leftMs, remainingMs, expectedMs, hasBalancerLagElapsed: isBalancerLagOver } = situation
   const usableMs = leftMs - RESERVE_MS
   if (remainingMs <= usableMs) return true
   if (isBalancerLagOver || usableMs <= 0) return false
--- a/packages/policy/src/lib/placement/CostPlacement.test.ts
+++ b/packages/policy/src/lib/placement/CostPlacement.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { CostPlacement } from './CostPlacement.js'
-import { decideKeep, type KeepRequest } from './decideKeep.js'
+import { decideExport, type KeepRequest } from './decideExport.js'
 import type { EngineCandidate, PlacementRequest, PlacementWeights } from './placementTypes.js'
 
 const FIRST_TOKEN: PlacementWeights = { firstTokenMillisecond: 1, recomputedToken: 0, linkKilobyte: 0 }
@@ -87,7 +87,7 @@
 })
 
 describe('decideKeep', () => {
-  const keep = (overrides: Partial<KeepRequest>): string => decideKeep({
+  const keep = (overrides: Partial<KeepRequest>): string => decideExport({
     keep: 'by-value',
     returnChance: 0.5,
     expectedGapSeconds: 900,
@@ -96,7 +96,7 @@
     missingBytes: 512 * 1024,
     prefillTokensPerMs: 8,
     weights: { firstTokenMillisecond: 1, recomputedToken: 0.1, linkKilobyte: 0.01 },
-    linkBusy: 0,
+    linkUtilization: 0,
     ...overrides
   })
 
@@ -106,7 +106,7 @@
   })
 
   it('leaves a busy link to imports', () => {
-    expect(keep({ linkBusy: 0.9 })).toBe('link-busy')
+    expect(keep({ linkUtilization: 0.9 })).toBe('link-busy')
   })
 
   it('does not export what stays in the engine until its return', () => {
--- a/packages/policy/src/lib/placement/decideKeep.ts
+++ b/packages/policy/src/lib/placement/decideExport.ts
@@ -16,7 +16,7 @@
   readonly prefillTokensPerMs: number
   readonly weights: PlacementWeights
   /** Share of the link's time already taken by imports, 0 to 1. */
-  readonly linkBusy: number
+  readonly linkUtilization: number
 }
 
 const BYTES_PER_KILOBYTE = 1024
@@ -37,13 +37,13 @@
  * @param request - the run and its surroundings
  * @returns the decision
  */
-export function decideKeep (request: KeepRequest): KeepDecision {
+export function decideExport (request: KeepRequest): KeepDecision {
   if (request.keep === 'never') return 'profile-never'
   if (request.missingTokens < LEAST_TOKENS) return 'nothing-missing'
   if (request.keep === 'always') return 'export'
   const { residenceSeconds, expectedGapSeconds } = request
   if (residenceSeconds !== undefined && residenceSeconds > RESIDENCE_MARGIN * expectedGapSeconds) return 'stays-resident'
-  if (request.linkBusy > BUSY_LINK) return 'link-busy'
+  if (request.linkUtilization > BUSY_LINK) return 'link-busy'
   const { weights, missingTokens, returnChance } = request
   const computing = weights.recomputedToken * missingTokens +
     weights.firstTokenMillisecond * missingTokens / request.prefillTokensPerMs
--- a/packages/runs/src/lib/EventCursor.test.ts
+++ b/packages/runs/src/lib/EventCursor.test.ts
@@ -19,8 +19,8 @@
   it('goes on behind the last whole event after a run broke off inside one', () => {
     const cursor = new EventCursor()
     passed(cursor, event(1) + event(2).slice(0, 7))
-    expect(cursor.isInsideEvent).toBe(true)
-    cursor.dropIncomplete()
+    expect(cursor.hasPartialEvent).toBe(true)
+    cursor.discardPartialEvent()
     expect(cursor.lastId).toBe(1)
     expect(passed(cursor, event(2) + event(3))).toBe(event(2) + event(3))
   })
--- a/packages/runs/src/lib/EventCursor.ts
+++ b/packages/runs/src/lib/EventCursor.ts
@@ -21,10 +21,10 @@
   /** Id of the last whole event. */
   get lastId (): number | undefined { return this.#lastId }
   /** Whether the bytes so far end inside an event. */
-  get isInsideEvent (): boolean { return this.#rest.length > 0 }
+  get hasPartialEvent (): boolean { return this.#rest.length > 0 }
 
   /** Forgets an incomplete event, when its run has broken off. */
-  dropIncomplete (): void {
+  discardPartialEvent (): void {
     this.#rest = EMPTY
   }
 
--- a/packages/schema/src/lib/readRetryAfter.ts
+++ b/packages/schema/src/lib/parseRetryAfter.ts
@@ -12,7 +12,7 @@
  * @param wallNowMs - Unix milliseconds, for values that name a time of day
  * @returns milliseconds, or undefined if the value says nothing
  */
-export function readRetryAfter (text: string | undefined, wallNowMs: number): number | undefined {
+export function parseRetryAfter (text: string | undefined, wallNowMs: number): number | undefined {
   if (text === undefined) return undefined
   const value = text.trim()
   const milliseconds = SECONDS.test(value) ? Number(value) * MILLISECONDS_PER_SECOND : Date.parse(value) - wallNowMs
--- a/packages/schema/src/lib/site/listedEndpoint.ts
+++ b/packages/schema/src/lib/site/listedEndpoint.ts
@@ -22,5 +22,5 @@
   isCold: z.boolean().optional()
 })
 
-export type HeldModel = z.infer<typeof heldModelSchema>
+export type LoadedModel = z.infer<typeof heldModelSchema>
 export type ListedEndpoint = z.infer<typeof listedEndpointSchema>
