--- a/apps/directory/src/lib/DirectoryDaemon.ts
+++ b/apps/directory/src/lib/DirectoryDaemon.ts
@@ -1,4 +1,4 @@
-/** Puts the directory's tasks together. */
+/** Directory daemon: connects the RPC server, the shards and the watchers of engines and stores. */
 import { z } from 'zod'
 import { EngineClient } from '@eelgrassmux/backends/EngineClient'
 import { StoreClient } from '@eelgrassmux/backends/StoreClient'
@@ -14,7 +14,7 @@
 import { ControlLink } from '@eelgrassmux/view/ControlLink'
 import { DirectoryServer } from './DirectoryServer.js'
 import { EngineWatcher } from './EngineWatcher.js'
-import { handOver } from './HandOver.js'
+import { handOverShards } from './handOverShards.js'
 import { StoreWatcher } from './StoreWatcher.js'
 
 const settingsSchema = z.object({
@@ -29,7 +29,7 @@
 /** @internal */
 type DirectorySettings = z.infer<typeof settingsSchema>
 
-/** The directory's program. */
+/** Program definition of the directory. */
 export const directoryProgram: DaemonProgram<DirectorySettings> = {
   name: 'eelgrassmux-directory',
   description: 'Knows which engines and stores hold which cache blocks',
@@ -37,7 +37,7 @@
   start: async (settings, telemetry) => await new DirectoryDaemon(settings, telemetry).start()
 }
 
-/** Owns the shards and the watchers. */
+/** Owns the shards, and a watcher for each engine and store of the configuration. */
 class DirectoryDaemon {
   readonly #clock = new SystemClock()
   readonly #rpc = new RpcClient()
@@ -75,7 +75,7 @@
     const eventCounter = telemetry.labelledCounter('cache_event_reads_total', 'Reads of cache events by outcome', 'outcome')
     const objectCounter = telemetry.labelledCounter('stored_object_events_total', 'Events in the life of stored objects', 'event')
     link.onChange(() => {
-      this.#takeShards(link, address)
+      this.#updateShards(link, address)
       void this.#watchBackends(link, outcome => { eventCounter.count(outcome) }, event => { objectCounter.count(event) })
     })
     link.start()
@@ -84,7 +84,7 @@
       isReady: () => link.isReady(),
       drain: async () => {
         link.stopAccepting()
-        const isTaken = await handOver(this.#rpc, () => link.shards, address)
+        const isTaken = await handOverShards(this.#rpc, () => link.shards, address)
         telemetry.logStateChange('shards-handed-over', { isTaken })
       },
       close: async () => {
@@ -106,16 +106,16 @@
     return owned?.epoch === epoch && link.isFresh() ? owned : undefined
   }
 
-  #takeShards (link: ControlLink, address: string): void {
+  #updateShards (link: ControlLink, address: string): void {
     const now = performance.now()
     link.shards.forEach(({ owner, epoch }, shard) => {
-      const present = this.#shards.get(shard)
+      const current = this.#shards.get(shard)
       if (owner !== address) {
-        if (present !== undefined) this.telemetry.logStateChange('shard-lost', { shard })
+        if (current !== undefined) this.telemetry.logStateChange('shard-lost', { shard })
         this.#shards.delete(shard)
         return
       }
-      if (present?.epoch === epoch) return
+      if (current?.epoch === epoch) return
       const { readLeaseMs, writeReservationMs, freshnessMs } = this.settings
       const shardSettings = { ...DEFAULT_SHARD_SETTINGS, readLeaseMs, writeReservationMs, ownershipMs: freshnessMs }
       this.#shards.set(shard, new DirectoryShard(shard, epoch, shardSettings, now))
--- a/apps/directory/src/lib/StoreWatcher.ts
+++ b/apps/directory/src/lib/StoreWatcher.ts
@@ -1,145 +1,145 @@
-/** Watches one store for the shards of this directory: listing, capacity and deletions. */
+/** Polls one store for the shards of this directory: reconciles its listing, evicts objects above capacity and deletes freed ones. */
 import type { StoreBackend, StoreListing, StoreLoad } from '@eelgrassmux/backends/StoreClient'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 import type { DirectoryShard } from '@eelgrassmux/cache/DirectoryShard'
 
-/** Interval between looks at the store, in milliseconds. */
-const POLL_MS = 500
+/** Interval between polls of the store, in milliseconds. */
+const POLL_INTERVAL_MS = 500
 
-/** A listing is read every so many looks. */
-const LOOKS_PER_LISTING = 8
+/** The listing is read once in this many polls. */
+const POLLS_PER_LISTING = 8
 
-/** Failed looks in a row after which the store's objects are not offered. */
-const FAILURES_TO_HIDE = 2
+/** Consecutive failed polls after which lookups no longer return the store's objects. */
+const FAILURES_UNTIL_HIDDEN = 2
 
-/** Eviction starts above the first and goes down to the second share of the capacity. */
-const EVICT_ABOVE = 0.9
-const EVICT_TO = 0.8
+/** Eviction starts when the used share of the capacity exceeds the high watermark, and stops at the low one. */
+const EVICTION_HIGH_WATERMARK = 0.9
+const EVICTION_LOW_WATERMARK = 0.8
 
-/** Counts what happened to objects. */
-export type ObjectCounter = (event: 'adopted' | 'evicted' | 'deleted' | 'orphan-deleted' | 'store-restart' | 'store-hidden') => void
+/** Counts an event in the life of stored objects. */
+export type CountObjectEvent = (event: 'adopted' | 'evicted' | 'deleted' | 'orphan-deleted' | 'store-restart' | 'store-hidden') => void
 
-/** Owns the connection to one store. */
+/** Owns the connection to one store and polls it. */
 export class StoreWatcher {
   #incarnation: number | undefined
   #failures = 0
-  #looks = 0
+  #pollIndex = 0
   #timer: NodeJS.Timeout | undefined
-  #busy = false
+  #isPolling = false
 
   /**
-   * @param clock - time
+   * @param clock - source of the current time
    * @param store - store name
-   * @param client - its adapter
-   * @param shards - shards owned now
-   * @param mayAct - whether ownership is confirmed as of now
-   * @param counter - counts events
+   * @param client - client of the store
+   * @param shards - returns the shards that this directory owns
+   * @param isOwnershipConfirmed - returns whether the ownership of the shards is currently confirmed
+   * @param countEvent - counts events of stored objects
    */
   constructor (
     private readonly clock: Clock,
     private readonly store: string,
     private readonly client: StoreBackend & { close (): Promise<void> },
     private readonly shards: () => readonly DirectoryShard[],
-    private readonly mayAct: () => boolean,
-    private readonly counter: ObjectCounter
+    private readonly isOwnershipConfirmed: () => boolean,
+    private readonly countEvent: CountObjectEvent
   ) {}
 
-  /** Whether the store answers; objects of a silent one are not offered. */
-  get isUp (): boolean { return this.#failures < FAILURES_TO_HIDE && this.#incarnation !== undefined }
+  /** Whether the store answers. Lookups don't return objects of a store that is down. */
+  get isUp (): boolean { return this.#failures < FAILURES_UNTIL_HIDDEN && this.#incarnation !== undefined }
 
-  /** Starts to look. */
+  /** Starts polling. */
   start (): void {
-    this.#timer = setInterval(() => { void this.look() }, POLL_MS)
-    void this.look()
+    this.#timer = setInterval(() => { void this.poll() }, POLL_INTERVAL_MS)
+    void this.poll()
   }
 
-  /** Reads the listing at the next look, for a shard that was just taken over. */
+  /** Has the next poll read the listing, for a shard that was just taken over. */
   requestListing (): void {
-    this.#looks = 0
+    this.#pollIndex = 0
   }
 
-  /** Stops and closes the connection. */
+  /** Stops polling and closes the connection. */
   async stop (): Promise<void> {
     clearInterval(this.#timer)
     await this.client.close()
   }
 
-  /** One look at the store. */
-  async look (): Promise<void> {
-    if (this.#busy) return
-    this.#busy = true
+  /** Polls the store once, unless a poll is still in progress. */
+  async poll (): Promise<void> {
+    if (this.#isPolling) return
+    this.#isPolling = true
     try {
       const load = await this.client.load()
       if (load.ok) await this.#onLoad(load.value)
-      else this.#onSilence()
+      else this.#onLoadFailure()
     } finally {
-      this.#busy = false
+      this.#isPolling = false
     }
   }
 
   async #onLoad (load: StoreLoad): Promise<void> {
     this.#failures = 0
     if (this.#incarnation !== undefined && this.#incarnation !== load.incarnation) {
-      this.counter('store-restart')
-      this.#looks = 0
+      this.countEvent('store-restart')
+      this.#pollIndex = 0
     }
     this.#incarnation = load.incarnation
-    if (this.#looks % LOOKS_PER_LISTING === 0) await this.#readListing()
-    this.#looks += 1
+    if (this.#pollIndex % POLLS_PER_LISTING === 0) await this.#readListing()
+    this.#pollIndex += 1
     this.#evict(load)
     await this.#deleteFreed()
   }
 
-  #onSilence (): void {
+  #onLoadFailure (): void {
     this.#failures += 1
-    if (this.#failures === FAILURES_TO_HIDE) this.counter('store-hidden')
-    this.#looks = 0
+    if (this.#failures === FAILURES_UNTIL_HIDDEN) this.countEvent('store-hidden')
+    this.#pollIndex = 0
   }
 
   async #readListing (): Promise<void> {
     const knownBefore = new Map(this.shards().map(shard => [shard, new Set(shard.objectNamesIn(this.store))]))
-    const askedAt = this.clock.now()
+    const requestedAt = this.clock.now()
     const listing = await this.client.list()
     if (!listing.ok) return
     const now = this.clock.now()
     for (const shard of this.shards()) {
       const own = listing.value.objects.filter(object => object.name.startsWith(`s${shard.shard}-`))
-      // Only what was known before the listing was asked for can be missing from it.
+      // An object published after the listing was requested may be absent from it, so only objects known before are checked.
       shard.reconcileStore(this.store, knownBefore.get(shard) ?? new Set(), new Set(own.map(object => object.name)))
-      await this.#settleUnknown(shard, own, askedAt, now)
+      await this.#adoptOrDeleteUnknown(shard, own, requestedAt, now)
     }
   }
 
-  async #settleUnknown (shard: DirectoryShard, objects: StoreListing['objects'], askedAt: number, now: number): Promise<void> {
+  async #adoptOrDeleteUnknown (shard: DirectoryShard, objects: StoreListing['objects'], requestedAt: number, now: number): Promise<void> {
     for (const object of objects) {
       if (shard.isInGracePeriod(now)) {
-        if (shard.adopt({ ...object, store: this.store }, askedAt)) this.counter('adopted')
-      } else if (shard.isOrphan(object.name, now) && this.mayAct()) {
+        if (shard.adopt({ ...object, store: this.store }, requestedAt)) this.countEvent('adopted')
+      } else if (shard.isOrphan(object.name, now) && this.isOwnershipConfirmed()) {
         await this.client.remove(object.name)
-        this.counter('orphan-deleted')
+        this.countEvent('orphan-deleted')
       }
     }
   }
 
   #evict (load: StoreLoad): void {
-    if (load.usedBytes <= load.capacityBytes * EVICT_ABOVE) return
-    const excess = load.usedBytes - load.capacityBytes * EVICT_TO
+    if (load.usedBytes <= load.capacityBytes * EVICTION_HIGH_WATERMARK) return
+    const excess = load.usedBytes - load.capacityBytes * EVICTION_LOW_WATERMARK
     for (const shard of this.shards()) {
-      // Each shard gives up its part, so that the owners together free the excess.
-      const part = excess * shard.bytesIn(this.store) / load.usedBytes
-      const victims = part > 0 ? shard.evict(this.store, part, this.clock.now()) : []
-      victims.forEach(() => { this.counter('evicted') })
+      // Each shard evicts in proportion to its bytes, so that all owners together free the excess.
+      const shardExcess = excess * shard.bytesIn(this.store) / load.usedBytes
+      const victims = shardExcess > 0 ? shard.evict(this.store, shardExcess, this.clock.now()) : []
+      victims.forEach(() => { this.countEvent('evicted') })
     }
   }
 
   async #deleteFreed (): Promise<void> {
     for (const shard of this.shards()) {
       for (const { store, name } of shard.deletable(this.clock.now())) {
-        if (store !== this.store || !this.mayAct()) continue
+        if (store !== this.store || !this.isOwnershipConfirmed()) continue
         const removed = await this.client.remove(name)
         if (!removed.ok) continue
         shard.confirmDeleted(name)
-        this.counter('deleted')
+        this.countEvent('deleted')
       }
     }
   }
--- a/apps/eelgrassmux/src/lib/diffDocuments.ts
+++ b/apps/eelgrassmux/src/lib/diffDocuments.ts
@@ -2,23 +2,23 @@
 import { isDeepStrictEqual } from 'node:util'
 import type { ConfigurationDocument } from '@eelgrassmux/schema/configuration'
 
-/** One document that would change. */
+/** Change of one document. */
 export interface DocumentDifference {
   readonly name: string
   readonly change: 'added' | 'changed'
-  /** Top-level fields that differ. */
+  /** Top-level fields whose values differ. */
   readonly fields: readonly string[]
 }
 
 /**
- * @param present - documents in force
- * @param wanted - documents that would be applied
- * @returns what applying would add or change
+ * @param current - documents of the current configuration
+ * @param desired - documents to apply
+ * @returns the documents that would be added or changed
  */
-export function diffDocuments (present: readonly ConfigurationDocument[], wanted: readonly ConfigurationDocument[]): DocumentDifference[] {
-  const byName = new Map(present.map(document => [`${document.kind}/${document.name}`, document]))
+export function diffDocuments (current: readonly ConfigurationDocument[], desired: readonly ConfigurationDocument[]): DocumentDifference[] {
+  const byName = new Map(current.map(document => [`${document.kind}/${document.name}`, document]))
   const differences: DocumentDifference[] = []
-  for (const document of wanted) {
+  for (const document of desired) {
     const name = `${document.kind}/${document.name}`
     const old = byName.get(name)
     if (old === undefined) {
@@ -33,10 +33,10 @@
 }
 
 /**
- * @param difference - one difference
- * @returns a line for operators
+ * @param difference - change of one document
+ * @returns one line of text for operators
  */
-export function describeDifference (difference: DocumentDifference): string {
+export function formatDifference (difference: DocumentDifference): string {
   if (difference.change === 'added') return `+ ${difference.name}`
   return `~ ${difference.name}: ${difference.fields.join(', ')}`
 }
--- a/apps/eelgrassmux/src/lib/trace/CrashedEndpoints.ts
+++ b/apps/eelgrassmux/src/lib/trace/CrashedEndpoints.ts
@@ -1,41 +1,42 @@
-/** Which lines say why the endpoints ended that a request was lost with: who else was there, and what was judged. */
-import type { Span } from './LossReports.js'
+/** Finds lines that explain why endpoints crashed while they ran a request: other requests lost with them, and quarantine decisions. */
+import type { TimeRange } from './DroppedLineReports.js'
 import type { TracedLine } from './TracedLine.js'
 
-/** A request's fingerprint wherever it stands in a field. */
-const FINGERPRINT = /\b[0-9a-f]{32}\b/g
+/** Matches request fingerprints anywhere in the text of a field. */
+const FINGERPRINT_PATTERN = /\b[0-9a-f]{32}\b/g
 
-/** Lines about requests whose fate at an endpoint shows who was there when it ended. */
-const LOSS = 'attempt-failed'
+/** Event of a failed attempt. With a fingerprint, it shows that the request was running on the endpoint when the endpoint crashed. */
+const ATTEMPT_FAILED_EVENT = 'attempt-failed'
 
-/** Endpoints and fingerprints that lines of one request name. */
+/** Crashed endpoints and fingerprints that the lines of one request name. */
 export class CrashedEndpoints {
   readonly #endpoints: ReadonlySet<string>
   readonly #fingerprints: ReadonlySet<string>
 
-  /** @param lines - of the request */
+  /** @param lines - log lines of the request */
   constructor (lines: readonly TracedLine[]) {
-    const lost = lines.filter(({ event, fields }) => event === LOSS && fields['fingerprint'] !== undefined)
-    this.#endpoints = new Set(lost.map(({ fields }) => String(fields['endpoint'])))
-    this.#fingerprints = new Set(lines.flatMap(({ fields }) => Object.values(fields).flatMap(value => String(value).match(FINGERPRINT) ?? [])))
+    const lostAttempts = lines.filter(({ event, fields }) => event === ATTEMPT_FAILED_EVENT && fields['fingerprint'] !== undefined)
+    this.#endpoints = new Set(lostAttempts.map(({ fields }) => String(fields['endpoint'])))
+    this.#fingerprints = new Set(lines.flatMap(({ fields }) => Object.values(fields).flatMap(value => String(value).match(FINGERPRINT_PATTERN) ?? [])))
   }
 
   /**
-   * @param text - a line as written
-   * @returns whether it is worth reading
+   * @param text - unparsed text of a line
+   * @returns whether the line may be related to the crashes and has to be parsed
    */
-  mayConcern (text: string): boolean {
+  mayBeRelated (text: string): boolean {
     return [...this.#endpoints, ...this.#fingerprints].some(name => text.includes(name))
   }
 
   /**
-   * @param line - that names an endpoint or a fingerprint
-   * @param span - time in which others count that were at an endpoint
+   * @param line - a log line that names an endpoint or a fingerprint
+   * @param range - time during which attempts of other requests on the endpoints are related
+   * @returns whether the line is related to the crashes
    */
-  concerns ({ event, fields, time }: TracedLine, span: Span): boolean {
+  isRelated ({ event, fields, time }: TracedLine, range: TimeRange): boolean {
     if (this.#fingerprints.has(String(fields['fingerprint'] ?? ''))) return true
-    if (event === LOSS) return fields['fingerprint'] !== undefined && this.#endpoints.has(String(fields['endpoint'])) && time >= span.from && time <= span.to
-    const named = `${String(fields['endpoints'] ?? '')} ${String(fields['endpoint'] ?? '')}`.split(' ')
-    return (event === 'quarantine-decided' || event === 'endpoint-crash-checked') && named.some(name => this.#endpoints.has(name))
+    if (event === ATTEMPT_FAILED_EVENT) return fields['fingerprint'] !== undefined && this.#endpoints.has(String(fields['endpoint'])) && time >= range.from && time <= range.to
+    const endpointNames = `${String(fields['endpoints'] ?? '')} ${String(fields['endpoint'] ?? '')}`.split(' ')
+    return (event === 'quarantine-decided' || event === 'endpoint-crash-checked') && endpointNames.some(name => this.#endpoints.has(name))
   }
 }
--- a/apps/load/src/lib/completionStream.ts
+++ b/apps/load/src/lib/completionStream.ts
@@ -1,7 +1,7 @@
-/** A caller's side of one streamed completion. */
+/** Client of the streaming completion API. */
 import { Agent, request, type Dispatcher } from 'undici'
 
-/** What a streamed completion brought. */
+/** Result of one streamed completion. */
 export interface StreamedAnswer {
   readonly status: number
   readonly runId: string
@@ -12,11 +12,11 @@
   readonly cachedTokens: number
   readonly firstTokenMs: number
   readonly isDone: boolean
-  /** Body of a refusal, or of the error event that ended the stream, or what the connection said. */
+  /** Body of an error response, data of the error event that ended the stream, or message of a connection error. */
   readonly problem: unknown
 }
 
-/** A caller's request. */
+/** Parameters of a completion request. */
 export interface CompletionCall {
   readonly url: string
   readonly credential: string
@@ -33,7 +33,7 @@
   readonly usage?: { readonly prompt_tokens: number, readonly prompt_tokens_details: { readonly cached_tokens: number } }
 }
 
-const NOTHING: StreamedAnswer = {
+const EMPTY_ANSWER: StreamedAnswer = {
   status: 0, runId: '', text: '', tokens: 0, version: '', promptTokens: 0, cachedTokens: 0, firstTokenMs: 0, isDone: false, problem: undefined
 }
 
@@ -42,12 +42,12 @@
 /**
  * Streams a completion.
  *
- * @param call - what to ask
- * @param signal - leaves early
- * @returns what came back; status 0 if there was no answer at all
+ * @param call - parameters of the request
+ * @param signal - aborts the request
+ * @returns the answer; status 0 if there was no response
  */
 export async function streamCompletion (call: CompletionCall, signal?: AbortSignal): Promise<StreamedAnswer> {
-  return await read(`${call.url}/v1/completions`, {
+  return await readResponse(`${call.url}/v1/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${call.credential}`, 'content-type': 'application/json' },
     body: JSON.stringify({ model: call.service, prompt: call.prompt, max_tokens: call.maxTokens, stream: true }),
@@ -56,33 +56,33 @@
 }
 
 /**
- * Continues a run from an offset.
+ * Resumes the stream of a run from an offset.
  *
- * @param url - entry host
- * @param credential - caller's credential
- * @param runId - run to continue
- * @param offset - first token wanted
- * @returns what came back
+ * @param url - URL of an entry host
+ * @param credential - credential of the caller
+ * @param runId - id of the run
+ * @param offset - offset of the first token to read
+ * @returns the answer from that offset; status 0 if there was no response
  */
 export async function resumeCompletion (url: string, credential: string, runId: string, offset: number): Promise<StreamedAnswer> {
-  return await read(`${url}/v1/runs/${runId}?offset=${offset}`, { headers: { authorization: `Bearer ${credential}` } })
+  return await readResponse(`${url}/v1/runs/${runId}?offset=${offset}`, { headers: { authorization: `Bearer ${credential}` } })
 }
 
 type CallOptions = Omit<Dispatcher.RequestOptions, 'origin' | 'path' | 'method'> & { method?: Dispatcher.HttpMethod }
 
-async function read (url: string, options: CallOptions): Promise<StreamedAnswer> {
+async function readResponse (url: string, options: CallOptions): Promise<StreamedAnswer> {
   const startedAt = performance.now()
   try {
     const response = await request(url, { ...options, dispatcher: agent })
-    if (response.statusCode !== 200) return { ...NOTHING, status: response.statusCode, problem: await response.body.json() }
+    if (response.statusCode !== 200) return { ...EMPTY_ANSWER, status: response.statusCode, problem: await response.body.json() }
     return await readAnswer(response.body, response.statusCode, startedAt)
   } catch (error) {
-    return { ...NOTHING, problem: String(error) }
+    return { ...EMPTY_ANSWER, problem: String(error) }
   }
 }
 
 async function readAnswer (body: AsyncIterable<Buffer>, status: number, startedAt: number): Promise<StreamedAnswer> {
-  let answer: StreamedAnswer = { ...NOTHING, status }
+  let answer: StreamedAnswer = { ...EMPTY_ANSWER, status }
   let pending = ''
   let isError = false
   try {
--- a/apps/load/src/lib/trace.ts
+++ b/apps/load/src/lib/trace.ts
@@ -1,25 +1,25 @@
-/** Traces of prompts that return after gaps: recorded as JSON lines, or made from a seed. */
+/** Traces of prompts that are sent again after gaps: recorded as JSON lines, or generated from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { z } from 'zod'
 
 /** One request of a trace. */
 export const traceLineSchema = z.strictObject({
-  /** Milliseconds from the start, after squeezing. */
+  /** Milliseconds since the start of the trace, after time compression. */
   at: z.number().min(0),
   customer: z.string(),
   service: z.string(),
   promptId: z.string(),
-  /** Length of the prompt in tokens. */
+  /** Length of the prompt, in tokens. */
   promptTokens: z.number().int().min(1),
-  /** Leading tokens that all prompts of this customer and service share. */
+  /** Number of leading tokens that all prompts of this customer and service share. */
   sharedTokens: z.number().int().min(0),
   answerTokens: z.number().int().min(1)
 })
 
 export type TraceLine = z.infer<typeof traceLineSchema>
 
-/** Shape of a made trace. */
+/** Parameters of a generated trace. */
 export interface TracePlan {
   readonly seed: number
   readonly seconds: number
@@ -29,49 +29,50 @@
 }
 
 /**
- * Real gaps run from minutes to days. One second of a trace stands for this many
- * seconds, so that a gap of 15 minutes becomes a second.
+ * Number of real seconds that one second of a trace represents. Real gaps between
+ * uses of a prompt last from minutes to days; a gap of 15 minutes becomes one second.
  */
-export const SQUEEZE = 900
+export const TIME_COMPRESSION = 900
 
-/** Share of requests that are a prompt's first. */
-const FIRST_SHARE = 0.4
+/** Share of requests that are the first use of their prompt. */
+const FIRST_REQUEST_SHARE = 0.4
 
 /**
- * Shape of the long tail of gaps (Pareto), and the shortest gap in milliseconds:
- * half an hour before squeezing, so that a prompt returns after its answer.
+ * Shape of the Pareto distribution of gaps, and the minimum gap in milliseconds. The
+ * minimum is half an hour before time compression, so that a prompt is sent again only
+ * after its answer.
  */
-const GAP_TAIL = 0.9
-const SHORTEST_GAP_MS = 2000
+const GAP_PARETO_SHAPE = 0.9
+const MIN_GAP_MS = 2000
 
-/** Skew of customers: the largest takes about half, the next a quarter of the rest. */
-const CUSTOMER_SKEW = 1.3
+/** Exponent of the Zipf distribution of customers: the largest sends about half of the requests, the next a quarter of the rest. */
+const CUSTOMER_ZIPF_EXPONENT = 1.3
 
 const SHARED_TOKENS = 256
-const SHORTEST_PROMPT = 400
-const LONGEST_PROMPT = 7000
+const MIN_PROMPT_TOKENS = 400
+const MAX_PROMPT_TOKENS = 7000
 const ANSWER_TOKENS = { least: 8, most: 40 }
 
-/** Tokens that a returning prompt may have grown by. */
-const GROWTH_TOKENS = 200
+/** Upper bound of the tokens by which a prompt grows between two uses. */
+const MAX_GROWTH_TOKENS = 200
 
 /**
- * Makes a trace. The same plan gives the same trace.
+ * Generates a trace. The same plan always gives the same trace.
  *
- * @param plan - its shape
- * @returns lines by rising time
+ * @param plan - parameters of the trace
+ * @returns requests in order of time
  */
 export function makeTrace (plan: TracePlan): TraceLine[] {
   const generator = xoroshiro128plus(plan.seed)
   const random = (): number => uniformFloat64(generator)
   const lines: TraceLine[] = []
   const durationMs = plan.seconds * 1000
-  const firsts = Math.round(plan.seconds * plan.requestsPerSecond * FIRST_SHARE)
-  for (let prompt = 0; prompt < firsts; prompt += 1) {
+  const promptCount = Math.round(plan.seconds * plan.requestsPerSecond * FIRST_REQUEST_SHARE)
+  for (let prompt = 0; prompt < promptCount; prompt += 1) {
     const customer = chooseCustomer(plan.customers, random)
     let at = random() * durationMs
-    let promptTokens = Math.round(SHORTEST_PROMPT * (LONGEST_PROMPT / SHORTEST_PROMPT) ** random())
-    const returns = Math.floor(random() * 2 * (1 / FIRST_SHARE - 1) + random())
+    let promptTokens = Math.round(MIN_PROMPT_TOKENS * (MAX_PROMPT_TOKENS / MIN_PROMPT_TOKENS) ** random())
+    const returns = Math.floor(random() * 2 * (1 / FIRST_REQUEST_SHARE - 1) + random())
     for (let turn = 0; turn <= returns && at < durationMs; turn += 1) {
       lines.push({
         at: Math.round(at),
@@ -82,8 +83,8 @@
         sharedTokens: SHARED_TOKENS,
         answerTokens: ANSWER_TOKENS.least + Math.floor(random() * (ANSWER_TOKENS.most - ANSWER_TOKENS.least))
       })
-      at += SHORTEST_GAP_MS * (1 - random()) ** (-1 / GAP_TAIL)
-      promptTokens += Math.floor(random() * GROWTH_TOKENS)
+      at += MIN_GAP_MS * (1 - random()) ** (-1 / GAP_PARETO_SHAPE)
+      promptTokens += Math.floor(random() * MAX_GROWTH_TOKENS)
     }
   }
   return lines.sort((left, right) => left.at - right.at)
@@ -93,8 +94,8 @@
  * Reads a recorded trace.
  *
  * @param text - JSON lines
- * @returns the lines
- * @throws Error that names the line and field of the first mistake
+ * @returns requests of the trace
+ * @throws Error with the line and field of the first invalid request
  */
 export function parseTrace (text: string): TraceLine[] {
   return text.split('\n').filter(line => line.trim() !== '').map((line, index) => {
@@ -106,7 +107,7 @@
 }
 
 function chooseCustomer (customers: readonly string[], random: () => number): string {
-  const weights = customers.map((_, rank) => (rank + 1) ** -CUSTOMER_SKEW)
+  const weights = customers.map((_, rank) => (rank + 1) ** -CUSTOMER_ZIPF_EXPONENT)
   let remaining = random() * weights.reduce((sum, weight) => sum + weight, 0)
   for (const [rank, weight] of weights.entries()) {
     remaining -= weight
