--- a/apps/soak/src/control.ts
+++ b/apps/soak/src/control.ts
@@ -5,9 +5,9 @@
 import { addressSetting, booleanSetting } from '@eelgrassmux/daemon/settings'
 import { HttpEndpointProbe } from './lib/HttpEndpointProbe.js'
 import { HttpEndpointSource } from './lib/HttpEndpointSource.js'
-import { HttpWeightOrders } from './lib/HttpWeightOrders.js'
+import { HttpWeightOrders } from './lib/HttpRolloutBackend.js'
 import { NoStores } from './lib/NoStores.js'
-import { openOperatorEdge } from './lib/operatorEdge.js'
+import { openOperatorEdge } from './lib/serveOperatorApi.js'
 
 const settingsSchema = z.object({
   ...controlSettingsShape,
--- a/apps/soak/src/endpoint.ts
+++ b/apps/soak/src/endpoint.ts
@@ -2,7 +2,7 @@
 import { writeSync } from 'node:fs'
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { EndpointStandin } from './lib/EndpointStandin.js'
-import { CRASHED_BY_REQUEST_CODE } from './lib/endpointWork.js'
+import { CRASHED_BY_REQUEST_CODE } from './lib/standinProtocol.js'
 
 const HOST = '127.0.0.1'
 
--- a/apps/soak/src/lib/Balancer.ts
+++ b/apps/soak/src/lib/Balancer.ts
@@ -1,7 +1,7 @@
 /** Chooses entry hosts for new connections by their readiness; knows nothing of connections that are open. */
 import { request } from 'undici'
-import type { Draws } from './Draws.js'
-import type { Incarnation, Slot } from './Slot.js'
+import type { Draws } from './SeededRandom.js'
+import type { Incarnation, Slot } from './ProcessSlot.js'
 
 /** Interval between questions, in milliseconds. */
 const LOOK_MS = 200
--- a/apps/soak/src/lib/Caller.ts
+++ b/apps/soak/src/lib/Caller.ts
@@ -2,13 +2,13 @@
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Balancer } from './Balancer.js'
-import { callOnce } from './callOnce.js'
+import { callOnce } from './sendRequest.js'
 import type { ConfigurationCheck } from './checks/ConfigurationCheck.js'
-import type { Draws } from './Draws.js'
-import type { EndpointBreak, Work } from './endpointWork.js'
-import type { Ledger } from './Ledger.js'
+import type { Draws } from './SeededRandom.js'
+import type { EndpointBreak, Work } from './standinProtocol.js'
+import type { Ledger } from './RequestHistory.js'
 import { REQUEST_KINDS, type AskedRequest, type Outcome, type RequestKind } from './observations.js'
-import type { Incarnation } from './Slot.js'
+import type { Incarnation } from './ProcessSlot.js'
 import { CUSTOMERS } from './soakSite.js'
 
 /** What callers share. */
--- a/apps/soak/src/lib/EndpointStandin.ts
+++ b/apps/soak/src/lib/EndpointStandin.ts
@@ -2,10 +2,10 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { ASKED_PAUSE_MS, ASKED_RATE, orderSchema, restraintSchema, workSchema, type EndpointLine, type RestraintKind, type StreamEvent, type Work } from './endpointWork.js'
-import { RestraintHolder } from './RestraintHolder.js'
+import { ASKED_PAUSE_MS, ASKED_RATE, orderSchema, restraintSchema, workSchema, type EndpointLine, type RestraintKind, type StreamEvent, type Work } from './standinProtocol.js'
+import { RestraintHolder } from './RestraintState.js'
 import { HEADER } from './soakHeaders.js'
-import { WeightsHolder } from './WeightsHolder.js'
+import { WeightsHolder } from './WeightsState.js'
 
 /** Who the stand-in is. */
 export interface EndpointIdentity {
--- a/apps/soak/src/lib/FaultDriver.ts
+++ b/apps/soak/src/lib/FaultInjector.ts
@@ -4,11 +4,11 @@
 import type { PlannedFault, SlotRole } from './faultPlan.js'
 import type { Operator } from './Operator.js'
 import type { EvacuationsHoldCheck } from './checks/EvacuationsHoldCheck.js'
-import type { Restraint } from './endpointWork.js'
-import type { Incarnation, Slot } from './Slot.js'
+import type { Restraint } from './standinProtocol.js'
+import type { Incarnation, Slot } from './ProcessSlot.js'
 import type { SoakCluster } from './SoakCluster.js'
 import { HEADER } from './soakHeaders.js'
-import type { TimeLine } from './TimeLine.js'
+import type { TimeLine } from './Timeline.js'
 
 /** Longest wait for an endpoint to take an order, in milliseconds; it may be paused. */
 const ORDER_MS = 500
--- a/apps/soak/src/lib/HttpWeightOrders.ts
+++ b/apps/soak/src/lib/HttpRolloutBackend.ts
@@ -4,7 +4,7 @@
 import type { RolloutBackend } from '@eelgrassmux/control/rollout/RolloutTask'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { reportSchema } from './endpointWork.js'
+import { reportSchema } from './standinProtocol.js'
 import { HEADER } from './soakHeaders.js'
 
 /** Longest wait for a stand-in, in milliseconds; it may be paused. */
--- a/apps/soak/src/lib/Operator.ts
+++ b/apps/soak/src/lib/Operator.ts
@@ -3,8 +3,8 @@
 import { request } from 'undici'
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
 import type { ConfigurationCheck } from './checks/ConfigurationCheck.js'
-import type { Draws } from './Draws.js'
-import type { Incarnation, Slot } from './Slot.js'
+import type { Draws } from './SeededRandom.js'
+import type { Incarnation, Slot } from './ProcessSlot.js'
 import { MODEL, soakSite } from './soakSite.js'
 
 /** Longest wait for one control host, in milliseconds. */
--- a/apps/soak/src/lib/RepeatingCaller.ts
+++ b/apps/soak/src/lib/RepeatingCaller.ts
@@ -2,8 +2,8 @@
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { CallerSurroundings } from './Caller.js'
-import { callOnce } from './callOnce.js'
-import type { Draws } from './Draws.js'
+import { callOnce } from './sendRequest.js'
+import type { Draws } from './SeededRandom.js'
 import type { AskedRequest } from './observations.js'
 import type { RepeatedRequest } from './planRepeatedRequests.js'
 
--- a/apps/soak/src/lib/Ledger.ts
+++ b/apps/soak/src/lib/RequestHistory.ts
@@ -1,7 +1,7 @@
 /** All that callers and endpoints have seen, and what it breaks. */
-import type { EndpointBreak, RejectionLine, RunLine } from './endpointWork.js'
+import type { EndpointBreak, RejectionLine, RunLine } from './standinProtocol.js'
 import type { AskedRequest, Outcome } from './observations.js'
-import type { TimeLine } from './TimeLine.js'
+import type { TimeLine } from './Timeline.js'
 
 /** Promises that the soak checks. */
 export const PROMISES = [
--- a/apps/soak/src/lib/RestraintHolder.ts
+++ b/apps/soak/src/lib/RestraintState.ts
@@ -1,5 +1,5 @@
 /** What an endpoint stand-in asks of hosts at this moment. */
-import type { Restraint, RestraintKind } from './endpointWork.js'
+import type { Restraint, RestraintKind } from './standinProtocol.js'
 
 /** Holds the last order. */
 export class RestraintHolder {
--- a/apps/soak/src/lib/SoakCluster.ts
+++ b/apps/soak/src/lib/SoakCluster.ts
@@ -1,10 +1,10 @@
 /** All processes of one run: control hosts and endpoints behind proxies, entry hosts as callers reach them. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { EndpointListServer } from './EndpointListServer.js'
-import { endpointLineSchema, type RejectionLine, type RunLine } from './endpointWork.js'
+import { endpointLineSchema, type RejectionLine, type RunLine } from './standinProtocol.js'
 import type { SlotRole, SoakShape } from './faultPlan.js'
 import { LoopbackProxy } from './LoopbackProxy.js'
-import { Slot, type Incarnation, type SlotPlan } from './Slot.js'
+import { Slot, type Incarnation, type SlotPlan } from './ProcessSlot.js'
 import { COLD_MS, dataCentreOf, MODEL, MODEL_SERVICE, PLAIN_SERVICE } from './soakSite.js'
 
 const MILLISECONDS_PER_SECOND = 1000
--- a/apps/soak/src/lib/checks/AtMostOnceCheck.ts
+++ b/apps/soak/src/lib/checks/AtMostOnceCheck.ts
@@ -1,6 +1,6 @@
 /** A request that is not idempotent runs once at most, over all endpoints. */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import { RUNS_ONCE } from '../observations.js'
 
 /** {@link RequestCheck} of repeated runs. */
--- a/apps/soak/src/lib/checks/BystandersAreServedCheck.ts
+++ b/apps/soak/src/lib/checks/BystandersAreServedCheck.ts
@@ -1,5 +1,5 @@
 /** No request is refused for what another one did to the endpoint that both were at. */
-import type { RequestCheck } from '../Ledger.js'
+import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 /** Reason of refusals of requests that are held to end endpoints. */
--- a/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
@@ -1,6 +1,6 @@
 /** An endpoint that has just started again gets few requests a second from all hosts together. */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import { FIRST_INCARNATION } from '../SoakCluster.js'
 import { COLD_MS, COLD_RATE } from '../soakSite.js'
 
--- a/apps/soak/src/lib/checks/ConfigurationCheck.ts
+++ b/apps/soak/src/lib/checks/ConfigurationCheck.ts
@@ -1,5 +1,5 @@
 /** A site that was acknowledged is never lost, and no reader or host goes back behind one. */
-import type { Ledger } from '../Ledger.js'
+import type { Ledger } from '../RequestHistory.js'
 
 /** How long a host may act on a confirmed configuration, in milliseconds: the product's default, with room for the two clocks. */
 const FRESHNESS_MS = 3000 + 200
--- a/apps/soak/src/lib/checks/CustomersApartCheck.ts
+++ b/apps/soak/src/lib/checks/CustomersApartCheck.ts
@@ -1,6 +1,6 @@
 /** A run is the customer's whose key came with the request; no key is passed on, and isolated customers share no cache. */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import { CUSTOMERS } from '../soakSite.js'
 
 /** {@link RequestCheck} of who runs for whom. */
--- a/apps/soak/src/lib/checks/EvacuationsHoldCheck.ts
+++ b/apps/soak/src/lib/checks/EvacuationsHoldCheck.ts
@@ -1,6 +1,6 @@
 /** While a data centre is evacuated nothing is sent to its endpoints, once hosts have had time to hear of it. */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import { dataCentreOf } from '../soakSite.js'
 
 /** Time from the acknowledgement in which hosts may act on what they confirmed before, in milliseconds. */
--- a/apps/soak/src/lib/checks/EventsInOrderCheck.ts
+++ b/apps/soak/src/lib/checks/EventsInOrderCheck.ts
@@ -1,6 +1,6 @@
 /** Events of a stream come in order, none missing or doubled, and a stream is complete only with its last. */
-import type { StreamEvent } from '../endpointWork.js'
-import type { RequestCheck } from '../Ledger.js'
+import type { StreamEvent } from '../standinProtocol.js'
+import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 /** {@link RequestCheck} of streams. */
--- a/apps/soak/src/lib/checks/LeavingIsHeededCheck.ts
+++ b/apps/soak/src/lib/checks/LeavingIsHeededCheck.ts
@@ -1,6 +1,6 @@
 /** An endpoint that has said in an answer that it is leaving gets nothing more from the host that got the answer. */
-import type { RunLine, Work } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine, Work } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 
 /** Time after that answer in which requests may still arrive, in milliseconds. */
 const DRAIN_MS = 1000
--- a/apps/soak/src/lib/checks/NotRunIsTrueCheck.ts
+++ b/apps/soak/src/lib/checks/NotRunIsTrueCheck.ts
@@ -1,6 +1,6 @@
 /** A status that says that the request has not run is true, also later. */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 /** Statuses that callers take for that promise. */
--- a/apps/soak/src/lib/checks/NothingIsCutCheck.ts
+++ b/apps/soak/src/lib/checks/NothingIsCutCheck.ts
@@ -3,7 +3,7 @@
  * host could not foresee: its own, its endpoint's, or of the link between them. A
  * planned stop is no such fault.
  */
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 /** A request that was sent up to here after SIGTERM may find the host still taking work, in milliseconds. */
--- a/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
+++ b/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
@@ -1,6 +1,6 @@
 /** One answer comes from one version of the weights, and so does one cache scope. */
-import type { RunLine } from '../endpointWork.js'
-import type { RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 /** {@link RequestCheck} of weights. */
--- a/apps/soak/src/lib/checks/PausesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/PausesAreKeptCheck.ts
@@ -1,6 +1,6 @@
 /** An endpoint that has rejected a request and asked for a pause gets nothing more from that host until the pause is over. */
-import { ASKED_PAUSE_MS, type RejectionLine, type RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import { ASKED_PAUSE_MS, type RejectionLine, type RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 
 /** Time after a rejection in which what is under way may still arrive, in milliseconds. */
 const CROSSING_MS = 500
--- a/apps/soak/src/lib/checks/PoisonRequestsStopCheck.ts
+++ b/apps/soak/src/lib/checks/PoisonRequestsStopCheck.ts
@@ -3,8 +3,8 @@
  * with it and hosts have had a moment to hear of it, it reaches three more at most,
  * whichever hosts are asked and however often.
  */
-import type { RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import type { RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import type { AskedRequest } from '../observations.js'
 
 /** Ends after which the request must be known for what it does. */
--- a/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
@@ -1,6 +1,6 @@
 /** An endpoint that names a rate gets no more from all hosts that were informed, once they have had time to agree on it. */
-import { ASKED_RATE, type RunLine } from '../endpointWork.js'
-import type { LedgerView, RequestCheck } from '../Ledger.js'
+import { ASKED_RATE, type RunLine } from '../standinProtocol.js'
+import type { LedgerView, RequestCheck } from '../RequestHistory.js'
 import { headMs } from './LeavingIsHeededCheck.js'
 
 const WINDOW_MS = 4000
--- a/apps/soak/src/lib/checks/WholeAnswersCheck.ts
+++ b/apps/soak/src/lib/checks/WholeAnswersCheck.ts
@@ -1,6 +1,6 @@
 /** An answer is whole and belongs to its request. */
-import { plainAnswerSchema } from '../endpointWork.js'
-import type { RequestCheck } from '../Ledger.js'
+import { plainAnswerSchema } from '../standinProtocol.js'
+import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 const OK = 200
--- a/apps/soak/src/lib/checks/requestChecks.test.ts
+++ b/apps/soak/src/lib/checks/requestChecks.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
-import type { RunLine, Work } from '../endpointWork.js'
-import { Ledger, type PromiseName } from '../Ledger.js'
+import type { RunLine, Work } from '../standinProtocol.js'
+import { Ledger, type PromiseName } from '../RequestHistory.js'
 import type { AskedRequest, CallerEnd } from '../observations.js'
-import { TimeLine } from '../TimeLine.js'
+import { TimeLine } from '../Timeline.js'
 import { ConfigurationCheck } from './ConfigurationCheck.js'
 import { requestChecks } from './requestChecks.js'
 
--- a/apps/soak/src/lib/checks/requestChecks.ts
+++ b/apps/soak/src/lib/checks/requestChecks.ts
@@ -1,5 +1,5 @@
 /** All promises about requests, ready for one run of the soak. */
-import type { RequestCheck } from '../Ledger.js'
+import type { RequestCheck } from '../RequestHistory.js'
 import { AtMostOnceCheck } from './AtMostOnceCheck.js'
 import { BystandersAreServedCheck } from './BystandersAreServedCheck.js'
 import { ColdRatesAreKeptCheck } from './ColdRatesAreKeptCheck.js'
--- a/apps/soak/src/lib/faultPlan.ts
+++ b/apps/soak/src/lib/faultPlan.ts
@@ -1,6 +1,6 @@
 /** Draws which faults come when, from a seed alone. */
-import { Draws } from './Draws.js'
-import { RESTRAINT_KINDS, type RestraintKind } from './endpointWork.js'
+import { Draws } from './SeededRandom.js'
+import { RESTRAINT_KINDS, type RestraintKind } from './standinProtocol.js'
 import { DATA_CENTRES } from './soakSite.js'
 import { LINK_FAULTS, type LinkFault } from './LoopbackProxy.js'
 
--- a/apps/soak/src/lib/observations.ts
+++ b/apps/soak/src/lib/observations.ts
@@ -1,5 +1,5 @@
 /** What callers ask and see. Times are milliseconds of the wall clock; all processes share one machine. */
-import type { StreamEvent, Work } from './endpointWork.js'
+import type { StreamEvent, Work } from './standinProtocol.js'
 
 /** Kinds of requests; `generation` is a resumable stream of a model, `probe` asks whether a site version is in force. */
 export const REQUEST_KINDS = ['safe', 'unsafe', 'stream', 'resumable', 'generation', 'probe'] as const
--- a/apps/soak/src/lib/planRepeatedRequests.ts
+++ b/apps/soak/src/lib/planRepeatedRequests.ts
@@ -1,6 +1,6 @@
 /** Draws requests that come again and again with the same customer, path and body. */
-import { Draws } from './Draws.js'
-import type { Work } from './endpointWork.js'
+import { Draws } from './SeededRandom.js'
+import type { Work } from './standinProtocol.js'
 import type { RequestKind } from './observations.js'
 import { CUSTOMERS } from './soakSite.js'
 
--- a/apps/soak/src/lib/callOnce.ts
+++ b/apps/soak/src/lib/sendRequest.ts
@@ -1,6 +1,6 @@
 /** Sends one request on a caller's connection and reads what comes. */
 import { request, type Agent, type IncomingMessage } from 'node:http'
-import { eventSchema, type StreamEvent } from './endpointWork.js'
+import { eventSchema, type StreamEvent } from './standinProtocol.js'
 import type { AskedRequest, CallerEnd } from './observations.js'
 import { HEADER } from './soakHeaders.js'
 import { CUSTOMERS, MODEL, probePath, REQUEST_LIMIT_MS, SITE_HOST } from './soakSite.js'
--- a/apps/soak/src/main.ts
+++ b/apps/soak/src/main.ts
@@ -1,6 +1,6 @@
 /** `npm run soak`: real processes under seeded faults; see docs/PROOFS.md. */
 import { Builtins, Cli, Command, Option } from 'clipanion'
-import { ENDPOINT_BREAKS } from './lib/endpointWork.js'
+import { ENDPOINT_BREAKS } from './lib/standinProtocol.js'
 import { ALL_FAULT_KINDS, FAULT_KINDS } from './lib/faultPlan.js'
 import { REGRESSION_SEEDS, type RegressionSeed } from './lib/regressionSeeds.js'
 import { PROCESS_BREAKS, runSoak, type SoakBreak, type SoakResult } from './lib/runSoak.js'
--- a/apps/soak/src/soak.test.ts
+++ b/apps/soak/src/soak.test.ts
@@ -1,8 +1,8 @@
 /** Short seeded runs of the soak, and runs that break each promise on purpose. */
 import { describe, expect, it } from 'vitest'
-import { ENDPOINT_BREAKS, type EndpointBreak } from './lib/endpointWork.js'
+import { ENDPOINT_BREAKS, type EndpointBreak } from './lib/standinProtocol.js'
 import { FAULT_KINDS, type FaultKind } from './lib/faultPlan.js'
-import type { PromiseName } from './lib/Ledger.js'
+import type { PromiseName } from './lib/RequestHistory.js'
 import { runSoak, type SoakBreak, type SoakResult } from './lib/runSoak.js'
 
 /** Real processes on a machine that may be busy; only a hang gets this far. */
