--- a/apps/soak/src/control.ts
+++ b/apps/soak/src/control.ts
@@ -5,9 +5,9 @@
 import { addressSetting, booleanSetting } from '@eelgrassmux/daemon/settings'
 import { HttpEndpointProbe } from './lib/HttpEndpointProbe.js'
 import { HttpEndpointSource } from './lib/HttpEndpointSource.js'
-import { HttpWeightOrders } from './lib/HttpRolloutBackend.js'
+import { HttpRolloutBackend } from './lib/HttpRolloutBackend.js'
 import { NoStores } from './lib/NoStores.js'
-import { openOperatorEdge } from './lib/serveOperatorApi.js'
+import { serveOperatorApi } from './lib/serveOperatorApi.js'
 
 const settingsSchema = z.object({
   ...controlSettingsShape,
@@ -21,11 +21,11 @@
   settings: settingsSchema,
   start: async (settings, telemetry, fail) => await startControl(settings, telemetry, fail, {
     endpoints: new HttpEndpointSource(settings.list),
-    engines: new HttpWeightOrders(),
+    engines: new HttpRolloutBackend(),
     stores: new NoStores(),
     probe: new HttpEndpointProbe(),
     contacts: () => settings.join,
-    openOperatorApi: async sites => await openOperatorEdge(settings.host, sites, settings.forgetful)
+    openOperatorApi: async sites => await serveOperatorApi(settings.host, sites, settings.forgetful)
   })
 }
 
--- a/apps/soak/src/lib/EndpointListServer.ts
+++ b/apps/soak/src/lib/EndpointListServer.ts
@@ -22,7 +22,7 @@
    * @param slot - whose place it takes
    * @param endpoint - as it is listed from now on
    */
-  list (slot: string, endpoint: ListedEndpoint): void {
+  put (slot: string, endpoint: ListedEndpoint): void {
     this.#endpoints.set(slot, endpoint)
   }
 
--- a/apps/soak/src/lib/EndpointStandin.ts
+++ b/apps/soak/src/lib/EndpointStandin.ts
@@ -2,10 +2,10 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { ASKED_PAUSE_MS, ASKED_RATE, orderSchema, restraintSchema, workSchema, type EndpointLine, type RestraintKind, type StreamEvent, type Work } from './standinProtocol.js'
-import { RestraintHolder } from './RestraintState.js'
+import { REQUESTED_PAUSE_MS, REQUESTED_RATE_PER_SECOND, orderSchema, restraintSchema, workSchema, type EndpointLine, type RestraintKind, type StreamEvent, type Work } from './standinProtocol.js'
+import { RestraintState } from './RestraintState.js'
 import { HEADER } from './soakHeaders.js'
-import { WeightsHolder } from './WeightsState.js'
+import { WeightsState } from './WeightsState.js'
 
 /** Who the stand-in is. */
 export interface EndpointIdentity {
@@ -21,10 +21,10 @@
 
 /** Serves until closed. */
 export class EndpointStandin {
-  readonly #weights: WeightsHolder
+  readonly #weights: WeightsState
   readonly #server: Server
   #runs = 0
-  readonly #restraint = new RestraintHolder()
+  readonly #restraint = new RestraintState()
 
   /**
    * @param identity - who it is
@@ -32,7 +32,7 @@
    * @param exit - ends the process at once
    */
   constructor (private readonly identity: EndpointIdentity, private readonly print: (line: EndpointLine) => void, private readonly exit: () => void) {
-    this.#weights = new WeightsHolder(identity.version, () => this.#runs, version => {
+    this.#weights = new WeightsState(identity.version, () => this.#runs, version => {
       print({ event: 'weights', endpoint: identity.id, version })
     })
     this.#server = createServer({ keepAliveTimeout: 5000 }, (request, response) => { void this.#serve(request, response) })
@@ -61,8 +61,8 @@
     response.setHeader(HEADER.answeredBy, this.identity.id)
     if (request.headers[HEADER.instance] !== this.identity.id) this.#reject(response, MISDIRECTED)
     else if (request.url === '/weights') this.#answerWeights(request, response, body)
-    else if (request.url === '/restraint') this.#takeRestraint(response, body)
-    else await this.#work(request, response, body)
+    else if (request.url === '/restraint') this.#setRestraint(response, body)
+    else await this.#executeWork(request, response, body)
   }
 
   #reject (response: ServerResponse, status: number): void {
@@ -70,20 +70,20 @@
     response.end()
   }
 
-  #takeRestraint (response: ServerResponse, body: string): void {
-    this.#restraint.order(restraintSchema.parse(JSON.parse(body)), performance.now())
+  #setRestraint (response: ServerResponse, body: string): void {
+    this.#restraint.set(restraintSchema.parse(JSON.parse(body)), performance.now())
     response.end()
   }
 
   /** A pause is asked for with a rejection, anything else with whatever is answered. */
-  #rejectForPause (request: IncomingMessage, response: ServerResponse): void {
+  #rejectWithPause (request: IncomingMessage, response: ServerResponse): void {
     this.print({ event: 'rejected', requestId: headerOf(request, HEADER.requestId), endpoint: this.identity.id, at: Date.now() })
-    response.setHeader(HEADER.retryAfter, String(ASKED_PAUSE_MS / MILLISECONDS_PER_SECOND))
+    response.setHeader(HEADER.retryAfter, String(REQUESTED_PAUSE_MS / MILLISECONDS_PER_SECOND))
     this.#reject(response, UNAVAILABLE)
   }
 
   #answerWeights (request: IncomingMessage, response: ServerResponse, body: string): void {
-    const { held, isBusy, acceptedOrders } = this.#weights
+    const { loadedVersion: held, isBusy, acceptedOrders } = this.#weights
     if (request.method === 'GET') {
       response.end(JSON.stringify({ model: this.identity.model, version: held, isBusy, acceptedOrders }))
       return
@@ -93,24 +93,24 @@
     response.end()
   }
 
-  async #work (request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
+  async #executeWork (request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
     const wanted = request.headers[HEADER.version]
-    if (this.#weights.isBusy || (wanted !== undefined && Number(wanted) !== this.#weights.held)) {
+    if (this.#weights.isBusy || (wanted !== undefined && Number(wanted) !== this.#weights.loadedVersion)) {
       this.#reject(response, UNAVAILABLE)
       return
     }
-    const asks = this.#restraint.present(performance.now())
+    const asks = this.#restraint.activeAt(performance.now())
     if (asks === 'pause') {
-      this.#rejectForPause(request, response)
+      this.#rejectWithPause(request, response)
       return
     }
-    if (asks === 'rate') response.setHeader(HEADER.rateLimit, String(ASKED_RATE))
+    if (asks === 'rate') response.setHeader(HEADER.rateLimit, String(REQUESTED_RATE_PER_SECOND))
     if (asks === 'leaving') response.setHeader(HEADER.leaving, '1')
     const work = workSchema.parse(JSON.parse(headerOf(request, HEADER.work)))
     this.#runs += 1
     try {
       this.#printRun(request, work, asks)
-      if (work.crashesEndpointAfterMs !== undefined) await this.#endAfter(work.crashesEndpointAfterMs)
+      if (work.crashesEndpointAfterMs !== undefined) await this.#crashAfter(work.crashesEndpointAfterMs)
       if (work.fault === 'run-then-reject') this.#reject(response, UNAVAILABLE)
       else if (work.kind === 'plain') await this.#answer(request, response, work, body)
       else await this.#stream(request, response, work)
@@ -119,7 +119,7 @@
     }
   }
 
-  async #endAfter (milliseconds: number): Promise<void> {
+  async #crashAfter (milliseconds: number): Promise<void> {
     await sleep(milliseconds)
     this.exit()
   }
@@ -132,7 +132,7 @@
       customer: fault === 'other-customer' ? 'somebody-else' : headerOf(request, HEADER.customer),
       cacheSalt: headerOf(request, HEADER.cacheSalt),
       hasKey: request.headers[HEADER.key] !== undefined,
-      version: this.#weights.held,
+      version: this.#weights.loadedVersion,
       after: Number(request.headers[HEADER.lastEvent] ?? 0),
       ...(asks === undefined ? {} : { asks }),
       at: Date.now()
@@ -156,7 +156,7 @@
 
   async #stream (request: IncomingMessage, response: ServerResponse, work: Extract<Work, { kind: 'stream' }>): Promise<void> {
     const requestId = headerOf(request, HEADER.requestId)
-    const version = this.#weights.held
+    const version = this.#weights.loadedVersion
     response.writeHead(200, { [HEADER.requestId]: requestId, [HEADER.version]: String(version), 'content-type': 'text/event-stream' })
     const last = work.fault === 'early-end' ? work.events - 1 : work.events
     for (let number = Number(request.headers[HEADER.lastEvent] ?? 0) + 1; number <= last; number += 1) {
--- a/apps/soak/src/lib/FaultInjector.ts
+++ b/apps/soak/src/lib/FaultInjector.ts
@@ -5,16 +5,16 @@
 import type { Operator } from './Operator.js'
 import type { EvacuationsHoldCheck } from './checks/EvacuationsHoldCheck.js'
 import type { Restraint } from './standinProtocol.js'
-import type { Incarnation, Slot } from './ProcessSlot.js'
+import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
 import type { SoakCluster } from './SoakCluster.js'
 import { HEADER } from './soakHeaders.js'
-import type { TimeLine } from './Timeline.js'
+import type { Timeline } from './Timeline.js'
 
 /** Longest wait for an endpoint to take an order, in milliseconds; it may be paused. */
-const ORDER_MS = 500
+const ORDER_TIMEOUT_MS = 500
 
 /** How planned stops are made. */
-export interface StopTerms {
+export interface StopOptions {
   /** Time from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
   /** Planned stops are made by SIGKILL alone: a break for the checks. */
@@ -22,20 +22,20 @@
 }
 
 /** Injects faults until its plan is over. */
-export class FaultDriver {
-  readonly #underWay: Array<Promise<void>> = []
+export class FaultInjector {
+  readonly #pending: Array<Promise<void>> = []
   readonly #evacuated = new Set<string>()
 
   /**
    * @param cluster - processes and links
    * @param operator - changes sites and weights
-   * @param timeLine - takes what was done
+   * @param timeline - takes what was done
    * @param evacuations - told of evacuations
    * @param terms - of planned stops
    */
   constructor (
-    private readonly cluster: SoakCluster, private readonly operator: Operator, private readonly timeLine: TimeLine,
-    private readonly evacuations: EvacuationsHoldCheck, private readonly terms: StopTerms
+    private readonly cluster: SoakCluster, private readonly operator: Operator, private readonly timeline: Timeline,
+    private readonly evacuations: EvacuationsHoldCheck, private readonly terms: StopOptions
   ) {}
 
   /**
@@ -46,9 +46,9 @@
     const startedAt = performance.now()
     for (const fault of plan) {
       await sleep(Math.max(0, startedAt + fault.atMs - performance.now()))
-      this.#underWay.push(this.#inject(fault))
+      this.#pending.push(this.#inject(fault))
     }
-    await Promise.all(this.#underWay)
+    await Promise.all(this.#pending)
   }
 
   async #inject (fault: PlannedFault): Promise<void> {
@@ -62,10 +62,10 @@
       case 'evacuation': return await this.#evacuate(fault.dataCentre, fault.durationMs)
       case 'cold-return': return this.#kill(this.#slot('endpoint', fault.slot))
       case 'new-site':
-        this.timeLine.note('operator', 'puts a site', false)
+        this.timeline.record('operator', 'puts a site', false)
         return await this.operator.putSite()
       case 'new-weights':
-        this.timeLine.note('operator', 'names weights', false)
+        this.timeline.record('operator', 'names weights', false)
         return await this.operator.nameWeights()
     }
   }
@@ -79,77 +79,77 @@
     await Promise.all(stops)
   }
 
-  async #stop (slot: Slot, role: SlotRole): Promise<void> {
-    const { present } = slot
+  async #stop (slot: ProcessSlot, role: SlotRole): Promise<void> {
+    const { current } = slot
     // A second SIGTERM would be the operator's wish to have it ended at once.
-    if (present === undefined || this.timeLine.stopOf(present.label) !== undefined) return
+    if (current === undefined || this.timeline.stopOf(current.label) !== undefined) return
     const { graceMs, isAbrupt } = this.terms
-    if (role === 'endpoint') this.cluster.list.markLeaving(present.label)
-    this.timeLine.noteStop(present.label, graceMs)
-    present.process.signal(isAbrupt ? 'SIGKILL' : 'SIGTERM')
-    await Promise.race([sleep(graceMs, undefined, { ref: false }), present.process.exited()])
-    if (!isSame(slot, present)) return
+    if (role === 'endpoint') this.cluster.endpointList.markLeaving(current.label)
+    this.timeline.recordStop(current.label, graceMs)
+    current.process.signal(isAbrupt ? 'SIGKILL' : 'SIGTERM')
+    await Promise.race([sleep(graceMs, undefined, { ref: false }), current.process.exited()])
+    if (!isCurrent(slot, current)) return
     // An endpoint that is ended inside its work breaks it off; an entry host should have ended by itself.
-    this.timeLine.noteKill(present.label, role !== 'entry', 'after its grace time')
-    present.process.signal('SIGKILL')
+    this.timeline.recordKill(current.label, role !== 'entry', 'after its grace time')
+    current.process.signal('SIGKILL')
   }
 
-  #kill ({ present }: Slot): void {
-    if (present === undefined) return
-    this.timeLine.noteKill(present.label, true)
-    present.process.signal('SIGKILL')
+  #kill ({ current }: ProcessSlot): void {
+    if (current === undefined) return
+    this.timeline.recordKill(current.label, true)
+    current.process.signal('SIGKILL')
   }
 
-  async #pause (slot: Slot, durationMs: number): Promise<void> {
-    const { present } = slot
-    if (present === undefined) return
-    this.timeLine.note(present.label, 'SIGSTOP', true, durationMs)
-    present.process.signal('SIGSTOP')
+  async #pause (slot: ProcessSlot, durationMs: number): Promise<void> {
+    const { current } = slot
+    if (current === undefined) return
+    this.timeline.record(current.label, 'SIGSTOP', true, durationMs)
+    current.process.signal('SIGSTOP')
     await sleep(durationMs)
-    if (isSame(slot, present)) present.process.signal('SIGCONT')
+    if (isCurrent(slot, current)) current.process.signal('SIGCONT')
   }
 
   async #breakLink ({ role, slot, fault, durationMs }: Extract<PlannedFault, { kind: 'link' }>): Promise<void> {
     const proxy = this.cluster.proxy(role, slot)
-    this.timeLine.note(`${role}-${slot}`, `link: ${fault}`, true, durationMs)
-    proxy.misbehave(fault)
+    this.timeline.record(`${role}-${slot}`, `link: ${fault}`, true, durationMs)
+    proxy.setFault(fault)
     await sleep(durationMs)
     // The later of two overlapping faults may end early; the time line then excuses more than happened, never less.
-    proxy.misbehave(undefined)
+    proxy.setFault(undefined)
   }
 
   /** An endpoint that says that it is leaving is stopped after a while. */
   async #restrain ({ slot: index, asks, durationMs }: Extract<PlannedFault, { kind: 'restraint' }>): Promise<void> {
     const slot = this.#slot('endpoint', index)
-    const { present } = slot
-    if (present === undefined || !await takesOrder(present, { kind: asks, durationMs })) return
-    this.timeLine.note(present.label, `asks for ${asks}`, false, durationMs)
+    const { current } = slot
+    if (current === undefined || !await orderRestraint(current, { kind: asks, durationMs })) return
+    this.timeline.record(current.label, `asks for ${asks}`, false, durationMs)
     await sleep(durationMs)
-    if (asks === 'leaving' && isSame(slot, present)) await this.#stop(slot, 'endpoint')
+    if (asks === 'leaving' && isCurrent(slot, current)) await this.#stop(slot, 'endpoint')
   }
 
   async #evacuate (dataCentre: string, durationMs: number): Promise<void> {
     if (this.#evacuated.has(dataCentre)) return
     this.#evacuated.add(dataCentre)
-    this.timeLine.note('operator', `evacuates ${dataCentre}`, false, durationMs)
-    if (await this.operator.evacuate(dataCentre, true)) this.evacuations.noteAcknowledged(dataCentre)
+    this.timeline.record('operator', `evacuates ${dataCentre}`, false, durationMs)
+    if (await this.operator.evacuate(dataCentre, true)) this.evacuations.recordAcknowledgement(dataCentre)
     await sleep(durationMs)
-    this.evacuations.noteEnding(dataCentre)
+    this.evacuations.recordLift(dataCentre)
     await this.operator.evacuate(dataCentre, false)
     this.#evacuated.delete(dataCentre)
   }
 
-  #slot (role: SlotRole, index: number): Slot {
+  #slot (role: SlotRole, index: number): ProcessSlot {
     const slot = this.cluster.slots(role)[index]
     if (slot === undefined) throw new Error(`no ${role} ${index}`)
     return slot
   }
 }
 
-async function takesOrder ({ label, addresses }: Incarnation, restraint: Restraint): Promise<boolean> {
+async function orderRestraint ({ label, addresses }: Incarnation, restraint: Restraint): Promise<boolean> {
   try {
     const { statusCode, body } = await request(`http://${addresses.http ?? ''}/restraint`, {
-      method: 'POST', headers: { [HEADER.instance]: label }, body: JSON.stringify(restraint), signal: AbortSignal.timeout(ORDER_MS)
+      method: 'POST', headers: { [HEADER.instance]: label }, body: JSON.stringify(restraint), signal: AbortSignal.timeout(ORDER_TIMEOUT_MS)
     })
     await body.dump()
     return statusCode === 200
@@ -159,6 +159,6 @@
   }
 }
 
-function isSame ({ present }: Slot, incarnation: Incarnation): boolean {
-  return present === incarnation
+function isCurrent ({ current }: ProcessSlot, incarnation: Incarnation): boolean {
+  return current === incarnation
 }
--- a/apps/soak/src/lib/HttpRolloutBackend.ts
+++ b/apps/soak/src/lib/HttpRolloutBackend.ts
@@ -11,7 +11,7 @@
 const TIMEOUT_MS = 500
 
 /** {@link RolloutBackend} over the stand-ins. */
-export class HttpWeightOrders implements RolloutBackend {
+export class HttpRolloutBackend implements RolloutBackend {
   async status (endpoint: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>> {
     try {
       const response = await request(`http://${endpoint.address}/weights`, {
--- a/apps/soak/src/lib/LoopbackProxy.test.ts
+++ b/apps/soak/src/lib/LoopbackProxy.test.ts
@@ -69,25 +69,25 @@
   })
 
   it('passes late bytes on all the same', async () => {
-    proxy.misbehave('delay')
+    proxy.setFault('delay')
     expect(await exchange('one')).toBe('one')
   })
 
   it('holds what a cut keeps back until it is healed, in order', async () => {
     expect(await exchange('one')).toBe('one')
-    proxy.misbehave('cut-back')
+    proxy.setFault('cut-back')
     caller.write('two')
     while (arrived.length < 2) await new Promise(resolve => { setImmediate(resolve) })
     expect(caller.bytesRead).toBe('one'.length)
     const answer = once(caller, 'data')
-    proxy.misbehave(undefined)
+    proxy.setFault(undefined)
     expect(String((await answer)[0])).toBe('two')
   })
 
   it('resets open connections', async () => {
     expect(await exchange('one')).toBe('one')
     const answer = once(caller, 'data')
-    proxy.misbehave('reset')
+    proxy.setFault('reset')
     await expect(answer).rejects.toMatchObject({ code: 'ECONNRESET' })
   })
 })
--- a/apps/soak/src/lib/LoopbackProxy.ts
+++ b/apps/soak/src/lib/LoopbackProxy.ts
@@ -14,26 +14,26 @@
 const DELAY_MS = 120
 
 /** Interval at which held bytes are looked after, in milliseconds. */
-const PUMP_MS = 10
+const FLUSH_INTERVAL_MS = 10
 
 const HOST = '127.0.0.1'
 
 type Direction = 'towards' | 'back'
-interface HeldPiece { readonly bytes: Buffer | 'end', readonly dueAt: number }
+interface BufferedChunk { readonly bytes: Buffer | 'end', readonly dueAt: number }
 
 /** One direction of a connection. */
-class HeldBytes {
-  readonly #pieces: HeldPiece[] = []
+class DirectionBuffer {
+  readonly #chunks: BufferedChunk[] = []
 
   constructor (private readonly to: Socket) {}
 
   push (bytes: Buffer | 'end', dueAt: number): void {
-    this.#pieces.push({ bytes, dueAt })
+    this.#chunks.push({ bytes, dueAt })
   }
 
-  release (now: number): void {
-    while (this.#pieces[0] !== undefined && this.#pieces[0].dueAt <= now) {
-      const bytes = this.#pieces.shift()?.bytes
+  flush (now: number): void {
+    while (this.#chunks[0] !== undefined && this.#chunks[0].dueAt <= now) {
+      const bytes = this.#chunks.shift()?.bytes
       if (bytes === 'end') this.to.end()
       else if (bytes !== undefined && this.to.writable) this.to.write(bytes)
     }
@@ -42,11 +42,11 @@
 
 /** A proxy whose own address never changes. */
 export class LoopbackProxy {
-  readonly #server: Server = createServer({ allowHalfOpen: true }, socket => { this.#carry(socket) })
+  readonly #server: Server = createServer({ allowHalfOpen: true }, socket => { this.#accept(socket) })
   #datagrams: DatagramSocket = createSocket('udp4')
-  readonly #returns = new Map<string, DatagramSocket>()
+  readonly #returnSockets = new Map<string, DatagramSocket>()
   readonly #sockets = new Set<Socket>()
-  readonly #held = new Map<Direction, Set<HeldBytes>>([['towards', new Set()], ['back', new Set()]])
+  readonly #buffers = new Map<Direction, Set<DirectionBuffer>>([['towards', new Set()], ['back', new Set()]])
   #timer: NodeJS.Timeout | undefined
   #fault: LinkFault | undefined
   /** Port behind the proxy; undefined while its process is gone. */
@@ -64,12 +64,12 @@
       port = await this.#openPort(0)
     }
     this.#datagrams.on('message', (bytes, sender) => { this.#forward(bytes, sender) })
-    this.#timer = setInterval(() => { this.#pump() }, PUMP_MS)
+    this.#timer = setInterval(() => { this.#flushAll() }, FLUSH_INTERVAL_MS)
     return `${HOST}:${port}`
   }
 
   /** @param fault - from now on; undefined heals */
-  misbehave (fault: LinkFault | undefined): void {
+  setFault (fault: LinkFault | undefined): void {
     this.#fault = fault
     if (fault !== 'reset') return
     for (const socket of this.#sockets) socket.resetAndDestroy()
@@ -79,7 +79,7 @@
   close (): void {
     clearInterval(this.#timer)
     for (const socket of this.#sockets) socket.destroy()
-    for (const socket of this.#returns.values()) socket.close()
+    for (const socket of this.#returnSockets.values()) socket.close()
     this.#datagrams.close()
     this.#server.close()
   }
@@ -112,68 +112,68 @@
     })
   }
 
-  #carry (caller: Socket): void {
-    this.#keep(caller)
+  #accept (caller: Socket): void {
+    this.#track(caller)
     if (this.#fault === 'reset' || this.target === undefined) {
       caller.resetAndDestroy()
       return
     }
     const callee = connect({ port: this.target, host: HOST, allowHalfOpen: true, noDelay: true })
     caller.setNoDelay(true)
-    this.#keep(callee)
-    this.#join(caller, callee, 'towards')
-    this.#join(callee, caller, 'back')
+    this.#track(callee)
+    this.#pipe(caller, callee, 'towards')
+    this.#pipe(callee, caller, 'back')
   }
 
-  #join (from: Socket, to: Socket, direction: Direction): void {
-    const held = new HeldBytes(to)
-    this.#held.get(direction)?.add(held)
+  #pipe (from: Socket, to: Socket, direction: Direction): void {
+    const held = new DirectionBuffer(to)
+    this.#buffers.get(direction)?.add(held)
     const push = (bytes: Buffer | 'end'): void => {
       held.push(bytes, this.#fault === 'delay' ? performance.now() + DELAY_MS : 0)
-      if (this.#passes(direction)) held.release(performance.now())
+      if (this.#isForwarding(direction)) held.flush(performance.now())
     }
     from.on('data', push)
     from.on('end', () => { push('end') })
     from.on('close', hadError => {
       if (hadError) to.resetAndDestroy()
     })
-    to.on('close', () => { this.#held.get(direction)?.delete(held) })
+    to.on('close', () => { this.#buffers.get(direction)?.delete(held) })
   }
 
-  #keep (socket: Socket): void {
+  #track (socket: Socket): void {
     this.#sockets.add(socket)
     socket.on('error', () => { socket.destroy() })
     socket.on('close', () => { this.#sockets.delete(socket) })
   }
 
-  #passes (direction: Direction): boolean {
+  #isForwarding (direction: Direction): boolean {
     if (this.#fault === 'silence') return false
     return this.#fault !== (direction === 'towards' ? 'cut-towards' : 'cut-back')
   }
 
-  #pump (): void {
+  #flushAll (): void {
     const now = performance.now()
-    for (const [direction, all] of this.#held) {
-      if (this.#passes(direction)) for (const held of all) held.release(now)
+    for (const [direction, all] of this.#buffers) {
+      if (this.#isForwarding(direction)) for (const held of all) held.flush(now)
     }
   }
 
   #forward (bytes: Buffer, sender: RemoteInfo): void {
-    if (this.target === undefined || this.#fault === 'reset' || !this.#passes('towards')) return
+    if (this.target === undefined || this.#fault === 'reset' || !this.#isForwarding('towards')) return
     this.#returnSocket(sender).send(bytes, this.target, HOST)
   }
 
   #returnSocket (sender: RemoteInfo): DatagramSocket {
     const key = `${sender.address}:${sender.port}`
-    const present = this.#returns.get(key)
-    if (present !== undefined) return present
+    const existing = this.#returnSockets.get(key)
+    if (existing !== undefined) return existing
     const socket = createSocket('udp4')
     // As good as a lost datagram.
     socket.on('error', () => {})
     socket.on('message', bytes => {
-      if (this.#fault !== 'reset' && this.#passes('back')) this.#datagrams.send(bytes, sender.port, sender.address)
+      if (this.#fault !== 'reset' && this.#isForwarding('back')) this.#datagrams.send(bytes, sender.port, sender.address)
     })
-    this.#returns.set(key, socket)
+    this.#returnSockets.set(key, socket)
     return socket
   }
 }
--- a/apps/soak/src/lib/Operator.ts
+++ b/apps/soak/src/lib/Operator.ts
@@ -3,31 +3,31 @@
 import { request } from 'undici'
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
 import type { ConfigurationCheck } from './checks/ConfigurationCheck.js'
-import type { Draws } from './SeededRandom.js'
-import type { Incarnation, Slot } from './ProcessSlot.js'
+import type { SeededRandom } from './SeededRandom.js'
+import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
 import { MODEL, soakSite } from './soakSite.js'
 
 /** Longest wait for one control host, in milliseconds. */
-const TIMEOUT_MS = 1500
+const REQUEST_TIMEOUT_MS = 1500
 
 /** Pause before another control host is asked, in milliseconds. */
-const RETRY_MS = 150
+const RETRY_DELAY_MS = 150
 
 /** Times that a change is sent before it is given up. */
-const MOST_TRIES = 10
+const MAX_ATTEMPTS = 10
 
 /** Interval between readings, in milliseconds. */
-const READ_MS = 200
+const READ_INTERVAL_MS = 200
 
 const OK = 200
 
-interface ControlAnswer { readonly status: number, readonly text: string }
+interface ControlResponse { readonly status: number, readonly text: string }
 
 /** The one operator; its changes may overlap. */
 export class Operator {
-  #site = 0
-  #weights = 1
-  #newestWeights = 1
+  #siteVersion = 0
+  #weightsVersion = 1
+  #newestWeightsVersion = 1
   #isStopped = false
 
   /**
@@ -37,26 +37,26 @@
    * @param hasColdRate - whether the sites state what cold endpoints take
    */
   constructor (
-    private readonly controls: readonly Slot[], private readonly draws: Draws, private readonly check: ConfigurationCheck, private readonly hasColdRate: boolean
+    private readonly controls: readonly ProcessSlot[], private readonly random: SeededRandom, private readonly check: ConfigurationCheck, private readonly hasColdRate: boolean
   ) {}
 
   /** The newest version of the weights that was acknowledged. */
-  get newestWeights (): number { return this.#newestWeights }
+  get newestWeightsVersion (): number { return this.#newestWeightsVersion }
 
   /** Puts the next site. */
   async putSite (): Promise<void> {
-    this.#site += 1
-    const version = this.#site
+    this.#siteVersion += 1
+    const version = this.#siteVersion
     const source = JSON.stringify(soakSite(version, this.hasColdRate))
-    this.check.noteSent(version, source)
-    if (await this.#send('/site', source)) this.check.noteAcknowledged(version)
+    this.check.recordSent(version, source)
+    if (await this.#send('/site', source)) this.check.recordAcknowledgement(version)
   }
 
   /** Names the next weights. */
   async nameWeights (): Promise<void> {
-    this.#weights += 1
-    const version = this.#weights
-    if (await this.#send('/weights', JSON.stringify({ model: MODEL, version }))) this.#newestWeights = Math.max(this.#newestWeights, version)
+    this.#weightsVersion += 1
+    const version = this.#weightsVersion
+    if (await this.#send('/weights', JSON.stringify({ model: MODEL, version }))) this.#newestWeightsVersion = Math.max(this.#newestWeightsVersion, version)
   }
 
   /**
@@ -71,50 +71,50 @@
   }
 
   /** Reads again and again until stopped. */
-  async readOn (): Promise<void> {
+  async readRepeatedly (): Promise<void> {
     while (!this.#isStopped) {
       await this.readOnce()
-      await sleep(READ_MS)
+      await sleep(READ_INTERVAL_MS)
     }
   }
 
-  /** Ends {@link Operator.readOn}. */
+  /** Ends {@link Operator.readRepeatedly}. */
   stop (): void {
     this.#isStopped = true
   }
 
   /** @returns whether a control host was sure of what is in force */
   async readOnce (): Promise<boolean> {
-    const control = this.#choose()
+    const control = this.#pickControlHost()
     if (control === undefined) return false
     const startedAt = Date.now()
-    const answer = await ask(control, 'GET', '/site')
+    const answer = await callControlHost(control, 'GET', '/site')
     if (answer?.status !== OK) return false
     const { version } = siteSchema.parse(JSON.parse(answer.text))
-    this.check.noteReading({ control: control.label, startedAt, version, source: answer.text })
+    this.check.recordRead({ control: control.label, startedAt, version, source: answer.text })
     return true
   }
 
   async #send (path: string, body: string): Promise<boolean> {
-    for (let turn = 0; turn < MOST_TRIES; turn += 1) {
-      const control = this.#choose()
-      const answer = control === undefined ? undefined : await ask(control, 'PUT', path, body)
+    for (let turn = 0; turn < MAX_ATTEMPTS; turn += 1) {
+      const control = this.#pickControlHost()
+      const answer = control === undefined ? undefined : await callControlHost(control, 'PUT', path, body)
       if (answer?.status === OK) return true
-      await sleep(RETRY_MS)
+      await sleep(RETRY_DELAY_MS)
     }
     return false
   }
 
-  #choose (): Incarnation | undefined {
-    const running = this.controls.flatMap(({ present }) => present ?? [])
-    return running.length === 0 ? undefined : this.draws.pick(running)
+  #pickControlHost (): Incarnation | undefined {
+    const running = this.controls.flatMap(({ current }) => current ?? [])
+    return running.length === 0 ? undefined : this.random.pick(running)
   }
 }
 
-async function ask ({ addresses }: Incarnation, method: 'GET' | 'PUT', path: string, body?: string): Promise<ControlAnswer | undefined> {
+async function callControlHost ({ addresses }: Incarnation, method: 'GET' | 'PUT', path: string, body?: string): Promise<ControlResponse | undefined> {
   try {
     const response = await request(`http://${addresses['operators'] ?? ''}${path}`, {
-      method, signal: AbortSignal.timeout(TIMEOUT_MS), ...(body === undefined ? {} : { body })
+      method, signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS), ...(body === undefined ? {} : { body })
     })
     return { status: response.statusCode, text: await response.body.text() }
   } catch {
--- a/apps/soak/src/lib/ProcessSlot.ts
+++ b/apps/soak/src/lib/ProcessSlot.ts
@@ -30,14 +30,14 @@
 }
 
 /** Time between the end of a process and the start of the next, in milliseconds: as a service manager that restarts at once, or nearly. */
-const RESTART_MS = 400
+const RESTART_DELAY_MS = 400
 
 /** Keeps one process running until closed. */
-export class Slot {
-  #present: Incarnation | undefined
+export class ProcessSlot {
+  #current: Incarnation | undefined
   #count = 0
   #isClosed = false
-  #running: Promise<void> = Promise.resolve()
+  #supervision: Promise<void> = Promise.resolve()
   #failure: Error | undefined
 
   /** @param plan - how to start its processes */
@@ -45,7 +45,7 @@
 
   get name (): string { return this.plan.name }
   /** The process that runs now. */
-  get present (): Incarnation | undefined { return this.#present }
+  get current (): Incarnation | undefined { return this.#current }
   get label (): string { return `${this.plan.name}#${this.#count}` }
   /** Why no further incarnation could be started. */
   get failure (): Error | undefined { return this.#failure }
@@ -58,14 +58,14 @@
   /** Starts the first incarnation and looks after it from then on. */
   async start (): Promise<void> {
     await this.#startNext()
-    this.#running = this.#supervise()
+    this.#supervision = this.#supervise()
   }
 
   /** Ends the process and starts no other. */
   async close (): Promise<void> {
     this.#isClosed = true
-    await this.#present?.process.kill()
-    await this.#running
+    await this.#current?.process.kill()
+    await this.#supervision
   }
 
   async #startNext (): Promise<void> {
@@ -77,23 +77,23 @@
       onLine: (line: string) => { plan.onLine?.(line) }
     }
     const started = await ManagedProcess.start(plan.program, plan.args(label), options)
-    this.#present = { label, ...started }
-    plan.onStart?.(this.#present)
+    this.#current = { label, ...started }
+    plan.onStart?.(this.#current)
   }
 
   async #endIfClosed (): Promise<void> {
-    if (this.#isClosed) await this.#present?.process.kill()
+    if (this.#isClosed) await this.#current?.process.kill()
   }
 
   async #supervise (): Promise<void> {
     try {
       while (!this.#isClosed) {
-        const { present } = this
-        const code = await present?.process.exited()
-        this.#present = undefined
+        const { current } = this
+        const code = await current?.process.exited()
+        this.#current = undefined
         if (this.#isClosed) return
-        if (present !== undefined) this.plan.onEnd?.(present.label, code ?? null)
-        await sleep(RESTART_MS)
+        if (current !== undefined) this.plan.onEnd?.(current.label, code ?? null)
+        await sleep(RESTART_DELAY_MS)
         if (!this.#isClosed) await this.#startNext()
         // Closed while the process was starting: it must not be left behind.
         await this.#endIfClosed()
--- a/apps/soak/src/lib/RepeatingCaller.ts
+++ b/apps/soak/src/lib/RepeatingCaller.ts
@@ -1,10 +1,10 @@
 /** A caller that asks the same thing over and over, of any host, whatever it is told. */
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
-import type { CallerSurroundings } from './Caller.js'
-import { callOnce } from './sendRequest.js'
-import type { Draws } from './SeededRandom.js'
-import type { AskedRequest } from './observations.js'
+import type { CallerContext } from './Caller.js'
+import { sendRequest } from './sendRequest.js'
+import type { SeededRandom } from './SeededRandom.js'
+import type { SentRequest } from './observations.js'
 import type { RepeatedRequest } from './planRepeatedRequests.js'
 
 /** Sends one request after another until stopped, each on a connection of its own. */
@@ -15,16 +15,16 @@
   /**
    * @param repeated - what to ask
    * @param draws - decides which hosts are asked
-   * @param surroundings - shared with other callers
+   * @param context - shared with other callers
    */
   constructor (
-    private readonly repeated: RepeatedRequest, private readonly draws: Draws, private readonly surroundings: Pick<CallerSurroundings, 'balancer' | 'ledger'>
+    private readonly repeated: RepeatedRequest, private readonly random: SeededRandom, private readonly context: Pick<CallerContext, 'balancer' | 'history'>
   ) {}
 
   /** Runs until stopped; ends with its last request. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      await this.#ask()
+      await this.#sendNext()
       await sleep(this.repeated.pauseMs)
     }
   }
@@ -34,18 +34,18 @@
     this.#isStopped = true
   }
 
-  async #ask (): Promise<void> {
-    const host = this.surroundings.balancer.choose(this.draws)
+  async #sendNext (): Promise<void> {
+    const host = this.context.balancer.choose(this.random)
     if (host === undefined) return
     this.#count += 1
     const { name, kind, customer, work } = this.repeated
-    const request: AskedRequest = {
+    const request: SentRequest = {
       id: `${name}-${this.#count}`, kind, customer, work, body: `body of ${name}`, host: host.label, sentAt: Date.now(), siteVersion: 0
     }
-    this.surroundings.ledger.noteAsked(request)
+    this.context.history.recordRequest(request)
     const agent = new Agent()
-    const { end } = await callOnce(request, host.addresses['http'] ?? '', agent)
+    const { end } = await sendRequest(request, host.addresses['http'] ?? '', agent)
     agent.destroy()
-    this.surroundings.ledger.noteOutcome({ request, end, endedAt: Date.now() })
+    this.context.history.recordOutcome({ request, end, endedAt: Date.now() })
   }
 }
--- a/apps/soak/src/lib/RestraintState.ts
+++ b/apps/soak/src/lib/RestraintState.ts
@@ -2,7 +2,7 @@
 import type { Restraint, RestraintKind } from './standinProtocol.js'
 
 /** Holds the last order. */
-export class RestraintHolder {
+export class RestraintState {
   #kind: RestraintKind | undefined
   #until = Number.NEGATIVE_INFINITY
 
@@ -10,7 +10,7 @@
    * @param restraint - what to ask for
    * @param now - monotonic milliseconds
    */
-  order ({ kind, durationMs }: Restraint, now: number): void {
+  set ({ kind, durationMs }: Restraint, now: number): void {
     if (this.#kind === 'leaving') return
     this.#kind = kind
     this.#until = kind === 'leaving' ? Number.POSITIVE_INFINITY : now + durationMs
@@ -20,7 +20,7 @@
    * @param now - monotonic milliseconds
    * @returns what is asked for, if anything is
    */
-  present (now: number): RestraintKind | undefined {
+  activeAt (now: number): RestraintKind | undefined {
     return now < this.#until ? this.#kind : undefined
   }
 }
--- a/apps/soak/src/lib/SeededRandom.ts
+++ b/apps/soak/src/lib/SeededRandom.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
 /** One sequence of draws. */
-export class Draws {
+export class SeededRandom {
   readonly #generator: ReturnType<typeof xoroshiro128plus>
 
   /** @param seed - whole number */
@@ -12,8 +12,8 @@
   }
 
   /** @returns a number from `least` up to, but not including, `most` */
-  between (least: number, most: number): number {
-    return least + uniformFloat64(this.#generator) * (most - least)
+  between (min: number, max: number): number {
+    return min + uniformFloat64(this.#generator) * (max - min)
   }
 
   /** @returns a whole number from 0 up to, but not including, `count` */
--- a/apps/soak/src/lib/SoakCluster.ts
+++ b/apps/soak/src/lib/SoakCluster.ts
@@ -4,8 +4,8 @@
 import { endpointLineSchema, type RejectionLine, type RunLine } from './standinProtocol.js'
 import type { SlotRole, SoakShape } from './faultPlan.js'
 import { LoopbackProxy } from './LoopbackProxy.js'
-import { Slot, type Incarnation, type SlotPlan } from './ProcessSlot.js'
-import { COLD_MS, dataCentreOf, MODEL, MODEL_SERVICE, PLAIN_SERVICE } from './soakSite.js'
+import { ProcessSlot, type Incarnation, type SlotPlan } from './ProcessSlot.js'
+import { COLD_DURATION_MS, dataCentreOf, MODEL, MODEL_SERVICE, PLAIN_SERVICE } from './soakSite.js'
 
 const MILLISECONDS_PER_SECOND = 1000
 
@@ -40,10 +40,10 @@
 
 /** Starts and ends the processes. */
 export class SoakCluster {
-  readonly list = new EndpointListServer()
-  readonly controls: Slot[] = []
-  readonly entries: Slot[] = []
-  readonly endpoints: Slot[] = []
+  readonly endpointList = new EndpointListServer()
+  readonly controls: ProcessSlot[] = []
+  readonly entries: ProcessSlot[] = []
+  readonly endpoints: ProcessSlot[] = []
   readonly #controlProxies: LoopbackProxy[] = []
   readonly #endpointProxies: LoopbackProxy[] = []
 
@@ -53,7 +53,7 @@
   /** Starts all of them. */
   async start (): Promise<void> {
     const { shape } = this.settings
-    const listAddress = await this.list.listen()
+    const listAddress = await this.endpointList.listen()
     const control = await this.#openProxies(this.#controlProxies, shape.controls)
     const endpoint = await this.#openProxies(this.#endpointProxies, shape.plainEndpoints + shape.engines)
     this.endpoints.push(...endpoint.map((address, index) => this.#endpointSlot(index, address)))
@@ -64,7 +64,7 @@
   }
 
   /** @returns the slots of a role */
-  slots (role: SlotRole): readonly Slot[] {
+  slots (role: SlotRole): readonly ProcessSlot[] {
     switch (role) {
       case 'entry': return this.entries
       case 'control': return this.controls
@@ -81,15 +81,15 @@
 
   /** Ends all links' faults and wakes all processes. */
   heal (): void {
-    for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.misbehave(undefined)
-    for (const slot of this.#allSlots()) slot.present?.process.signal('SIGCONT')
+    for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.setFault(undefined)
+    for (const slot of this.#allSlots()) slot.current?.process.signal('SIGCONT')
   }
 
   /** Ends all processes and proxies. */
   async stop (): Promise<void> {
     await Promise.all(this.#allSlots().map(async slot => { await slot.close() }))
     for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.close()
-    this.list.close()
+    this.endpointList.close()
     // Streams of the logs have a turn to end.
     await sleep(0)
   }
@@ -105,7 +105,7 @@
     return this.#allSlots().find(slot => slot.failure !== undefined)?.failure
   }
 
-  #allSlots (): Slot[] {
+  #allSlots (): ProcessSlot[] {
     return [...this.entries, ...this.controls, ...this.endpoints]
   }
 
@@ -114,17 +114,17 @@
     return await Promise.all(proxies.map(async proxy => await proxy.listen()))
   }
 
-  #endpointSlot (index: number, address: string): Slot {
+  #endpointSlot (index: number, address: string): ProcessSlot {
     const isEngine = index >= this.settings.shape.plainEndpoints
     const name = `endpoint-${index}`
-    return new Slot({
+    return new ProcessSlot({
       name,
-      ...this.#common('endpoint'),
+      ...this.#commonPlan('endpoint'),
       args: label => ['--id', label, ...isEngine ? ['--model', MODEL, '--weights-version', '1'] : []],
       onLine: line => { this.#onEndpointLine(line) },
       onStart: incarnation => {
-        this.#aim(this.proxy('endpoint', index), incarnation, 'http')
-        this.list.list(name, {
+        this.#attachProxy(this.proxy('endpoint', index), incarnation, 'http')
+        this.endpointList.put(name, {
           id: incarnation.label,
           service: isEngine ? MODEL_SERVICE : PLAIN_SERVICE,
           address,
@@ -135,28 +135,28 @@
           isCold: this.settings.hasColdReturns && !incarnation.label.endsWith(FIRST_INCARNATION),
           models: isEngine ? [{ model: MODEL, version: 1 }] : []
         })
-        setTimeout(() => { this.list.markWarm(incarnation.label) }, COLD_MS).unref()
+        setTimeout(() => { this.endpointList.markWarm(incarnation.label) }, COLD_DURATION_MS).unref()
       }
     })
   }
 
-  #controlSlot (index: number, address: string, all: readonly string[], listAddress: string): Slot {
+  #controlSlot (index: number, address: string, all: readonly string[], listAddress: string): ProcessSlot {
     const name = `control-${index}`
-    return new Slot({
+    return new ProcessSlot({
       name,
-      ...this.#common('control'),
+      ...this.#commonPlan('control'),
       args: () => [
         '--data-centre', dataCentreOf(index), '--data-folder', `${this.settings.folder}/${name}`, '--advertise', address, '--list', listAddress,
         '--bootstrap', 'true', '--join', all.join(','), '--minimum-voters', String(all.length), '--forgetful', String(this.settings.isForgetful)
       ],
-      onStart: incarnation => { this.#aim(this.proxy('control', index), incarnation, 'rpc') }
+      onStart: incarnation => { this.#attachProxy(this.proxy('control', index), incarnation, 'rpc') }
     })
   }
 
-  #entrySlot (index: number, control: readonly string[]): Slot {
-    return new Slot({
+  #entrySlot (index: number, control: readonly string[]): ProcessSlot {
+    return new ProcessSlot({
       name: `entry-${index}`,
-      ...this.#common('entry'),
+      ...this.#commonPlan('entry'),
       // Its own loopback address tells it from the others while its port is free.
       args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', control.join(','), '--deaf', String(this.settings.isDeaf)],
       environment: { ...LOG_ENVIRONMENT, EELGRASSMUX_STOP_GRACE_SECONDS: String(this.settings.graceMs / MILLISECONDS_PER_SECOND) },
@@ -164,7 +164,7 @@
     })
   }
 
-  #common (program: string): Pick<SlotPlan, 'program' | 'logFolder' | 'environment' | 'onEnd'> {
+  #commonPlan (program: string): Pick<SlotPlan, 'program' | 'logFolder' | 'environment' | 'onEnd'> {
     return {
       environment: LOG_ENVIRONMENT,
       program: new URL(`../${program}.js`, import.meta.url.replace('/src/lib/', '/dist/lib/')),
@@ -173,7 +173,7 @@
     }
   }
 
-  #aim (proxy: LoopbackProxy, { label, addresses }: Incarnation, served: string): void {
+  #attachProxy (proxy: LoopbackProxy, { label, addresses }: Incarnation, served: string): void {
     proxy.target = Number(addresses[served]?.split(':')[1])
     this.settings.onStart(label)
   }
@@ -184,6 +184,6 @@
     if (!line.success) return
     if (line.data.event === 'run') this.settings.onRun(line.data)
     else if (line.data.event === 'rejected') this.settings.onRejection(line.data)
-    else this.list.setWeights(line.data.endpoint, MODEL, line.data.version)
+    else this.endpointList.setWeights(line.data.endpoint, MODEL, line.data.version)
   }
 }
--- a/apps/soak/src/lib/Timeline.ts
+++ b/apps/soak/src/lib/Timeline.ts
@@ -1,18 +1,18 @@
 /** What the soak did to which process, and when. */
 
 /** One act of the soak. */
-export interface TimeLineEntry {
+export interface TimelineEntry {
   /** Wall clock, in milliseconds. */
   readonly at: number
   /** The end of what lasts; the same as `at` for what happens at once. */
   readonly until: number
   /** An incarnation such as `entry-0#2`, or all of them: `entry-0`. */
   readonly process: string
-  readonly act: string
+  readonly action: string
   /** Signal that was sent, if one was. */
   readonly signal?: NodeJS.Signals
   /** Whether the process could not help breaking off what it had under way. */
-  readonly excuses: boolean
+  readonly excusesFailures: boolean
 }
 
 /** A planned stop of an incarnation. */
@@ -25,32 +25,32 @@
 /** Added around each disturbance, in milliseconds: what it does to sockets is seen a little later elsewhere. */
 const EFFECT_MARGIN_MS = 300
 
-/** Keeps all acts in order. */
-export class TimeLine {
-  readonly #entries: TimeLineEntry[] = []
+/** Keeps all actionCount in order. */
+export class Timeline {
+  readonly #entries: TimelineEntry[] = []
   readonly #stops = new Map<string, PlannedStop>()
 
-  get entries (): readonly TimeLineEntry[] { return this.#entries }
+  get entries (): readonly TimelineEntry[] { return this.#entries }
 
   /**
    * @param process - incarnation, or slot for all of its incarnations
    * @param act - what was done
-   * @param excuses - whether answers may break off because of it
+   * @param excusesFailures - whether answers may break off because of it
    * @param durationMs - how long it lasts
    */
-  note (process: string, act: string, excuses: boolean, durationMs = 0): void {
+  record (process: string, action: string, excusesFailures: boolean, durationMs = 0): void {
     const at = Date.now()
-    this.#entries.push({ at, until: at + durationMs, process, act, excuses })
+    this.#entries.push({ at, until: at + durationMs, process, action, excusesFailures })
   }
 
   /**
    * @param incarnation - which process
-   * @param excuses - whether answers may break off because of it
+   * @param excusesFailures - whether answers may break off because of it
    * @param reason - why it is killed, in a few words
    */
-  noteKill (incarnation: string, excuses: boolean, reason = ''): void {
+  recordKill (incarnation: string, excusesFailures: boolean, reason = ''): void {
     const at = Date.now()
-    this.#entries.push({ at, until: at, process: incarnation, act: `SIGKILL ${reason}`.trim(), signal: 'SIGKILL', excuses })
+    this.#entries.push({ at, until: at, process: incarnation, action: `SIGKILL ${reason}`.trim(), signal: 'SIGKILL', excusesFailures })
   }
 
   /** @returns whether an incarnation was killed by the soak */
@@ -62,9 +62,9 @@
    * @param incarnation - which process
    * @param graceMs - time until it is killed
    */
-  noteStop (incarnation: string, graceMs: number): void {
+  recordStop (incarnation: string, graceMs: number): void {
     const at = Date.now()
-    this.#entries.push({ at, until: at, process: incarnation, act: `SIGTERM, grace ${graceMs} ms`, signal: 'SIGTERM', excuses: false })
+    this.#entries.push({ at, until: at, process: incarnation, action: `SIGTERM, grace ${graceMs} ms`, signal: 'SIGTERM', excusesFailures: false })
     this.#stops.set(incarnation, { at, killAt: at + graceMs })
   }
 
@@ -77,10 +77,10 @@
    * @param incarnation - which process
    * @param from - start of the time asked about
    * @param to - its end
-   * @returns whether an act then excuses broken answers there
+   * @returns whether an act then excusesFailures broken answers there
    */
   isExcused (incarnation: string, from: number, to: number): boolean {
-    return this.#entries.some(entry => entry.excuses && isOf(entry.process, incarnation) &&
+    return this.#entries.some(entry => entry.excusesFailures && isOf(entry.process, incarnation) &&
       entry.at <= to + EFFECT_MARGIN_MS && entry.until >= from - EFFECT_MARGIN_MS)
   }
 
@@ -97,9 +97,9 @@
   /** @returns one line for each act, with seconds since the first */
   describe (): string[] {
     const start = this.#entries[0]?.at ?? 0
-    return this.#entries.map(({ at, until, process, act }) => {
+    return this.#entries.map(({ at, until, process, action }) => {
       const lasting = until > at ? ` for ${until - at} ms` : ''
-      return `${((at - start) / 1000).toFixed(2).padStart(7)} s  ${process}  ${act}${lasting}`
+      return `${((at - start) / 1000).toFixed(2).padStart(7)} s  ${process}  ${action}${lasting}`
     })
   }
 }
--- a/apps/soak/src/lib/WeightsState.ts
+++ b/apps/soak/src/lib/WeightsState.ts
@@ -5,10 +5,10 @@
 const LOAD_MS = 300
 
 /** Interval between looks whether the last run has ended, in milliseconds. */
-const LOOK_MS = 10
+const POLL_INTERVAL_MS = 10
 
 /** Holds one version and carries out orders. */
-export class WeightsHolder {
+export class WeightsState {
   #isBusy = false
   #acceptedOrders = 0
 
@@ -19,7 +19,7 @@
    */
   constructor (private version: number, private readonly runs: () => number, private readonly onChange: (version: number) => void) {}
 
-  get held (): number { return this.version }
+  get loadedVersion (): number { return this.version }
   /** Whether new work must wait. */
   get isBusy (): boolean { return this.#isBusy }
   get acceptedOrders (): number { return this.#acceptedOrders }
@@ -39,7 +39,7 @@
 
   async #load (version: number): Promise<void> {
     this.#isBusy = true
-    while (this.runs() > 0) await sleep(LOOK_MS)
+    while (this.runs() > 0) await sleep(POLL_INTERVAL_MS)
     await sleep(LOAD_MS)
     this.version = version
     this.#isBusy = false
--- a/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
@@ -1,28 +1,28 @@
 /** An endpoint that has just started again gets few requests a second from all hosts together. */
 import type { RunLine } from '../standinProtocol.js'
-import type { LedgerView, RequestCheck } from '../RequestHistory.js'
+import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import { FIRST_INCARNATION } from '../SoakCluster.js'
-import { COLD_MS, COLD_RATE } from '../soakSite.js'
+import { COLD_DURATION_MS, COLD_REQUESTS_PER_SECOND } from '../soakSite.js'
 
 const WINDOW_MS = 1000
 
 /** Most requests in a second: half as much again as the rate, and some. */
-const MOST_IN_WINDOW = 1.5 * COLD_RATE + 5
+const MAX_IN_WINDOW = 1.5 * COLD_REQUESTS_PER_SECOND + 5
 
 /** {@link RequestCheck} of endpoints that come back cold. */
 export class ColdRatesAreKeptCheck implements RequestCheck {
-  readonly promise = 'cold-rates-are-kept'
+  readonly guarantee = 'cold-rates-are-kept'
   readonly #arrivals = new Map<string, number[]>()
 
   /** @param isOn - whether endpoints come back cold in this run */
   constructor (private readonly isOn: boolean) {}
 
-  onRun ({ endpoint, at }: RunLine, { timeLine }: LedgerView): string | undefined {
+  onRun ({ endpoint, at }: RunLine, { timeline }: HistoryView): string | undefined {
     if (!this.isOn || endpoint.endsWith(FIRST_INCARNATION)) return undefined
-    const startedAt = timeLine.entries.find(({ process, act }) => process === endpoint && act === 'started')?.at ?? at
-    if (at > startedAt + COLD_MS || timeLine.isExcused(endpoint, startedAt, at)) return undefined
+    const startedAt = timeline.entries.find(({ process, action }) => process === endpoint && action === 'started')?.at ?? at
+    if (at > startedAt + COLD_DURATION_MS || timeline.isExcused(endpoint, startedAt, at)) return undefined
     const arrivals = [...(this.#arrivals.get(endpoint) ?? []).filter(earlier => earlier > at - WINDOW_MS), at]
     this.#arrivals.set(endpoint, arrivals)
-    return arrivals.length > MOST_IN_WINDOW ? `${endpoint} was cold and got ${arrivals.length} requests in ${WINDOW_MS} ms` : undefined
+    return arrivals.length > MAX_IN_WINDOW ? `${endpoint} was cold and got ${arrivals.length} requests in ${WINDOW_MS} ms` : undefined
   }
 }
--- a/apps/soak/src/lib/checks/ConfigurationCheck.ts
+++ b/apps/soak/src/lib/checks/ConfigurationCheck.ts
@@ -1,5 +1,5 @@
 /** A site that was acknowledged is never lost, and no reader or host goes back behind one. */
-import type { Ledger } from '../RequestHistory.js'
+import type { RequestHistory } from '../RequestHistory.js'
 
 /** How long a host may act on a confirmed configuration, in milliseconds: the product's default, with room for the two clocks. */
 const FRESHNESS_MS = 3000 + 200
@@ -8,7 +8,7 @@
 const NOT_FOUND = 404
 
 /** A site as an operator read it. */
-export interface SiteReading {
+export interface SiteRead {
   readonly control: string
   readonly startedAt: number
   readonly version: number
@@ -32,8 +32,8 @@
   readonly #acknowledged: Acknowledgement[] = []
   readonly #seen = new Map<string, Acknowledgement[]>()
 
-  /** @param ledger - takes what is wrong */
-  constructor (private readonly ledger: Ledger) {}
+  /** @param history - takes what is wrong */
+  constructor (private readonly history: RequestHistory) {}
 
   /** The newest acknowledged version. */
   get newest (): number { return this.acknowledgedBefore(Number.POSITIVE_INFINITY) }
@@ -44,34 +44,34 @@
   }
 
   /** A site is about to be sent. */
-  noteSent (version: number, source: string): void {
+  recordSent (version: number, source: string): void {
     this.#sources.set(version, source)
   }
 
   /** An operator was told that a site is accepted. */
-  noteAcknowledged (version: number): void {
+  recordAcknowledgement (version: number): void {
     this.#acknowledged.push({ version, at: Date.now() })
   }
 
   /** @param reading - what a control host said */
-  noteReading ({ control, startedAt, version, source }: SiteReading): void {
-    const least = this.acknowledgedBefore(startedAt)
-    if (version < least) this.#wrong(`reads version ${version} after ${least} was acknowledged`, control)
-    else if (source !== this.#sources.get(version)) this.#wrong(`version ${version} is not what was sent`, control)
+  recordRead ({ control, startedAt, version, source }: SiteRead): void {
+    const newestAcknowledged = this.acknowledgedBefore(startedAt)
+    if (version < newestAcknowledged) this.#recordViolation(`reads version ${version} after ${newestAcknowledged} was acknowledged`, control)
+    else if (source !== this.#sources.get(version)) this.#recordViolation(`version ${version} is not what was sent`, control)
   }
 
   /** @param probe - what a host answered a caller */
-  noteProbe ({ host, version, sentAt, endedAt, status }: SiteProbe): void {
+  recordProbe ({ host, version, sentAt, endedAt, status }: SiteProbe): void {
     const seen = this.#seen.get(host) ?? []
     this.#seen.set(host, seen)
     if (status === OK) seen.push({ version, at: endedAt })
     if (status !== NOT_FOUND) return
-    if (newestBefore(seen, sentAt) >= version) this.#wrong(`does not know version ${version} any more`, host)
-    if (this.acknowledgedBefore(sentAt - FRESHNESS_MS) >= version) this.#wrong(`acts without version ${version}, acknowledged over ${FRESHNESS_MS} ms before`, host)
+    if (newestBefore(seen, sentAt) >= version) this.#recordViolation(`does not know version ${version} any more`, host)
+    if (this.acknowledgedBefore(sentAt - FRESHNESS_MS) >= version) this.#recordViolation(`acts without version ${version}, acknowledged over ${FRESHNESS_MS} ms before`, host)
   }
 
-  #wrong (detail: string, process: string): void {
-    this.ledger.noteViolation('configuration-never-reverts', `${process} ${detail}`, [process])
+  #recordViolation (detail: string, process: string): void {
+    this.history.recordViolation('configuration-never-reverts', `${process} ${detail}`, [process])
   }
 }
 
--- a/apps/soak/src/lib/checks/CustomersApartCheck.ts
+++ b/apps/soak/src/lib/checks/CustomersApartCheck.ts
@@ -1,15 +1,15 @@
 /** A run is the customer's whose key came with the request; no key is passed on, and isolated customers share no cache. */
 import type { RunLine } from '../standinProtocol.js'
-import type { LedgerView, RequestCheck } from '../RequestHistory.js'
+import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import { CUSTOMERS } from '../soakSite.js'
 
 /** {@link RequestCheck} of who runs for whom. */
 export class CustomersApartCheck implements RequestCheck {
-  readonly promise = 'customers-apart'
+  readonly guarantee = 'customers-apart'
   readonly #customersBySalt = new Map<string, string>()
 
-  onRun (run: RunLine, view: LedgerView): string | undefined {
-    const request = view.asked(run.requestId)
+  onRun (run: RunLine, view: HistoryView): string | undefined {
+    const request = view.request(run.requestId)
     if (request === undefined) return 'nobody asked for this run'
     if (run.hasKey) return 'the caller\'s key was passed on'
     if (run.customer !== request.customer) return `${request.customer} asked, and it ran for ${run.customer}`
--- a/apps/soak/src/lib/checks/EventsInOrderCheck.ts
+++ b/apps/soak/src/lib/checks/EventsInOrderCheck.ts
@@ -5,7 +5,7 @@
 
 /** {@link RequestCheck} of streams. */
 export class EventsInOrderCheck implements RequestCheck {
-  readonly promise = 'events-in-order'
+  readonly guarantee = 'events-in-order'
 
   onOutcome ({ request, end }: Outcome): string | undefined {
     if (request.work.kind !== 'stream') return undefined
--- a/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
+++ b/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
@@ -5,7 +5,7 @@
 
 /** {@link RequestCheck} of weights. */
 export class OneWeightVersionCheck implements RequestCheck {
-  readonly promise = 'one-weight-version'
+  readonly guarantee = 'one-weight-version'
   readonly #versionsBySalt = new Map<string, number>()
 
   onRun ({ cacheSalt, version }: RunLine): string | undefined {
--- a/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
@@ -1,20 +1,20 @@
 /** An endpoint that names a rate gets no more from all hosts that were informed, once they have had time to agree on it. */
-import { ASKED_RATE, type RunLine } from '../standinProtocol.js'
-import type { LedgerView, RequestCheck } from '../RequestHistory.js'
-import { headMs } from './LeavingIsHeededCheck.js'
+import { REQUESTED_RATE_PER_SECOND, type RunLine } from '../standinProtocol.js'
+import type { HistoryView, RequestCheck } from '../RequestHistory.js'
+import { responseHeadDelayMs } from './LeavingIsHeededCheck.js'
 
 const WINDOW_MS = 4000
 
 /** Most requests in a window: half as much again as what is named, and some. */
-const MOST_IN_WINDOW = 1.5 * ASKED_RATE * WINDOW_MS / 1000 + 5
+const MAX_IN_WINDOW = 1.5 * REQUESTED_RATE_PER_SECOND * WINDOW_MS / 1000 + 5
 
 /** Time after the first answer that names the rate in which hosts may exceed it, in milliseconds. */
-const NOTICE_MS = 3000
+const AGREEMENT_MS = 3000
 
 /** Time after which a host that got such an answer counts as informed, in milliseconds. */
 const INFORMED_MS = 500
 
-interface Limited {
+interface RateLimit {
   readonly since: number
   /** When each host was informed. */
   readonly informedAt: Map<string, number>
@@ -24,28 +24,28 @@
 
 /** {@link RequestCheck} of rates. */
 export class RatesAreKeptCheck implements RequestCheck {
-  readonly promise = 'rates-are-kept'
-  readonly #limited = new Map<string, Limited>()
+  readonly guarantee = 'rates-are-kept'
+  readonly #rateLimits = new Map<string, RateLimit>()
 
-  onRun (run: RunLine, view: LedgerView): string | undefined {
+  onRun (run: RunLine, view: HistoryView): string | undefined {
     if (run.asks !== 'rate') {
-      this.#limited.delete(run.endpoint)
+      this.#rateLimits.delete(run.endpoint)
       return undefined
     }
-    const request = view.asked(run.requestId)
+    const request = view.request(run.requestId)
     if (request === undefined) return undefined
-    const limited = this.#limited.get(run.endpoint) ?? { since: run.at, informedAt: new Map(), arrivals: [] }
-    this.#limited.set(run.endpoint, limited)
+    const rateLimit = this.#rateLimits.get(run.endpoint) ?? { since: run.at, informedAt: new Map(), arrivals: [] }
+    this.#rateLimits.set(run.endpoint, rateLimit)
     const { host } = request
-    const informedAt = limited.informedAt.get(host)
-    limited.informedAt.set(host, Math.min(informedAt ?? Number.POSITIVE_INFINITY, run.at + headMs(request.work) + INFORMED_MS))
-    const counts = informedAt !== undefined && run.at >= informedAt && run.at > limited.since + NOTICE_MS && !isExcused(run, host, limited.since, view)
+    const informedAt = rateLimit.informedAt.get(host)
+    rateLimit.informedAt.set(host, Math.min(informedAt ?? Number.POSITIVE_INFINITY, run.at + responseHeadDelayMs(request.work) + INFORMED_MS))
+    const counts = informedAt !== undefined && run.at >= informedAt && run.at > rateLimit.since + AGREEMENT_MS && !isExcused(run, host, rateLimit.since, view)
     if (!counts) return undefined
-    limited.arrivals = [...limited.arrivals.filter(at => at > run.at - WINDOW_MS), run.at]
-    return limited.arrivals.length > MOST_IN_WINDOW ? `${run.endpoint} had named ${ASKED_RATE} requests a second and got ${limited.arrivals.length} in ${WINDOW_MS} ms` : undefined
+    rateLimit.arrivals = [...rateLimit.arrivals.filter(at => at > run.at - WINDOW_MS), run.at]
+    return rateLimit.arrivals.length > MAX_IN_WINDOW ? `${run.endpoint} had named ${REQUESTED_RATE_PER_SECOND} requests a second and got ${rateLimit.arrivals.length} in ${WINDOW_MS} ms` : undefined
   }
 }
 
-function isExcused ({ endpoint, at }: RunLine, host: string, since: number, { timeLine }: LedgerView): boolean {
-  return timeLine.isExcused(host, since, at) || timeLine.isExcused(endpoint, since, at)
+function isExcused ({ endpoint, at }: RunLine, host: string, since: number, { timeline }: HistoryView): boolean {
+  return timeline.isExcused(host, since, at) || timeline.isExcused(endpoint, since, at)
 }
--- a/apps/soak/src/lib/checks/WholeAnswersCheck.ts
+++ b/apps/soak/src/lib/checks/WholeAnswersCheck.ts
@@ -7,20 +7,20 @@
 
 /** {@link RequestCheck} of plain answers. */
 export class WholeAnswersCheck implements RequestCheck {
-  readonly promise = 'whole-answers'
+  readonly guarantee = 'whole-answers'
 
   onOutcome ({ request, end }: Outcome): string | undefined {
     if (end.kind !== 'answered' || end.status !== OK) return undefined
     if (end.answerId !== request.id) return `the answer bears the id ${end.answerId ?? 'of nothing'}`
     if (request.work.kind !== 'plain') return undefined
-    const answer = parse(end.body)
+    const answer = parseAnswer(end.body)
     if (answer === undefined) return `the body is not whole: ${end.body.slice(0, 100)}`
     if (answer.requestId !== request.id) return `the body belongs to ${answer.requestId}`
     return answer.echo === request.body ? undefined : 'the body that the endpoint got is not the one that was sent'
   }
 }
 
-function parse (body: string): { requestId: string, echo: string } | undefined {
+function parseAnswer (body: string): { requestId: string, echo: string } | undefined {
   try {
     return plainAnswerSchema.safeParse(JSON.parse(body)).data
   } catch {
--- a/apps/soak/src/lib/checks/requestChecks.test.ts
+++ b/apps/soak/src/lib/checks/requestChecks.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest'
 import type { RunLine, Work } from '../standinProtocol.js'
-import { Ledger, type PromiseName } from '../RequestHistory.js'
-import type { AskedRequest, CallerEnd } from '../observations.js'
-import { TimeLine } from '../Timeline.js'
+import { RequestHistory, type GuaranteeName } from '../RequestHistory.js'
+import type { SentRequest, CallerEnd } from '../observations.js'
+import { Timeline } from '../Timeline.js'
 import { ConfigurationCheck } from './ConfigurationCheck.js'
 import { requestChecks } from './requestChecks.js'
 
 const STREAM: Work = { kind: 'stream', events: 3, intervalMs: 0 }
 const CUT: CallerEnd = { kind: 'cut', hasHead: true, reason: 'aborted', events: [] }
 
-function asked (overrides: Partial<AskedRequest> = {}): AskedRequest {
+function asked (overrides: Partial<SentRequest> = {}): SentRequest {
   return {
     id: 'r1', kind: 'generation', customer: 'ward', work: STREAM, body: '', host: 'entry-0#1', sentAt: Date.now(), siteVersion: 0, ...overrides
   }
@@ -22,16 +22,16 @@
 }
 
 describe('the checks of requests', () => {
-  const timeLine = (): TimeLine => new TimeLine()
+  const timeline = (): Timeline => new Timeline()
 
-  function broken (requests: readonly AskedRequest[], runs: readonly RunLine[], line = timeLine(), end?: CallerEnd, endedAt = Date.now()): PromiseName[] {
-    const ledger = new Ledger(line, requestChecks())
-    for (const request of requests) ledger.noteAsked(request)
-    for (const run of runs) ledger.noteRun(run)
+  function broken (requests: readonly SentRequest[], runs: readonly RunLine[], line = timeline(), end?: CallerEnd, endedAt = Date.now()): GuaranteeName[] {
+    const history = new RequestHistory(line, requestChecks())
+    for (const request of requests) history.recordRequest(request)
+    for (const run of runs) history.recordRun(run)
     const [first] = requests
-    if (end !== undefined && first !== undefined) ledger.noteOutcome({ request: first, end, endedAt })
-    ledger.settleAll()
-    return ledger.violations.map(({ promise }) => promise)
+    if (end !== undefined && first !== undefined) history.recordOutcome({ request: first, end, endedAt })
+    history.settleAll()
+    return history.violations.map(({ guarantee }) => guarantee)
   }
 
   describe('customers apart', () => {
@@ -57,10 +57,10 @@
   })
 
   describe('few endpoints end', () => {
-    const poison = (id: string): AskedRequest => asked({ id, kind: 'unsafe', work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })
+    const poison = (id: string): SentRequest => asked({ id, kind: 'unsafe', work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })
     const times = [0, 400, 800, 4000, 4500, 5000, 5500]
 
-    function poisonRuns (count: number, line = timeLine(), from = Date.now() - 60_000): PromiseName[] {
+    function poisonRuns (count: number, line = timeline(), from = Date.now() - 60_000): GuaranteeName[] {
       const ids = times.slice(0, count).map((_, index) => `r${index}`)
       return broken(ids.map(poison), ids.map((requestId, index) => ran({ requestId, endpoint: `endpoint-0#${index}`, at: from + (times[index] ?? 0) })), line)
     }
@@ -74,8 +74,8 @@
     })
 
     it('leaves out runs right after a disturbance of control hosts', () => {
-      const line = timeLine()
-      line.noteKill('control-1#1', true)
+      const line = timeline()
+      line.recordKill('control-1#1', true)
       expect(poisonRuns(7, line, Date.now() - 3000)).toEqual([])
     })
   })
@@ -84,44 +84,44 @@
     const refused: CallerEnd = { kind: 'answered', status: 503, answerId: undefined, body: '{"type":"urn:eelgrassmux:problem:request-quarantined"}', events: [] }
 
     it('are not refused for what another request did', () => {
-      expect(broken([asked()], [], timeLine(), refused)).toEqual(['bystanders-are-served'])
+      expect(broken([asked()], [], timeline(), refused)).toEqual(['bystanders-are-served'])
     })
 
     it('are others than the request that crashes endpoints', () => {
-      expect(broken([asked({ work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })], [], timeLine(), refused)).toEqual([])
+      expect(broken([asked({ work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })], [], timeline(), refused)).toEqual([])
     })
   })
 
   describe('not run', () => {
     it('finds a run that begins after the refusal', () => {
-      const ledger = new Ledger(timeLine(), requestChecks())
+      const history = new RequestHistory(timeline(), requestChecks())
       const request = asked()
-      ledger.noteAsked(request)
-      ledger.noteOutcome({ request, end: { kind: 'answered', status: 503, answerId: undefined, body: '', events: [] }, endedAt: Date.now() })
-      ledger.settleAll()
-      ledger.noteRun(ran())
-      expect(ledger.violations.map(({ promise }) => promise)).toEqual(['not-run-is-true'])
+      history.recordRequest(request)
+      history.recordOutcome({ request, end: { kind: 'answered', status: 503, answerId: undefined, body: '', events: [] }, endedAt: Date.now() })
+      history.settleAll()
+      history.recordRun(ran())
+      expect(history.violations.map(({ guarantee }) => guarantee)).toEqual(['not-run-is-true'])
     })
   })
 
   describe('cuts', () => {
     it('finds one without a cause', () => {
-      expect(broken([asked()], [ran()], timeLine(), CUT)).toEqual(['nothing-is-cut'])
+      expect(broken([asked()], [ran()], timeline(), CUT)).toEqual(['nothing-is-cut'])
     })
 
     it('takes one that was never passed on', () => {
-      expect(broken([asked()], [], timeLine(), CUT)).toEqual([])
+      expect(broken([asked()], [], timeline(), CUT)).toEqual([])
     })
 
     it.each(['entry-0#1', 'endpoint-0#1', 'endpoint-0'])('takes one with an unplanned fault of %s', process => {
-      const line = timeLine()
-      line.note(process, 'SIGKILL', true)
+      const line = timeline()
+      line.record(process, 'SIGKILL', true)
       expect(broken([asked()], [ran()], line, CUT)).toEqual([])
     })
 
     it('finds one whose host was stopped as planned, unless it had no chance to end', () => {
-      const line = timeLine()
-      line.noteStop('entry-0#1', 6000)
+      const line = timeline()
+      line.recordStop('entry-0#1', 6000)
       const at = line.stopOf('entry-0#1')?.at ?? 0
       expect(broken([asked({ sentAt: at + 3500 })], [ran()], line, CUT, at + 6000)).toEqual(['nothing-is-cut'])
       expect(broken([asked({ sentAt: at - 100 })], [ran()], line, CUT, at + 4000)).toEqual(['nothing-is-cut'])
@@ -129,9 +129,9 @@
     })
 
     it('takes one whose host was paused when its SIGTERM was sent', () => {
-      const line = timeLine()
-      line.note('entry-0#1', 'SIGSTOP', true, 2000)
-      line.noteStop('entry-0#1', 6000)
+      const line = timeline()
+      line.record('entry-0#1', 'SIGSTOP', true, 2000)
+      line.recordStop('entry-0#1', 6000)
       const at = line.stopOf('entry-0#1')?.at ?? 0
       expect(broken([asked({ sentAt: at + 3500 })], [ran()], line, CUT, at + 6000)).toEqual([])
     })
@@ -139,43 +139,43 @@
 })
 
 describe('the check of configurations', () => {
-  function check (): { ledger: Ledger, configuration: ConfigurationCheck } {
-    const ledger = new Ledger(new TimeLine(), [])
-    const configuration = new ConfigurationCheck(ledger)
-    configuration.noteSent(1, 'one')
-    configuration.noteSent(2, 'two')
-    configuration.noteAcknowledged(2)
-    return { ledger, configuration }
+  function check (): { history: RequestHistory, configuration: ConfigurationCheck } {
+    const history = new RequestHistory(new Timeline(), [])
+    const configuration = new ConfigurationCheck(history)
+    configuration.recordSent(1, 'one')
+    configuration.recordSent(2, 'two')
+    configuration.recordAcknowledgement(2)
+    return { history, configuration }
   }
 
   const later = (milliseconds: number): number => Date.now() + milliseconds
 
   it('takes what was acknowledged, and older versions read before', () => {
-    const { ledger, configuration } = check()
-    configuration.noteReading({ control: 'c', startedAt: later(10), version: 2, source: 'two' })
-    configuration.noteReading({ control: 'c', startedAt: later(-10_000), version: 1, source: 'one' })
-    expect(ledger.violations).toEqual([])
+    const { history, configuration } = check()
+    configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'two' })
+    configuration.recordRead({ control: 'c', startedAt: later(-10_000), version: 1, source: 'one' })
+    expect(history.violations).toEqual([])
   })
 
   it('finds an older version, and another text under the same version', () => {
-    const { ledger, configuration } = check()
-    configuration.noteReading({ control: 'c', startedAt: later(10), version: 1, source: 'one' })
-    configuration.noteReading({ control: 'c', startedAt: later(10), version: 2, source: 'other' })
-    expect(ledger.violations).toHaveLength(2)
+    const { history, configuration } = check()
+    configuration.recordRead({ control: 'c', startedAt: later(10), version: 1, source: 'one' })
+    configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'other' })
+    expect(history.violations).toHaveLength(2)
   })
 
   it('finds a host that knew a version and knows it no more', () => {
-    const { ledger, configuration } = check()
-    configuration.noteProbe({ host: 'entry-0#1', version: 2, sentAt: later(1), endedAt: later(2), status: 200 })
-    configuration.noteProbe({ host: 'entry-0#2', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
-    expect(ledger.violations).toEqual([])
-    configuration.noteProbe({ host: 'entry-0#1', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
-    expect(ledger.violations).toHaveLength(1)
+    const { history, configuration } = check()
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(1), endedAt: later(2), status: 200 })
+    configuration.recordProbe({ host: 'entry-0#2', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
+    expect(history.violations).toEqual([])
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
+    expect(history.violations).toHaveLength(1)
   })
 
   it('finds a host that acts on a version for longer than its lease', () => {
-    const { ledger, configuration } = check()
-    configuration.noteProbe({ host: 'entry-0#1', version: 2, sentAt: later(10_000), endedAt: later(10_001), status: 404 })
-    expect(ledger.violations).toHaveLength(1)
+    const { history, configuration } = check()
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(10_000), endedAt: later(10_001), status: 404 })
+    expect(history.violations).toHaveLength(1)
   })
 })
--- a/apps/soak/src/lib/faultPlan.ts
+++ b/apps/soak/src/lib/faultPlan.ts
@@ -1,5 +1,5 @@
 /** Draws which faults come when, from a seed alone. */
-import { Draws } from './SeededRandom.js'
+import { SeededRandom } from './SeededRandom.js'
 import { RESTRAINT_KINDS, type RestraintKind } from './standinProtocol.js'
 import { DATA_CENTRES } from './soakSite.js'
 import { LINK_FAULTS, type LinkFault } from './LoopbackProxy.js'
@@ -31,19 +31,19 @@
 const ROLLING_GAP_MS = 1300
 
 /** Time of the first fault, in milliseconds: all callers are at work by then. */
-const FIRST_MS = 500
+const FIRST_FAULT_MS = 500
 
 /** Bounds of the time between two faults, in milliseconds: several are under way at any time. */
-const LEAST_GAP_MS = 150
-const MOST_GAP_MS = 1400
+const MIN_GAP_MS = 150
+const MAX_GAP_MS = 1400
 
 /** Bounds of how long a fault lasts, in milliseconds: around the product's leases and timeouts. */
-const LEAST_DURATION_MS = 200
-const MOST_DURATION_MS = 4500
+const MIN_DURATION_MS = 200
+const MAX_DURATION_MS = 4500
 
 /** Bounds of how long an endpoint asks hosts for less, in milliseconds: a rate is to be kept in any four seconds. */
-const LEAST_RESTRAINT_MS = 4000
-const MOST_RESTRAINT_MS = 9000
+const MIN_RESTRAINT_MS = 4000
+const MAX_RESTRAINT_MS = 9000
 
 export type FaultKind = PlannedFault['kind']
 
@@ -64,42 +64,42 @@
  * @returns the faults in order of time; the first is a rolling stop, if such are drawn from
  */
 export function planFaults (seed: number, seconds: number, shape: SoakShape, kinds = FAULT_KINDS): PlannedFault[] {
-  const draws = new Draws(seed)
-  const faults: PlannedFault[] = kinds.includes('rolling-stop') ? [{ atMs: FIRST_MS, kind: 'rolling-stop', gapMs: ROLLING_GAP_MS }] : []
-  for (let atMs = draws.between(0, MOST_GAP_MS); atMs < seconds * 1000; atMs += draws.between(LEAST_GAP_MS, MOST_GAP_MS)) {
-    faults.push(drawFault(draws, draws.pick(kinds), atMs, shape))
+  const random = new SeededRandom(seed)
+  const faults: PlannedFault[] = kinds.includes('rolling-stop') ? [{ atMs: FIRST_FAULT_MS, kind: 'rolling-stop', gapMs: ROLLING_GAP_MS }] : []
+  for (let atMs = random.between(0, MAX_GAP_MS); atMs < seconds * 1000; atMs += random.between(MIN_GAP_MS, MAX_GAP_MS)) {
+    faults.push(drawFault(random, random.pick(kinds), atMs, shape))
   }
   return faults.sort((left, right) => left.atMs - right.atMs)
 }
 
-function drawFault (draws: Draws, kind: FaultKind, atMs: number, shape: SoakShape): PlannedFault {
-  const durationMs = Math.round(draws.between(LEAST_DURATION_MS, MOST_DURATION_MS))
+function drawFault (random: SeededRandom, kind: FaultKind, atMs: number, shape: SoakShape): PlannedFault {
+  const durationMs = Math.round(random.between(MIN_DURATION_MS, MAX_DURATION_MS))
   switch (kind) {
     case 'rolling-stop': return { atMs, kind, gapMs: ROLLING_GAP_MS }
     case 'stop':
-    case 'kill': return { atMs, kind, ...drawSlot(draws, shape) }
-    case 'pause': return { atMs, kind, ...drawSlot(draws, shape), durationMs }
+    case 'kill': return { atMs, kind, ...drawSlot(random, shape) }
+    case 'pause': return { atMs, kind, ...drawSlot(random, shape), durationMs }
     case 'link': {
-      const role = draws.pick(['control', 'endpoint'] as const)
-      return { atMs, kind, role, slot: draws.index(slotCount(role, shape)), fault: draws.pick(LINK_FAULTS), durationMs }
+      const role = random.pick(['control', 'endpoint'] as const)
+      return { atMs, kind, role, slot: random.index(slotCount(role, shape)), fault: random.pick(LINK_FAULTS), durationMs }
     }
     case 'restraint': return {
       atMs,
       kind,
-      slot: draws.index(slotCount('endpoint', shape)),
-      asks: draws.pick(RESTRAINT_KINDS),
-      durationMs: Math.round(draws.between(LEAST_RESTRAINT_MS, MOST_RESTRAINT_MS))
+      slot: random.index(slotCount('endpoint', shape)),
+      asks: random.pick(RESTRAINT_KINDS),
+      durationMs: Math.round(random.between(MIN_RESTRAINT_MS, MAX_RESTRAINT_MS))
     }
-    case 'evacuation': return { atMs, kind, dataCentre: draws.pick(DATA_CENTRES), durationMs: Math.round(draws.between(LEAST_RESTRAINT_MS, MOST_RESTRAINT_MS)) }
-    case 'cold-return': return { atMs, kind, slot: draws.index(slotCount('endpoint', shape)) }
+    case 'evacuation': return { atMs, kind, dataCentre: random.pick(DATA_CENTRES), durationMs: Math.round(random.between(MIN_RESTRAINT_MS, MAX_RESTRAINT_MS)) }
+    case 'cold-return': return { atMs, kind, slot: random.index(slotCount('endpoint', shape)) }
     case 'new-site':
     case 'new-weights': return { atMs, kind }
   }
 }
 
-function drawSlot (draws: Draws, shape: SoakShape): { role: SlotRole, slot: number } {
-  const role = draws.pick(['entry', 'control', 'endpoint'] as const)
-  return { role, slot: draws.index(slotCount(role, shape)) }
+function drawSlot (random: SeededRandom, shape: SoakShape): { role: SlotRole, slot: number } {
+  const role = random.pick(['entry', 'control', 'endpoint'] as const)
+  return { role, slot: random.index(slotCount(role, shape)) }
 }
 
 function slotCount (role: SlotRole, shape: SoakShape): number {
--- a/apps/soak/src/lib/observations.ts
+++ b/apps/soak/src/lib/observations.ts
@@ -6,10 +6,10 @@
 export type RequestKind = typeof REQUEST_KINDS[number]
 
 /** Kinds that may run once at most. */
-export const RUNS_ONCE: ReadonlySet<RequestKind> = new Set<RequestKind>(['unsafe', 'stream'])
+export const AT_MOST_ONCE_KINDS: ReadonlySet<RequestKind> = new Set<RequestKind>(['unsafe', 'stream'])
 
 /** A request as its caller made it. */
-export interface AskedRequest {
+export interface SentRequest {
   readonly id: string
   readonly kind: RequestKind
   readonly customer: string
@@ -30,7 +30,7 @@
 
 /** A request with its end. */
 export interface Outcome {
-  readonly request: AskedRequest
+  readonly request: SentRequest
   readonly end: CallerEnd
   readonly endedAt: number
 }
--- a/apps/soak/src/lib/runSoak.ts
+++ b/apps/soak/src/lib/runSoak.ts
@@ -8,17 +8,17 @@
 import { ConfigurationCheck } from './checks/ConfigurationCheck.js'
 import { EvacuationsHoldCheck } from './checks/EvacuationsHoldCheck.js'
 import { requestChecks } from './checks/requestChecks.js'
-import { Draws } from './SeededRandom.js'
-import { CRASHED_BY_REQUEST_CODE, ENDPOINT_BREAKS, type EndpointBreak } from './standinProtocol.js'
-import { FaultDriver } from './FaultInjector.js'
+import { SeededRandom } from './SeededRandom.js'
+import { CRASHED_BY_REQUEST_EXIT_CODE, ENDPOINT_BREAKS, type EndpointBreak } from './standinProtocol.js'
+import { FaultInjector } from './FaultInjector.js'
 import { planFaults, type FaultKind, type SoakShape } from './faultPlan.js'
 import { planRepeatedRequests } from './planRepeatedRequests.js'
 import { RepeatingCaller } from './RepeatingCaller.js'
-import { Ledger, type Violation } from './RequestHistory.js'
+import { RequestHistory, type Violation } from './RequestHistory.js'
 import { Operator } from './Operator.js'
 import { SoakCluster } from './SoakCluster.js'
 import { MODEL } from './soakSite.js'
-import { TimeLine } from './Timeline.js'
+import { Timeline } from './Timeline.js'
 
 /** Ways to break a promise on purpose, beyond those of the endpoints. */
 export const PROCESS_BREAKS = ['abrupt-stop', 'forgetful-control', 'deaf-hosts', 'no-cold-rate'] as const
@@ -48,24 +48,24 @@
   readonly requests: number
   /** Ends of requests by status, `cut` for those without one. */
   readonly ends: ReadonlyMap<string, number>
-  readonly acts: number
+  readonly actionCount: number
   readonly violations: readonly Violation[]
   /** One line for each act. */
-  readonly timeLine: readonly string[]
+  readonly timeline: readonly string[]
   /** Logs of the processes that broken promises involve. */
   readonly logFiles: readonly string[]
 }
 
 /** Usual time for the recovery, in milliseconds: far above what the product needs on a busy machine. */
-const RECOVERY_MS = 60_000
+const RECOVERY_TIMEOUT_MS = 60_000
 
 /** Tells apart the draws of faults, callers and the operator. */
-const OPERATOR_SEED = 500_000
-const CALLER_SEED = 1_000_000
-const REPEATING_SEED = 2_000_000
+const OPERATOR_SEED_OFFSET = 500_000
+const CALLER_SEED_OFFSET = 1_000_000
+const REPEATING_SEED_OFFSET = 2_000_000
 
 /** Keeps the draws of repeated requests of two seeds apart. */
-const MOST_REPEATED = 100
+const MAX_REPEATED_REQUESTS = 100
 
 /**
  * @param plan - what to do
@@ -77,9 +77,9 @@
 }
 
 class SoakRun {
-  readonly #timeLine = new TimeLine()
+  readonly #timeline = new Timeline()
   readonly #evacuations = new EvacuationsHoldCheck()
-  readonly #ledger: Ledger
+  readonly #history: RequestHistory
   readonly #configuration: ConfigurationCheck
   readonly #cluster: SoakCluster
   readonly #operator: Operator
@@ -89,8 +89,8 @@
   constructor (private readonly plan: SoakPlan, private readonly folder: string) {
     const { seed, shape, graceMs, breaks } = plan
     const hasColdReturns = plan.kinds?.includes('cold-return') ?? false
-    this.#ledger = new Ledger(this.#timeLine, [...requestChecks(hasColdReturns), this.#evacuations])
-    this.#configuration = new ConfigurationCheck(this.#ledger)
+    this.#history = new RequestHistory(this.#timeline, [...requestChecks(hasColdReturns), this.#evacuations])
+    this.#configuration = new ConfigurationCheck(this.#history)
     this.#cluster = new SoakCluster({
       shape,
       folder,
@@ -98,24 +98,24 @@
       isForgetful: breaks.includes('forgetful-control'),
       isDeaf: breaks.includes('deaf-hosts'),
       hasColdReturns,
-      onRejection: line => { this.#ledger.noteRejection(line) },
-      onRun: line => { this.#ledger.noteRun(line) },
-      onStart: label => { this.#timeLine.note(label, 'started', false) },
-      onEnd: (label, code) => { this.#noteEnd(label, code) }
+      onRejection: line => { this.#history.recordRejection(line) },
+      onRun: line => { this.#history.recordRun(line) },
+      onStart: label => { this.#timeline.record(label, 'started', false) },
+      onEnd: (label, code) => { this.#recordProcessEnd(label, code) }
     })
     this.#balancer = new Balancer(this.#cluster.entries)
-    this.#operator = new Operator(this.#cluster.controls, new Draws(seed + OPERATOR_SEED), this.#configuration, hasColdReturns && !breaks.includes('no-cold-rate'))
-    const surroundings = {
+    this.#operator = new Operator(this.#cluster.controls, new SeededRandom(seed + OPERATOR_SEED_OFFSET), this.#configuration, hasColdReturns && !breaks.includes('no-cold-rate'))
+    const context = {
       balancer: this.#balancer,
-      ledger: this.#ledger,
+      history: this.#history,
       configuration: this.#configuration,
       breaks: ENDPOINT_BREAKS.filter(name => breaks.includes(name))
     }
-    const usual = Array.from({ length: plan.callers }, (_, index) =>
-      new Caller(`r${index}`, new Draws(CALLER_SEED + seed * plan.callers + index), surroundings))
-    const repeating = planRepeatedRequests(seed, plan.poisonRequests ?? 0).map((repeated, index) =>
-      new RepeatingCaller(repeated, new Draws(REPEATING_SEED + seed * MOST_REPEATED + index), surroundings))
-    this.#callers = [...usual, ...repeating]
+    const plainCallers = Array.from({ length: plan.callers }, (_, index) =>
+      new Caller(`r${index}`, new SeededRandom(CALLER_SEED_OFFSET + seed * plan.callers + index), context))
+    const repeatingCallers = planRepeatedRequests(seed, plan.poisonRequests ?? 0).map((repeated, index) =>
+      new RepeatingCaller(repeated, new SeededRandom(REPEATING_SEED_OFFSET + seed * MAX_REPEATED_REQUESTS + index), context))
+    this.#callers = [...plainCallers, ...repeatingCallers]
   }
 
   async play (): Promise<SoakResult> {
@@ -123,36 +123,36 @@
       await this.#cluster.start()
       this.#balancer.start()
       await this.#operator.putSite()
-      await until(async () => this.#balancer.isComplete, RECOVERY_MS)
-      await this.#exercise()
+      await until(async () => this.#balancer.areAllReady, RECOVERY_TIMEOUT_MS)
+      await this.#injectFaults()
     } finally {
       this.#balancer.close()
       await this.#cluster.stop()
     }
-    this.#ledger.settleAll()
+    this.#history.settleAll()
     const result = this.#result()
     if (result.violations.length === 0) await rm(this.folder, { recursive: true, force: true })
     return result
   }
 
-  #noteEnd (label: string, code: number | null): void {
-    this.#timeLine.note(label, `ended with ${code ?? 'a signal'}`, false)
-    if (code === CRASHED_BY_REQUEST_CODE) {
-      this.#timeLine.note(label, 'ended by a request', true)
+  #recordProcessEnd (label: string, code: number | null): void {
+    this.#timeline.record(label, `ended with ${code ?? 'a signal'}`, false)
+    if (code === CRASHED_BY_REQUEST_EXIT_CODE) {
+      this.#timeline.record(label, 'ended by a request', true)
       return
     }
-    const isExpected = code === null ? this.#timeLine.wasKilled(label) : code === 0 && this.#timeLine.stopOf(label) !== undefined
-    if (!isExpected) this.#ledger.noteViolation('ends-when-told', `${label} ended with ${code ?? 'a signal that nobody sent'}`, [label])
+    const isExpected = code === null ? this.#timeline.wasKilled(label) : code === 0 && this.#timeline.stopOf(label) !== undefined
+    if (!isExpected) this.#history.recordViolation('ends-when-told', `${label} ended with ${code ?? 'a signal that nobody sent'}`, [label])
   }
 
-  async #exercise (): Promise<void> {
+  async #injectFaults (): Promise<void> {
     const { seed, seconds, shape, graceMs, breaks, kinds } = this.plan
     const calling = Promise.all(this.#callers.map(async caller => { await caller.run() }))
-    const reading = this.#operator.readOn()
-    const driver = new FaultDriver(this.#cluster, this.#operator, this.#timeLine, this.#evacuations, { graceMs, isAbrupt: breaks.includes('abrupt-stop') })
-    await driver.run(planFaults(seed, seconds, shape, kinds))
+    const reading = this.#operator.readRepeatedly()
+    const injector = new FaultInjector(this.#cluster, this.#operator, this.#timeline, this.#evacuations, { graceMs, isAbrupt: breaks.includes('abrupt-stop') })
+    await injector.run(planFaults(seed, seconds, shape, kinds))
     this.#cluster.heal()
-    this.#timeLine.note('soak', 'the last fault is over', false)
+    this.#timeline.record('soak', 'the last fault is over', false)
     for (const caller of this.#callers) caller.stop()
     this.#operator.stop()
     await Promise.all([calling, reading])
@@ -160,41 +160,41 @@
   }
 
   async #recover (): Promise<void> {
-    await this.#expect('all entry hosts are ready', async () => this.#balancer.isComplete)
-    await this.#expect('the site can be read', async () => await this.#operator.readOnce())
-    await this.#expect('all engines have the newest weights', async () => this.#haveNewestWeights())
+    await this.#waitFor('all entry hosts are ready', async () => this.#balancer.areAllReady)
+    await this.#waitFor('the site can be read', async () => await this.#operator.readOnce())
+    await this.#waitFor('all engines have the newest weights', async () => this.#haveEnginesNewestWeights())
     const failure = this.#cluster.failure()
-    if (failure !== undefined) this.#ledger.noteViolation('recovers', failure.message, [])
+    if (failure !== undefined) this.#history.recordViolation('recovers', failure.message, [])
   }
 
-  async #expect (what: string, condition: () => Promise<boolean>): Promise<void> {
+  async #waitFor (what: string, condition: () => Promise<boolean>): Promise<void> {
     try {
-      await until(condition, this.plan.recoveryMs ?? RECOVERY_MS)
+      await until(condition, this.plan.recoveryMs ?? RECOVERY_TIMEOUT_MS)
     } catch (error) {
-      this.#ledger.noteViolation('recovers', `not so: ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
+      this.#history.recordViolation('recovers', `not so: ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
     }
   }
 
-  #haveNewestWeights (): boolean {
-    const held = [...this.#cluster.list.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
-    return held.every(({ version }) => version >= this.#operator.newestWeights)
+  #haveEnginesNewestWeights (): boolean {
+    const held = [...this.#cluster.endpointList.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
+    return held.every(({ version }) => version >= this.#operator.newestWeightsVersion)
   }
 
   #result (): SoakResult {
-    const { violations } = this.#ledger
+    const { violations } = this.#history
     const ends = new Map<string, number>()
-    for (const { end } of this.#ledger.outcomes) {
+    for (const { end } of this.#history.outcomes) {
       const name = end.kind === 'cut' ? 'cut' : String(end.status)
       ends.set(name, (ends.get(name) ?? 0) + 1)
     }
     const involved = new Set(violations.flatMap(({ processes }) => processes))
     return {
       seed: this.plan.seed,
-      requests: this.#ledger.requestCount,
+      requests: this.#history.requestCount,
       ends,
-      acts: this.#timeLine.entries.length,
+      actionCount: this.#timeline.entries.length,
       violations,
-      timeLine: this.#timeLine.describe(),
+      timeline: this.#timeline.describe(),
       logFiles: [...involved].map(label => this.#cluster.logFile(label))
     }
   }
--- a/apps/soak/src/lib/serveOperatorApi.ts
+++ b/apps/soak/src/lib/serveOperatorApi.ts
@@ -19,7 +19,7 @@
  * @param sites - what it leads to
  * @param isForgetful - acknowledge sites and weights without putting them in force
  */
-export async function openOperatorEdge (host: string, sites: SiteService, isForgetful: boolean): Promise<OperatorApi> {
+export async function serveOperatorApi (host: string, sites: SiteService, isForgetful: boolean): Promise<OperatorApi> {
   const app = new H3()
   app.put('/site', async event => {
     const source = new Uint8Array(await event.req.arrayBuffer())
--- a/apps/soak/src/lib/soakSite.ts
+++ b/apps/soak/src/lib/soakSite.ts
@@ -10,10 +10,10 @@
 export const DATA_CENTRES = ['hall-north', 'hall-central', 'hall-south'] as const
 
 /** Requests a second that an endpoint takes while it is cold, in runs in which endpoints come back cold. */
-export const COLD_RATE = 4
+export const COLD_REQUESTS_PER_SECOND = 4
 
 /** How long it is cold after its start, in milliseconds. */
-export const COLD_MS = 3000
+export const COLD_DURATION_MS = 3000
 
 /**
  * @param index - number of a process in its role
@@ -24,7 +24,7 @@
 }
 
 /** How long a request may take, in milliseconds: longer than any that the callers make, pauses included. */
-export const REQUEST_LIMIT_MS = 12_000
+export const REQUEST_TIMEOUT_MS = 12_000
 
 /** Two customers who share no cache with anybody, and one who may. */
 export const CUSTOMERS: readonly SiteCustomer[] = [
@@ -47,7 +47,7 @@
  * @returns the whole site
  */
 export function soakSite (version: number, hasColdRate = false): Site {
-  const coldRate = hasColdRate ? { coldRequestsPerSecond: COLD_RATE } : {}
+  const coldRate = hasColdRate ? { coldRequestsPerSecond: COLD_REQUESTS_PER_SECOND } : {}
   return {
     version,
     routes: [
@@ -84,7 +84,7 @@
     kind: 'safe',
     isResumable: false,
     attempts: 1,
-    timeoutMs: REQUEST_LIMIT_MS,
+    timeoutMs: REQUEST_TIMEOUT_MS,
     targetLatencyMs: 5000,
     priority: 0,
     isPublic: false,
--- a/apps/soak/src/lib/standinProtocol.ts
+++ b/apps/soak/src/lib/standinProtocol.ts
@@ -10,9 +10,9 @@
 export type EndpointBreak = z.infer<typeof endpointBreakSchema>
 
 /** Exit code of a stand-in that was ended by a request. */
-export const CRASHED_BY_REQUEST_CODE = 86
+export const CRASHED_BY_REQUEST_EXIT_CODE = 86
 
-const anyWork = {
+const commonWorkFields = {
   fault: endpointBreakSchema.optional(),
   /** Milliseconds after which the process of the endpoint ends because of it; most requests end none. */
   crashesEndpointAfterMs: z.number().min(0).optional()
@@ -27,15 +27,15 @@
 export type Restraint = z.infer<typeof restraintSchema>
 
 /** Pause that a rejection asks for, in milliseconds. */
-export const ASKED_PAUSE_MS = 1500
+export const REQUESTED_PAUSE_MS = 1500
 
 /** Requests a second that a stand-in names, for all hosts together. */
-export const ASKED_RATE = 3
+export const REQUESTED_RATE_PER_SECOND = 3
 
 /** Travels in a header, as JSON. */
 export const workSchema = z.discriminatedUnion('kind', [
-  z.strictObject({ kind: z.literal('plain'), milliseconds: z.number().min(0), ...anyWork }),
-  z.strictObject({ kind: z.literal('stream'), events: z.number().int().min(1), intervalMs: z.number().min(0), ...anyWork })
+  z.strictObject({ kind: z.literal('plain'), milliseconds: z.number().min(0), ...commonWorkFields }),
+  z.strictObject({ kind: z.literal('stream'), events: z.number().int().min(1), intervalMs: z.number().min(0), ...commonWorkFields })
 ])
 export type Work = z.infer<typeof workSchema>
 
--- a/apps/soak/src/main.ts
+++ b/apps/soak/src/main.ts
@@ -8,12 +8,12 @@
 const BREAKS: readonly SoakBreak[] = [...ENDPOINT_BREAKS, ...PROCESS_BREAKS]
 
 /** Control hosts: the smallest group that bears the loss of one. */
-const CONTROLS = 3
+const CONTROL_HOSTS = 3
 
 /** Broken promises printed of one run. */
-const MOST_PRINTED = 10
+const MAX_PRINTED_VIOLATIONS = 10
 
-const EXIT_BROKEN = 1
+const EXIT_VIOLATIONS = 1
 const EXIT_USAGE = 2
 
 class SoakCommand extends Command {
@@ -47,8 +47,8 @@
       this.#print(result)
       if (result.violations.length > 0) failed += 1
     }
-    this.context.stdout.write(`${regressions.length + fresh.length} runs, ${failed} with a broken promise\n`)
-    return failed === 0 ? 0 : EXIT_BROKEN
+    this.context.stdout.write(`${regressions.length + fresh.length} runs, ${failed} with a broken guarantee\n`)
+    return failed === 0 ? 0 : EXIT_VIOLATIONS
   }
 
   #planOf (seed: number): Omit<RegressionSeed, 'cause'> {
@@ -61,16 +61,16 @@
     { seed, seconds, entries, callers, kinds = FAULT_KINDS }: Omit<RegressionSeed, 'cause'>, breaks: readonly SoakBreak[], poisonRequests: number
   ): Promise<SoakResult> {
     const endpoints = Number(this.endpoints)
-    const shape = { controls: CONTROLS, entries, plainEndpoints: endpoints, engines: endpoints }
+    const shape = { controls: CONTROL_HOSTS, entries, plainEndpoints: endpoints, engines: endpoints }
     return await runSoak({ seed, seconds, breaks, kinds, shape, callers, graceMs: Number(this.graceMs), poisonRequests })
   }
 
-  #print ({ seed, requests, ends, acts, violations, timeLine, logFiles }: SoakResult): void {
+  #print ({ seed, requests, ends, actionCount, violations, timeline, logFiles }: SoakResult): void {
     const counts = [...ends].sort().map(([name, count]) => `${name}: ${count}`).join(', ')
-    this.context.stdout.write(`seed ${seed}: ${requests} requests (${counts}), ${acts} acts, ${violations.length} broken promises\n`)
+    this.context.stdout.write(`seed ${seed}: ${requests} requests (${counts}), ${actionCount} acts, ${violations.length} broken promises\n`)
     if (violations.length === 0) return
-    for (const { promise, detail } of violations.slice(0, MOST_PRINTED)) this.context.stdout.write(`  ${promise}: ${detail}\n`)
-    this.context.stdout.write(`  logs: ${logFiles.join(' ')}\n  time line:\n${timeLine.map(line => `    ${line}\n`).join('')}`)
+    for (const { guarantee, detail } of violations.slice(0, MAX_PRINTED_VIOLATIONS)) this.context.stdout.write(`  ${guarantee}: ${detail}\n`)
+    this.context.stdout.write(`  logs: ${logFiles.join(' ')}\n  time line:\n${timeline.map(line => `    ${line}\n`).join('')}`)
   }
 }
 
--- a/apps/soak/src/soak.test.ts
+++ b/apps/soak/src/soak.test.ts
@@ -2,13 +2,13 @@
 import { describe, expect, it } from 'vitest'
 import { ENDPOINT_BREAKS, type EndpointBreak } from './lib/standinProtocol.js'
 import { FAULT_KINDS, type FaultKind } from './lib/faultPlan.js'
-import type { PromiseName } from './lib/RequestHistory.js'
+import type { GuaranteeName } from './lib/RequestHistory.js'
 import { runSoak, type SoakBreak, type SoakResult } from './lib/runSoak.js'
 
 /** Real processes on a machine that may be busy; only a hang gets this far. */
 const TIMEOUT_MS = 240_000
 
-const SHOWN_BY: Record<EndpointBreak, PromiseName> = {
+const GUARANTEE_BROKEN_BY: Record<EndpointBreak, GuaranteeName> = {
   'run-twice': 'at-most-once',
   'run-then-reject': 'not-run-is-true',
   'foreign-answer': 'whole-answers',
@@ -33,8 +33,8 @@
   return await runSoak({ seed: 1, seconds, breaks, kinds, recoveryMs, shape, callers: 32, graceMs: 8000, poisonRequests })
 }
 
-function describeRun ({ violations, timeLine, logFiles }: SoakResult): string {
-  return [...violations.map(({ promise, detail }) => `${promise}: ${detail}`), ...logFiles, ...timeLine].join('\n')
+function describeRun ({ violations, timeline, logFiles }: SoakResult): string {
+  return [...violations.map(({ guarantee, detail }) => `${guarantee}: ${detail}`), ...logFiles, ...timeline].join('\n')
 }
 
 describe('a soak of real processes', () => {
@@ -69,34 +69,34 @@
   describe('with a break', () => {
     it('finds hosts that do not read what endpoints ask of them', async () => {
       const { violations } = await play({ seconds: 14, breaks: ['deaf-hosts'], kinds: ['restraint'] })
-      const promises = new Set(violations.map(({ promise }) => promise))
-      expect([...promises]).toEqual(expect.arrayContaining(['pauses-are-kept', 'rates-are-kept', 'leaving-is-heeded']))
+      const guarantees = new Set(violations.map(({ guarantee }) => guarantee))
+      expect([...guarantees]).toEqual(expect.arrayContaining(['pauses-are-kept', 'rates-are-kept', 'leaving-is-heeded']))
     }, TIMEOUT_MS)
 
     it('finds each that an endpoint shows', async () => {
       const { violations } = await play({ seconds: 6, breaks: ENDPOINT_BREAKS, kinds: ['new-site'] })
-      const found = ENDPOINT_BREAKS.filter(name => violations.some(({ promise, provokedBy }) => provokedBy === name && promise === SHOWN_BY[name]))
+      const found = ENDPOINT_BREAKS.filter(name => violations.some(({ guarantee, provokedBy }) => provokedBy === name && guarantee === GUARANTEE_BROKEN_BY[name]))
       expect(found).toEqual(ENDPOINT_BREAKS)
     }, TIMEOUT_MS)
 
     it('finds planned stops that end a host at once', async () => {
       const { violations } = await play({ seconds: 1, breaks: ['abrupt-stop'], kinds: ['rolling-stop'] })
-      const promises = violations.map(({ promise }) => promise)
-      expect(promises).toContain('nothing-is-cut')
-      expect(promises).toContain('ends-when-told')
+      const guarantees = violations.map(({ guarantee }) => guarantee)
+      expect(guarantees).toContain('nothing-is-cut')
+      expect(guarantees).toContain('ends-when-told')
     }, TIMEOUT_MS)
 
     it('finds sites and weights that were acknowledged and are not in force', async () => {
       const { violations } = await play({ seconds: 3, breaks: ['forgetful-control'], kinds: ['new-site', 'new-weights'], recoveryMs: 1000 })
-      const promises = violations.map(({ promise }) => promise)
-      expect(promises).toContain('configuration-never-reverts')
-      expect(promises).toContain('recovers')
+      const guarantees = violations.map(({ guarantee }) => guarantee)
+      expect(guarantees).toContain('configuration-never-reverts')
+      expect(guarantees).toContain('recovers')
     }, TIMEOUT_MS)
 
     it('finds evacuations that were acknowledged and are not in force, and cold endpoints that get too much', async () => {
       const { violations } = await play({ seconds: 12, breaks: ['forgetful-control', 'no-cold-rate'], kinds: ['evacuation', 'cold-return'], recoveryMs: 1000 })
-      const promises = new Set(violations.map(({ promise }) => promise))
-      expect([...promises]).toEqual(expect.arrayContaining(['evacuations-hold', 'cold-rates-are-kept']))
+      const guarantees = new Set(violations.map(({ guarantee }) => guarantee))
+      expect([...guarantees]).toEqual(expect.arrayContaining(['evacuations-hold', 'cold-rates-are-kept']))
     }, TIMEOUT_MS)
   })
 })
