--- a/apps/soak/src/control.ts
+++ b/apps/soak/src/control.ts
@@ -1,4 +1,4 @@
-/** The control host with the soak's surroundings. */
+/** A control host with the platform adapters of the soak. */
 import { z } from 'zod'
 import { controlSettingsShape, startControl } from '@eelgrassmux/control/ControlDaemon'
 import { runDaemon, type DaemonProgram } from '@eelgrassmux/daemon/runDaemon'
@@ -12,12 +12,12 @@
 const settingsSchema = z.object({
   ...controlSettingsShape,
   list: addressSetting.describe('address of the endpoint list'),
-  forgetful: booleanSetting.default(false).describe('acknowledges sites and weights without putting them in force: a break for the checks')
+  forgetful: booleanSetting.default(false).describe('acknowledges sites, weights and evacuations without putting them in force: a break that the checks must detect')
 })
 
 const program: DaemonProgram<z.infer<typeof settingsSchema>> = {
   name: 'soak-control',
-  description: 'Agrees on the soak\'s sites and weights',
+  description: 'Control host of the soak: agrees on sites and weights',
   settings: settingsSchema,
   start: async (settings, telemetry, fail) => await startControl(settings, telemetry, fail, {
     endpoints: new HttpEndpointSource(settings.list),
--- a/apps/soak/src/endpoint.ts
+++ b/apps/soak/src/endpoint.ts
@@ -1,4 +1,4 @@
-/** The endpoint stand-in as a program. */
+/** Runs an endpoint stand-in as a process. */
 import { writeSync } from 'node:fs'
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { EndpointStandin } from './lib/EndpointStandin.js'
@@ -8,13 +8,13 @@
 
 class EndpointCommand extends Command {
   static override paths = [Command.Default]
-  static override usage = Command.Usage({ description: 'an endpoint that prints what it runs' })
-  id = Option.String('--id', { required: true, description: 'name of this incarnation' })
-  model = Option.String('--model', '', { description: 'model whose weights it holds; none if empty' })
-  version = Option.String('--weights-version', '0', { description: 'version of the weights at the start' })
+  static override usage = Command.Usage({ description: 'run an endpoint stand-in that prints a line for each run' })
+  id = Option.String('--id', { required: true, description: 'name of the incarnation' })
+  model = Option.String('--model', '', { description: 'model whose weights are loaded; none if empty' })
+  version = Option.String('--weights-version', '0', { description: 'version of the weights that are loaded at the start' })
 
   override async execute (): Promise<number> {
-    // Written at once: a line about a run must not be lost with the process.
+    // Writes synchronously, so that no line about a run is lost if the process is killed.
     const print = (line: object): void => { writeSync(1, `${JSON.stringify(line)}\n`) }
     const standin = new EndpointStandin({ id: this.id, model: this.model, version: Number(this.version) }, print, () => { process.exit(CRASHED_BY_REQUEST_EXIT_CODE) })
     const port = await standin.listen(HOST)
--- a/apps/soak/src/entry.ts
+++ b/apps/soak/src/entry.ts
@@ -1,4 +1,4 @@
-/** The entry host for routed requests with the soak's headers. */
+/** An entry host for routed requests that uses the headers of the soak. */
 import { z } from 'zod'
 import { runDaemon, type DaemonProgram } from '@eelgrassmux/daemon/runDaemon'
 import { booleanSetting } from '@eelgrassmux/daemon/settings'
@@ -7,16 +7,16 @@
 
 const settingsSchema = z.object({
   ...routedSettingsShape,
-  deaf: booleanSetting.default(false).describe('does not read what endpoints ask of it in their answers: a break for the checks')
+  deaf: booleanSetting.default(false).describe('ignores what endpoints ask of it in their answers: a break that the checks must detect')
 })
 
 const program: DaemonProgram<z.infer<typeof settingsSchema>> = {
   name: 'soak-entry',
-  description: 'Takes the soak\'s requests and runs them on endpoints',
+  description: 'Entry host of the soak: accepts requests and forwards them to endpoints',
   settings: settingsSchema,
   start: async (settings, telemetry) => await startRoutedDaemon(settings, telemetry, {
     codec: new SoakCodec(settings.deaf),
-    // Readiness is asked for on the admin port.
+    // The admin port serves readiness, so no further servers are needed.
     openPlatformServers: async () => ({ close: async () => {} })
   })
 }
--- a/apps/soak/src/lib/Balancer.ts
+++ b/apps/soak/src/lib/Balancer.ts
@@ -1,18 +1,18 @@
-/** Chooses entry hosts for new connections by their readiness; knows nothing of connections that are open. */
+/** Chooses entry hosts for new connections by their readiness, regardless of open connections. */
 import { request } from 'undici'
 import type { SeededRandom } from './SeededRandom.js'
 import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
 
-/** Interval between questions, in milliseconds. */
+/** Interval between readiness probes of a host, in milliseconds. */
 const PROBE_INTERVAL_MS = 200
 
-/** Longest wait for an answer, in milliseconds. */
+/** Timeout of a readiness probe, in milliseconds. */
 const PROBE_TIMEOUT_MS = 300
 
-/** Questions in a row without a yes that take a host out. */
+/** Number of consecutive failed probes after which a host is taken out of rotation. */
 const UNREADY_THRESHOLD = 2
 
-/** Asks all hosts for readiness until closed. */
+/** Probes the readiness of all hosts until closed. */
 export class Balancer {
   readonly #failures = new Map<string, number>()
   #timer: NodeJS.Timeout | undefined
@@ -20,12 +20,12 @@
   /** @param slots - entry hosts */
   constructor (private readonly slots: readonly ProcessSlot[]) {}
 
-  /** Starts to ask. */
+  /** Starts the probes. */
   start (): void {
     this.#timer = setInterval(() => { for (const { current } of this.slots) void this.#probe(current) }, PROBE_INTERVAL_MS)
   }
 
-  /** Stops asking. */
+  /** Stops the probes. */
   close (): void {
     clearInterval(this.#timer)
   }
@@ -36,8 +36,8 @@
   }
 
   /**
-   * @param draws - decides among equals
-   * @returns a host in rotation; with less than half of them in rotation any that runs, because a few would not bear all
+   * @param random - chooses among the candidates
+   * @returns a host in rotation, or any running host if fewer than half of all hosts are in rotation, because so few could not carry the whole load
    */
   choose (random: SeededRandom): Incarnation | undefined {
     const running = this.slots.flatMap(({ current }) => current ?? [])
@@ -64,7 +64,7 @@
     await response.body.dump()
     return response.statusCode === 200
   } catch {
-    // A host that can't be asked is as good as one that says no.
+    // A host that does not answer counts as not ready.
     return false
   }
 }
--- a/apps/soak/src/lib/Caller.ts
+++ b/apps/soak/src/lib/Caller.ts
@@ -1,4 +1,4 @@
-/** A caller with one connection, which it keeps in use until the other side closes it or its process is gone. */
+/** A caller with one connection, which it reuses until the entry host closes it or exits. */
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Balancer } from './Balancer.js'
@@ -11,29 +11,29 @@
 import type { Incarnation } from './ProcessSlot.js'
 import { CUSTOMERS } from './soakSite.js'
 
-/** What callers share. */
+/** Objects that all callers share. */
 export interface CallerContext {
   readonly balancer: Balancer
   readonly history: RequestHistory
   readonly configuration: ConfigurationCheck
-  /** Faults that endpoints are asked to show, one a request in turn; none in a usual run. */
+  /** Faults that requests ask endpoints for, chosen at random for each request; empty except in runs that break guarantees on purpose. */
   readonly breaks: readonly EndpointBreak[]
 }
 
-/** Longest pause between two requests, in milliseconds. */
+/** Maximum pause between two requests, in milliseconds. */
 const MAX_PAUSE_MS = 250
 
-/** Pause while no host runs, and after a refusal, in milliseconds. */
+/** Delay before the next request after a failure, or while no host is running, in milliseconds. */
 const RETRY_DELAY_MS = 150
 
 /** Bounds of the number of events of a stream. */
 const MIN_EVENTS = 3
 const MAX_EVENTS = 30
 
-/** Longest time of a stream, in milliseconds: most of a usual grace time. */
+/** Maximum duration of a stream, in milliseconds: most of the default grace period of 8000 ms. */
 const MAX_STREAM_MS = 6000
 
-/** Longest time of a plain request, in milliseconds. */
+/** Maximum duration of a plain request, in milliseconds. */
 const MAX_PLAIN_MS = 1200
 
 /** Sends one request after another until stopped. */
@@ -45,12 +45,12 @@
 
   /**
    * @param name - unique among callers
-   * @param draws - decides what is asked
+   * @param random - determines the requests
    * @param context - shared with other callers
    */
   constructor (private readonly name: string, private readonly random: SeededRandom, private readonly context: CallerContext) {}
 
-  /** Runs until stopped; ends with its last request. */
+  /** Sends requests until stopped; resolves after the last one has ended. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
       this.#host ??= this.#connect()
@@ -61,7 +61,7 @@
     this.#agent.destroy()
   }
 
-  /** Makes the request under way the last one. */
+  /** Sends no further requests after the current one. */
   stop (): void {
     this.#isStopped = true
   }
--- a/apps/soak/src/lib/EndpointListServer.ts
+++ b/apps/soak/src/lib/EndpointListServer.ts
@@ -5,47 +5,49 @@
 
 const HOST = '127.0.0.1'
 
-/** Holds the list by slot, so that a new incarnation takes the place of the one before. */
+/** Stores the list by slot, so that a new incarnation replaces the previous one. */
 export class EndpointListServer {
   readonly #endpoints = new Map<string, ListedEndpoint>()
   readonly #server: Server = createServer((_request, response) => { response.end(JSON.stringify([...this.#endpoints.values()])) })
 
   get endpoints (): Iterable<ListedEndpoint> { return this.#endpoints.values() }
 
-  /** @returns its address, once it listens */
+  /** @returns the address on which the server listens */
   async listen (): Promise<string> {
     await new Promise<void>(resolve => { this.#server.listen(0, HOST, resolve) })
     return `${HOST}:${(this.#server.address() as AddressInfo).port}`
   }
 
   /**
-   * @param slot - whose place it takes
-   * @param endpoint - as it is listed from now on
+   * Adds the endpoint of a slot, or replaces it.
+   *
+   * @param slot - name of the slot
+   * @param endpoint - entry for the list
    */
   put (slot: string, endpoint: ListedEndpoint): void {
     this.#endpoints.set(slot, endpoint)
   }
 
-  /** @param id - incarnation that is not cold any more */
+  /** @param id - incarnation that is no longer cold */
   markWarm (id: string): void {
     this.#change(id, { isCold: false })
   }
 
-  /** @param id - incarnation that leaves */
+  /** @param id - incarnation that is leaving */
   markLeaving (id: string): void {
     this.#change(id, { isLeaving: true })
   }
 
   /**
    * @param id - incarnation
-   * @param model - whose weights it holds
-   * @param version - that it holds now
+   * @param model - model whose weights the incarnation has loaded
+   * @param version - version of the weights
    */
   setWeights (id: string, model: string, version: number): void {
     this.#change(id, { models: [{ model, version }] })
   }
 
-  /** Closes. */
+  /** Closes the server and its connections. */
   close (): void {
     this.#server.closeAllConnections()
     this.#server.close()
--- a/apps/soak/src/lib/EndpointStandin.ts
+++ b/apps/soak/src/lib/EndpointStandin.ts
@@ -1,4 +1,4 @@
-/** An endpoint for routed requests, plain or with weights, that prints a line for each run before it begins. */
+/** A stand-in for an endpoint, with or without model weights, that prints a line before each run. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -7,7 +7,7 @@
 import { HEADER } from './soakHeaders.js'
 import { WeightsState } from './WeightsState.js'
 
-/** Who the stand-in is. */
+/** Identity of a stand-in and the weights that it has loaded at the start. */
 export interface EndpointIdentity {
   readonly id: string
   readonly model: string
@@ -19,7 +19,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Serves until closed. */
+/** Serves requests until closed. */
 export class EndpointStandin {
   readonly #weights: WeightsState
   readonly #server: Server
@@ -27,9 +27,9 @@
   readonly #restraint = new RestraintState()
 
   /**
-   * @param identity - who it is
-   * @param print - writes one line at once
-   * @param exit - ends the process at once
+   * @param identity - name of the incarnation, and its weights
+   * @param print - writes one line synchronously
+   * @param exit - ends the process immediately
    */
   constructor (private readonly identity: EndpointIdentity, private readonly print: (line: EndpointLine) => void, private readonly exit: () => void) {
     this.#weights = new WeightsState(identity.version, () => this.#runs, version => {
@@ -39,22 +39,22 @@
   }
 
   /**
-   * @param host - IP number
-   * @returns a free port that it listens on
+   * @param host - IP address to listen on
+   * @returns the port, which the operating system chooses
    */
   async listen (host: string): Promise<number> {
     await new Promise<void>(resolve => { this.#server.listen(0, host, resolve) })
     return (this.#server.address() as AddressInfo).port
   }
 
-  /** Finishes what it runs and closes. */
+  /** Stops accepting connections and waits until the current requests have ended. */
   async close (): Promise<void> {
     this.#server.closeIdleConnections()
     await new Promise<void>(resolve => { this.#server.close(() => { resolve() }) })
   }
 
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    // A caller that has gone shows in the response; what its socket says beyond that is not needed.
+    // A caller that has disconnected shows as a destroyed response; the socket error adds nothing.
     response.on('error', () => { response.destroy() })
     const body = await readBody(request)
     if (body === undefined) return
@@ -75,7 +75,7 @@
     response.end()
   }
 
-  /** A pause is asked for with a rejection, anything else with whatever is answered. */
+  /** Asks for a pause, which takes a rejection; other restraints are asked for in ordinary answers. */
   #rejectWithPause (request: IncomingMessage, response: ServerResponse): void {
     this.print({ event: 'rejected', requestId: headerOf(request, HEADER.requestId), endpoint: this.identity.id, at: Date.now() })
     response.setHeader(HEADER.retryAfter, String(REQUESTED_PAUSE_MS / MILLISECONDS_PER_SECOND))
@@ -183,13 +183,13 @@
   return String(request.headers[name] ?? '')
 }
 
-/** @returns undefined if the caller left before its request was whole */
+/** @returns the body; undefined if the sender disconnected before it was complete */
 async function readBody (request: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = []
   try {
     for await (const chunk of request) chunks.push(chunk as Buffer)
   } catch {
-    // Nothing ran and nobody waits for an answer.
+    // Nothing has run, and nobody is waiting for an answer.
     return undefined
   }
   return Buffer.concat(chunks).toString()
--- a/apps/soak/src/lib/FaultInjector.ts
+++ b/apps/soak/src/lib/FaultInjector.ts
@@ -1,4 +1,4 @@
-/** Carries a plan of faults out, in series and overlapping, and keeps the time line. */
+/** Injects the planned faults at their times, so that they may overlap, and records them on the timeline. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import type { PlannedFault, SlotRole } from './faultPlan.js'
@@ -10,37 +10,37 @@
 import { HEADER } from './soakHeaders.js'
 import type { Timeline } from './Timeline.js'
 
-/** Longest wait for an endpoint to take an order, in milliseconds; it may be paused. */
+/** Timeout for an order to an endpoint, in milliseconds; the endpoint may be paused. */
 const ORDER_TIMEOUT_MS = 500
 
-/** How planned stops are made. */
+/** Options of planned stops. */
 export interface StopOptions {
   /** Time from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
-  /** Planned stops are made by SIGKILL alone: a break for the checks. */
+  /** Sends SIGKILL in place of SIGTERM: a break that the checks must detect. */
   readonly isAbrupt: boolean
 }
 
-/** Injects faults until its plan is over. */
+/** Injects all faults of a plan. */
 export class FaultInjector {
   readonly #pending: Array<Promise<void>> = []
   readonly #evacuated = new Set<string>()
 
   /**
-   * @param cluster - processes and links
+   * @param cluster - processes and links to disturb
    * @param operator - changes sites and weights
-   * @param timeline - takes what was done
-   * @param evacuations - told of evacuations
-   * @param terms - of planned stops
+   * @param timeline - records the faults
+   * @param evacuations - notified of acknowledged evacuations
+   * @param options - options of planned stops
    */
   constructor (
     private readonly cluster: SoakCluster, private readonly operator: Operator, private readonly timeline: Timeline,
-    private readonly evacuations: EvacuationsHoldCheck, private readonly terms: StopOptions
+    private readonly evacuations: EvacuationsHoldCheck, private readonly options: StopOptions
   ) {}
 
   /**
-   * @param plan - what to do when
-   * @returns when all of it is done and over
+   * @param plan - faults in order of time
+   * @returns a promise that resolves when the last fault is over
    */
   async run (plan: readonly PlannedFault[]): Promise<void> {
     const startedAt = performance.now()
@@ -62,10 +62,10 @@
       case 'evacuation': return await this.#evacuate(fault.dataCentre, fault.durationMs)
       case 'cold-return': return this.#kill(this.#slot('endpoint', fault.slot))
       case 'new-site':
-        this.timeline.record('operator', 'puts a site', false)
+        this.timeline.record('operator', 'stores a new site', false)
         return await this.operator.putSite()
       case 'new-weights':
-        this.timeline.record('operator', 'names weights', false)
+        this.timeline.record('operator', 'requests new weights', false)
         return await this.operator.nameWeights()
     }
   }
@@ -81,16 +81,16 @@
 
   async #stop (slot: ProcessSlot, role: SlotRole): Promise<void> {
     const { current } = slot
-    // A second SIGTERM would be the operator's wish to have it ended at once.
+    // A second SIGTERM would ask the process to exit at once.
     if (current === undefined || this.timeline.stopOf(current.label) !== undefined) return
-    const { graceMs, isAbrupt } = this.terms
+    const { graceMs, isAbrupt } = this.options
     if (role === 'endpoint') this.cluster.endpointList.markLeaving(current.label)
     this.timeline.recordStop(current.label, graceMs)
     current.process.signal(isAbrupt ? 'SIGKILL' : 'SIGTERM')
     await Promise.race([sleep(graceMs, undefined, { ref: false }), current.process.exited()])
     if (!isCurrent(slot, current)) return
-    // An endpoint that is ended inside its work breaks it off; an entry host should have ended by itself.
-    this.timeline.recordKill(current.label, role !== 'entry', 'after its grace time')
+    // Killing an endpoint cuts off its runs, which is excused; an entry host should have exited by itself.
+    this.timeline.recordKill(current.label, role !== 'entry', 'after its grace period')
     current.process.signal('SIGKILL')
   }
 
@@ -114,11 +114,11 @@
     this.timeline.record(`${role}-${slot}`, `link: ${fault}`, true, durationMs)
     proxy.setFault(fault)
     await sleep(durationMs)
-    // The later of two overlapping faults may end early; the time line then excuses more than happened, never less.
+    // The later of two overlapping faults may end early. The timeline then excuses more failures than the faults can cause, never fewer.
     proxy.setFault(undefined)
   }
 
-  /** An endpoint that says that it is leaving is stopped after a while. */
+  /** Orders an endpoint to ask for a restraint; an endpoint that announces that it is leaving is stopped afterwards. */
   async #restrain ({ slot: index, asks, durationMs }: Extract<PlannedFault, { kind: 'restraint' }>): Promise<void> {
     const slot = this.#slot('endpoint', index)
     const { current } = slot
@@ -154,7 +154,7 @@
     await body.dump()
     return statusCode === 200
   } catch {
-    // It is paused, or has just ended.
+    // The endpoint is paused or has just exited.
     return false
   }
 }
--- a/apps/soak/src/lib/HttpEndpointProbe.ts
+++ b/apps/soak/src/lib/HttpEndpointProbe.ts
@@ -1,21 +1,21 @@
-/** Asks the endpoint stand-ins whether they live. */
+/** Checks whether the endpoint stand-ins respond. */
 import { request } from 'undici'
 import type { EndpointProbe } from '@eelgrassmux/control/load/LoadBoardTask'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { HEADER } from './soakHeaders.js'
 
-/** Longest wait for a stand-in, in milliseconds; it may be paused. */
+/** Timeout of a request to a stand-in, in milliseconds; the stand-in may be paused. */
 const TIMEOUT_MS = 250
 
 const MISDIRECTED = 421
 
-/** {@link EndpointProbe} over the stand-ins. */
+/** {@link EndpointProbe} for stand-ins. */
 export class HttpEndpointProbe implements EndpointProbe {
   async isResponsive (endpoint: ListedEndpoint): Promise<boolean> {
     return await this.#statusOf(endpoint) !== undefined
   }
 
-  /** The proxy in front hides whether anybody listens, so only the next incarnation tells. */
+  /** The proxy in front accepts connections even if the stand-in has exited, so only an answer of the next incarnation proves a crash. */
   async hasCrashed (endpoint: ListedEndpoint): Promise<boolean | undefined> {
     const status = await this.#statusOf(endpoint)
     return status === undefined ? undefined : status === MISDIRECTED
@@ -27,7 +27,7 @@
       await response.body.dump()
       return response.statusCode
     } catch {
-      // Whatever the reason: it is what hosts would meet as well.
+      // The reason does not matter: hosts would get no answer either.
       return undefined
     }
   }
--- a/apps/soak/src/lib/HttpEndpointSource.ts
+++ b/apps/soak/src/lib/HttpEndpointSource.ts
@@ -1,4 +1,4 @@
-/** The endpoint list that the soak serves. */
+/** Reads the endpoint list that the soak serves. */
 import { request } from 'undici'
 import { z } from 'zod'
 import type { EndpointSource } from '@eelgrassmux/control/endpoints/EndpointListTask'
@@ -6,12 +6,12 @@
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import { listedEndpointSchema } from '@eelgrassmux/schema/site/listedEndpoint'
 
-/** Longest wait for the list, in milliseconds: it comes from the same machine. */
+/** Timeout of a request for the list, in milliseconds; the server runs on the same host. */
 const TIMEOUT_MS = 1000
 
 /** {@link EndpointSource} over HTTP. */
 export class HttpEndpointSource implements EndpointSource {
-  /** @param address - where the list is served */
+  /** @param address - address of the list server */
   constructor (private readonly address: string) {}
 
   async list (): Promise<Result<EndpointListing, { readonly kind: string }>> {
--- a/apps/soak/src/lib/HttpRolloutBackend.ts
+++ b/apps/soak/src/lib/HttpRolloutBackend.ts
@@ -1,4 +1,4 @@
-/** Orders of weights to the endpoint stand-ins. */
+/** Orders endpoint stand-ins to load weights, and reads their status. */
 import { request } from 'undici'
 import type { EngineStatus, LoadOrder, OrderOutcome } from '@eelgrassmux/control/rollout/RolloutPlan'
 import type { RolloutBackend } from '@eelgrassmux/control/rollout/RolloutTask'
@@ -7,10 +7,10 @@
 import { reportSchema } from './standinProtocol.js'
 import { HEADER } from './soakHeaders.js'
 
-/** Longest wait for a stand-in, in milliseconds; it may be paused. */
+/** Timeout of a request to a stand-in, in milliseconds; the stand-in may be paused. */
 const TIMEOUT_MS = 500
 
-/** {@link RolloutBackend} over the stand-ins. */
+/** {@link RolloutBackend} for stand-ins. */
 export class HttpRolloutBackend implements RolloutBackend {
   async status (endpoint: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>> {
     try {
@@ -35,7 +35,7 @@
       await response.body.dump()
       return outcomeOf(response.statusCode)
     } catch {
-      // The order may have arrived all the same: the caller looks before the next step.
+      // The order may have arrived nevertheless; the caller reads the status before its next step.
       return 'unanswered'
     }
   }
--- a/apps/soak/src/lib/LoopbackProxy.test.ts
+++ b/apps/soak/src/lib/LoopbackProxy.test.ts
@@ -34,10 +34,10 @@
   })
 
   /**
-   * Seen: the start of a soak failed with "address in use". A proxy took any port that was free for connections,
-   * and then the same one for datagrams, where another process of the machine had it.
+   * Guards against a soak that fails at the start with "address in use". A proxy chose a port that was free
+   * for TCP and bound the same port for UDP, although another process on the host was using it there.
    */
-  it('takes another port where its own is taken for datagrams', async () => {
+  it('listens on another port if the wanted one is in use for UDP', async () => {
     const other = createSocket('udp4')
     await new Promise<void>(resolve => { other.bind(0, '127.0.0.1', resolve) })
     const { port } = other.address()
@@ -48,8 +48,8 @@
     other.close()
   })
 
-  // Guards against a start that fails because another process has the first port for connections.
-  it('takes another port where its own is taken for connections', async () => {
+  // Guards against a start that fails because another process is using the wanted port for TCP.
+  it('listens on another port if the wanted one is in use for TCP', async () => {
     const second = new LoopbackProxy()
     const port = Number((await second.listen()).split(':')[1])
     const third = new LoopbackProxy()
@@ -64,16 +64,16 @@
     return String((await answer)[0])
   }
 
-  it('passes bytes on in both directions', async () => {
+  it('forwards bytes in both directions', async () => {
     expect(await exchange('one')).toBe('one')
   })
 
-  it('passes late bytes on all the same', async () => {
+  it('forwards delayed bytes', async () => {
     proxy.setFault('delay')
     expect(await exchange('one')).toBe('one')
   })
 
-  it('holds what a cut keeps back until it is healed, in order', async () => {
+  it('forwards the bytes that a cut holds back, in order, once it is healed', async () => {
     expect(await exchange('one')).toBe('one')
     proxy.setFault('cut-back')
     caller.write('two')
--- a/apps/soak/src/lib/LoopbackProxy.ts
+++ b/apps/soak/src/lib/LoopbackProxy.ts
@@ -1,19 +1,19 @@
 /**
- * Stands between two processes and misbehaves as a network may: late, reset, cut
- * in one direction, or silent. Bytes that a cut quarantines arrive once it is healed.
- * Carries TCP and, at the same port, datagrams.
+ * Forwards traffic between two processes and simulates network faults: delay, resets, loss
+ * of one direction, or of both. Bytes that a cut holds back arrive once it is healed.
+ * Forwards TCP connections and, on the same port, UDP datagrams.
  */
 import { createSocket, type RemoteInfo, type Socket as DatagramSocket } from 'node:dgram'
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
-/** How a link misbehaves. */
+/** Faults of a link. */
 export const LINK_FAULTS = ['delay', 'reset', 'cut-towards', 'cut-back', 'silence'] as const
 export type LinkFault = typeof LINK_FAULTS[number]
 
-/** Delay of each piece while the link is slow, in milliseconds: far above loopback, below most timeouts. */
+/** Delay of each chunk while the link is slow, in milliseconds: far above that of loopback, below most timeouts. */
 const DELAY_MS = 120
 
-/** Interval at which held bytes are looked after, in milliseconds. */
+/** Interval between attempts to forward buffered chunks, in milliseconds. */
 const FLUSH_INTERVAL_MS = 10
 
 const HOST = '127.0.0.1'
@@ -21,7 +21,7 @@
 type Direction = 'towards' | 'back'
 interface BufferedChunk { readonly bytes: Buffer | 'end', readonly dueAt: number }
 
-/** One direction of a connection. */
+/** Buffer of one direction of a connection. */
 class DirectionBuffer {
   readonly #chunks: BufferedChunk[] = []
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** A proxy whose own address never changes. */
+/** A proxy whose address stays the same while the process behind it is replaced. */
 export class LoopbackProxy {
   readonly #server: Server = createServer({ allowHalfOpen: true }, socket => { this.#accept(socket) })
   #datagrams: DatagramSocket = createSocket('udp4')
@@ -49,16 +49,16 @@
   readonly #buffers = new Map<Direction, Set<DirectionBuffer>>([['towards', new Set()], ['back', new Set()]])
   #timer: NodeJS.Timeout | undefined
   #fault: LinkFault | undefined
-  /** Port behind the proxy; undefined while its process is gone. */
+  /** Port of the process behind the proxy; undefined before its first start. */
   target: number | undefined
 
   /**
    * @param firstPort - port to try first; 0 for any that is free
-   * @returns its address, once it listens
+   * @returns the address on which the proxy listens
    */
   async listen (firstPort = 0): Promise<string> {
     let port = await this.#openPort(firstPort)
-    // A port that is free for connections may be taken for datagrams.
+    // A port that is free for TCP may be in use for UDP.
     while (!await this.#bindDatagrams(port)) {
       await new Promise<void>(resolve => { this.#server.close(() => { resolve() }) })
       port = await this.#openPort(0)
@@ -68,14 +68,14 @@
     return `${HOST}:${port}`
   }
 
-  /** @param fault - from now on; undefined heals */
+  /** @param fault - fault that the link has from now on; undefined for none */
   setFault (fault: LinkFault | undefined): void {
     this.#fault = fault
     if (fault !== 'reset') return
     for (const socket of this.#sockets) socket.resetAndDestroy()
   }
 
-  /** Closes all. */
+  /** Closes the proxy and all its connections. */
   close (): void {
     clearInterval(this.#timer)
     for (const socket of this.#sockets) socket.destroy()
@@ -84,9 +84,9 @@
     this.#server.close()
   }
 
-  /** Another process may have the wanted port for connections; any that is free is taken then. */
+  /** Listens on any free port if another process is using the wanted one. */
   async #openPort (wanted: number): Promise<number> {
-    if (!await this.#bindConnections(wanted) && !await this.#bindConnections(0)) throw new Error(`no port is free at ${HOST}`)
+    if (!await this.#bindConnections(wanted) && !await this.#bindConnections(0)) throw new Error(`no free TCP port on ${HOST}`)
     return (this.#server.address() as AddressInfo).port
   }
 
@@ -168,7 +168,7 @@
     const existing = this.#returnSockets.get(key)
     if (existing !== undefined) return existing
     const socket = createSocket('udp4')
-    // As good as a lost datagram.
+    // A failed send counts as a lost datagram.
     socket.on('error', () => {})
     socket.on('message', bytes => {
       if (this.#fault !== 'reset' && this.#isForwarding('back')) this.#datagrams.send(bytes, sender.port, sender.address)
--- a/apps/soak/src/lib/NoStores.ts
+++ b/apps/soak/src/lib/NoStores.ts
@@ -1,11 +1,11 @@
-/** The soak's sites have no stores of kept prompts. */
+/** Store source for the soak, whose sites have no stores for kept prompts. */
 import type { StoreEvents, StoreListing, StoreSource } from '@eelgrassmux/control/stores/StoreFollower'
 import { fail, type Result } from '@eelgrassmux/schema/Result'
 
-/** Why a store says nothing. */
+/** Failure of every call: there is no store. */
 interface NoStoreError { readonly kind: 'no-store' }
 
-/** {@link StoreSource} of a site without stores. */
+/** {@link StoreSource} for sites without stores. */
 export class NoStores implements StoreSource {
   async events (): Promise<Result<StoreEvents, NoStoreError>> { return fail({ kind: 'no-store' }) }
   async listing (): Promise<Result<StoreListing, NoStoreError>> { return fail({ kind: 'no-store' }) }
--- a/apps/soak/src/lib/Operator.ts
+++ b/apps/soak/src/lib/Operator.ts
@@ -1,4 +1,4 @@
-/** Puts sites and names weights through whichever control host answers, and reads back what is in force. */
+/** Stores sites and requests weight versions through any control host that answers, and reads back the site in force. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
@@ -7,23 +7,23 @@
 import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
 import { MODEL, soakSite } from './soakSite.js'
 
-/** Longest wait for one control host, in milliseconds. */
+/** Timeout of a request to a control host, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 1500
 
-/** Pause before another control host is asked, in milliseconds. */
+/** Delay before the next attempt, in milliseconds. */
 const RETRY_DELAY_MS = 150
 
-/** Times that a change is sent before it is given up. */
+/** Maximum number of attempts to send a change. */
 const MAX_ATTEMPTS = 10
 
-/** Interval between readings, in milliseconds. */
+/** Interval between reads, in milliseconds. */
 const READ_INTERVAL_MS = 200
 
 const OK = 200
 
 interface ControlResponse { readonly status: number, readonly text: string }
 
-/** The one operator; its changes may overlap. */
+/** The operator of a run; its changes may overlap. */
 export class Operator {
   #siteVersion = 0
   #weightsVersion = 1
@@ -32,18 +32,18 @@
 
   /**
    * @param controls - control hosts
-   * @param draws - decides which is asked
-   * @param check - told of what was sent, acknowledged and read
-   * @param hasColdRate - whether the sites state what cold endpoints take
+   * @param random - chooses the control host for each attempt
+   * @param check - notified of sites that were sent, acknowledged and read
+   * @param hasColdRate - whether the sites limit the request rate of cold endpoints
    */
   constructor (
     private readonly controls: readonly ProcessSlot[], private readonly random: SeededRandom, private readonly check: ConfigurationCheck, private readonly hasColdRate: boolean
   ) {}
 
-  /** The newest version of the weights that was acknowledged. */
+  /** The newest acknowledged version of the weights. */
   get newestWeightsVersion (): number { return this.#newestWeightsVersion }
 
-  /** Puts the next site. */
+  /** Stores the next site version. */
   async putSite (): Promise<void> {
     this.#siteVersion += 1
     const version = this.#siteVersion
@@ -52,7 +52,7 @@
     if (await this.#send('/site', source)) this.check.recordAcknowledgement(version)
   }
 
-  /** Names the next weights. */
+  /** Requests the next version of the weights. */
   async nameWeights (): Promise<void> {
     this.#weightsVersion += 1
     const version = this.#weightsVersion
@@ -60,17 +60,17 @@
   }
 
   /**
-   * Orders an evacuation or its end.
+   * Orders an evacuation or lifts it.
    *
-   * @param dataCentre - which one
-   * @param isEvacuated - false to end it
-   * @returns whether it was acknowledged
+   * @param dataCentre - data centre to evacuate
+   * @param isEvacuated - false to lift the evacuation
+   * @returns whether the change was acknowledged
    */
   async evacuate (dataCentre: string, isEvacuated: boolean): Promise<boolean> {
     return await this.#send('/evacuations', JSON.stringify({ dataCentre, isEvacuated }))
   }
 
-  /** Reads again and again until stopped. */
+  /** Reads the site repeatedly until stopped. */
   async readRepeatedly (): Promise<void> {
     while (!this.#isStopped) {
       await this.readOnce()
@@ -83,7 +83,7 @@
     this.#isStopped = true
   }
 
-  /** @returns whether a control host was sure of what is in force */
+  /** @returns whether a control host returned the site in force */
   async readOnce (): Promise<boolean> {
     const control = this.#pickControlHost()
     if (control === undefined) return false
@@ -118,7 +118,7 @@
     })
     return { status: response.statusCode, text: await response.body.text() }
   } catch {
-    // No answer: the change may or may not be in force, and nothing was acknowledged.
+    // Without an answer the change may or may not be in force; nothing was acknowledged.
     return undefined
   }
 }
--- a/apps/soak/src/lib/ProcessSlot.ts
+++ b/apps/soak/src/lib/ProcessSlot.ts
@@ -1,38 +1,38 @@
-/** A place for one process. When its process ends, for whatever reason, the next incarnation is started. */
+/** Keeps one process running: whenever it exits, for whatever reason, the next incarnation is started. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { ManagedProcess, type PrintedAddresses } from '@eelgrassmux/bench/ManagedProcess'
 
-/** One incarnation. */
+/** One incarnation of a slot's process. */
 export interface Incarnation {
-  /** Name of the slot and number of the incarnation, such as `entry-0#2`. */
+  /** Name of the slot and number of the incarnation, for example `entry-0#2`. */
   readonly label: string
   readonly process: ManagedProcess
   readonly addresses: PrintedAddresses
 }
 
-/** How a slot starts its processes. */
+/** How a slot starts its processes, and whom it notifies. */
 export interface SlotPlan {
   readonly name: string
   readonly program: URL
   readonly logFolder: string
-  /** Arguments of an incarnation. */
+  /** Returns the command-line arguments of an incarnation. */
   args (label: string): readonly string[]
   readonly environment?: Readonly<Record<string, string>>
-  /** Told of each line on standard output. */
+  /** Called for each line that a process writes to standard output. */
   onLine? (line: string): void
   onStart? (incarnation: Incarnation): void
   /**
-   * Told of each process that ended before the slot was closed.
+   * Called for each process that exits before the slot is closed.
    *
-   * @param code - its exit code; null if a signal ended it
+   * @param code - exit code; null if a signal ended the process
    */
   onEnd? (label: string, code: number | null): void
 }
 
-/** Time between the end of a process and the start of the next, in milliseconds: as a service manager that restarts at once, or nearly. */
+/** Delay between the exit of a process and the start of the next one, in milliseconds: like a service manager that restarts almost at once. */
 const RESTART_DELAY_MS = 400
 
-/** Keeps one process running until closed. */
+/** Supervises one process until closed. */
 export class ProcessSlot {
   #current: Incarnation | undefined
   #count = 0
@@ -40,28 +40,28 @@
   #supervision: Promise<void> = Promise.resolve()
   #failure: Error | undefined
 
-  /** @param plan - how to start its processes */
+  /** @param plan - how to start the processes */
   constructor (private readonly plan: SlotPlan) {}
 
   get name (): string { return this.plan.name }
-  /** The process that runs now. */
+  /** The running incarnation; undefined between two of them. */
   get current (): Incarnation | undefined { return this.#current }
   get label (): string { return `${this.plan.name}#${this.#count}` }
-  /** Why no further incarnation could be started. */
+  /** Why the next incarnation could not be started; undefined if none has failed to start. */
   get failure (): Error | undefined { return this.#failure }
 
-  /** @returns path of an incarnation's log */
+  /** @returns path of the log file of an incarnation */
   logFile (label = this.label): string {
     return `${this.plan.logFolder}/${label.replace('#', '-')}.log`
   }
 
-  /** Starts the first incarnation and looks after it from then on. */
+  /** Starts the first incarnation and supervises the slot from then on. */
   async start (): Promise<void> {
     await this.#startNext()
     this.#supervision = this.#supervise()
   }
 
-  /** Ends the process and starts no other. */
+  /** Kills the process and starts no further one. */
   async close (): Promise<void> {
     this.#isClosed = true
     await this.#current?.process.kill()
@@ -95,7 +95,7 @@
         if (current !== undefined) this.plan.onEnd?.(current.label, code ?? null)
         await sleep(RESTART_DELAY_MS)
         if (!this.#isClosed) await this.#startNext()
-        // Closed while the process was starting: it must not be left behind.
+        // The slot may have been closed while the process was starting, which must not outlive it.
         await this.#endIfClosed()
       }
     } catch (error) {
--- a/apps/soak/src/lib/RepeatingCaller.ts
+++ b/apps/soak/src/lib/RepeatingCaller.ts
@@ -1,4 +1,4 @@
-/** A caller that asks the same thing over and over, of any host, whatever it is told. */
+/** A caller that keeps sending the same request to any host, regardless of the answers. */
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { CallerContext } from './Caller.js'
@@ -7,21 +7,21 @@
 import type { SentRequest } from './observations.js'
 import type { RepeatedRequest } from './planRepeatedRequests.js'
 
-/** Sends one request after another until stopped, each on a connection of its own. */
+/** Sends one request after another until stopped, each on a new connection. */
 export class RepeatingCaller {
   #isStopped = false
   #count = 0
 
   /**
-   * @param repeated - what to ask
-   * @param draws - decides which hosts are asked
+   * @param repeated - request to send
+   * @param random - chooses the hosts
    * @param context - shared with other callers
    */
   constructor (
     private readonly repeated: RepeatedRequest, private readonly random: SeededRandom, private readonly context: Pick<CallerContext, 'balancer' | 'history'>
   ) {}
 
-  /** Runs until stopped; ends with its last request. */
+  /** Sends requests until stopped; resolves after the last one has ended. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
       await this.#sendNext()
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Makes the request under way the last one. */
+  /** Sends no further requests after the current one. */
   stop (): void {
     this.#isStopped = true
   }
--- a/apps/soak/src/lib/RequestHistory.ts
+++ b/apps/soak/src/lib/RequestHistory.ts
@@ -1,9 +1,9 @@
-/** All that callers and endpoints have seen, and what it breaks. */
+/** Records what callers and endpoints observe of each request, and runs the checks on it. */
 import type { EndpointBreak, RejectionLine, RunLine } from './standinProtocol.js'
 import type { SentRequest, Outcome } from './observations.js'
 import type { Timeline } from './Timeline.js'
 
-/** Promises that the soak checks. */
+/** Guarantees of the product that the soak checks. */
 export const GUARANTEES = [
   'at-most-once', 'not-run-is-true', 'whole-answers', 'events-in-order', 'nothing-is-cut', 'customers-apart', 'one-weight-version',
   'configuration-never-reverts', 'ends-when-told', 'recovers', 'poison-requests-stop', 'bystanders-are-served',
@@ -11,18 +11,18 @@
 ] as const
 export type GuaranteeName = typeof GUARANTEES[number]
 
-/** A broken promise. */
+/** A broken guarantee. */
 export interface Violation {
   readonly guarantee: GuaranteeName
   readonly detail: string
   readonly at: number
-  /** Incarnations that had to do with it. */
+  /** Incarnations of the processes that were involved. */
   readonly processes: readonly string[]
-  /** What the endpoint was asked to do wrong, in a run that breaks promises on purpose. */
+  /** The fault that the request asked the endpoint for, in a run that breaks guarantees on purpose. */
   readonly provokedBy: EndpointBreak | undefined
 }
 
-/** What a check may look up. */
+/** Recorded observations that a check may look up. */
 export interface HistoryView {
   readonly timeline: Timeline
   request (requestId: string): SentRequest | undefined
@@ -30,21 +30,21 @@
   runs (requestId: string): readonly RunLine[]
 }
 
-/** One promise about requests; both methods return what is wrong, if anything is. */
+/** Check of one guarantee about requests. Each method returns a description of the violation, or undefined if there is none. */
 export interface RequestCheck {
   readonly guarantee: GuaranteeName
-  /** Told of each run as it begins. */
+  /** Called for each run when it starts. */
   onRun? (run: RunLine, view: HistoryView): string | undefined
-  /** Told of each rejection that asks for a pause. */
+  /** Called for each rejection that asks for a pause. */
   onRejection? (rejection: RejectionLine, view: HistoryView): string | undefined
-  /** Told of each end, a moment later, when endpoints have said what they ran. */
+  /** Called for each request after it has ended and the endpoints have reported its runs. */
   onOutcome? (outcome: Outcome, view: HistoryView): string | undefined
 }
 
-/** Time after which endpoints have said what they ran for a request that has ended, in milliseconds. */
+/** Delay after the end of a request until the endpoints have reported all its runs, in milliseconds. */
 const SETTLE_DELAY_MS = 1000
 
-/** Takes observations and asks the checks. */
+/** Records observations and collects the violations that the checks find. */
 export class RequestHistory implements HistoryView {
   readonly #requests = new Map<string, SentRequest>()
   readonly #outcomes = new Map<string, Outcome>()
@@ -53,8 +53,8 @@
   readonly violations: Violation[] = []
 
   /**
-   * @param timeline - what was done to the processes
-   * @param checks - promises about requests
+   * @param timeline - faults that were injected
+   * @param checks - checks of requests
    */
   constructor (readonly timeline: Timeline, private readonly checks: readonly RequestCheck[]) {}
 
@@ -65,12 +65,12 @@
   outcome (requestId: string): Outcome | undefined { return this.#outcomes.get(requestId) }
   runs (requestId: string): readonly RunLine[] { return this.#runs.get(requestId) ?? [] }
 
-  /** @param request - about to be sent */
+  /** @param request - request that is about to be sent */
   recordRequest (request: SentRequest): void {
     this.#requests.set(request.id, request)
   }
 
-  /** @param run - began at an endpoint */
+  /** @param run - run that has started on an endpoint */
   recordRun (run: RunLine): void {
     this.#runs.set(run.requestId, [...this.runs(run.requestId), run])
     for (const check of this.checks) {
@@ -79,7 +79,7 @@
     }
   }
 
-  /** @param rejection - of an endpoint that asks for a pause */
+  /** @param rejection - rejection by an endpoint that asks for a pause */
   recordRejection (rejection: RejectionLine): void {
     for (const check of this.checks) {
       const detail = check.onRejection?.(rejection, this)
@@ -87,14 +87,14 @@
     }
   }
 
-  /** @param outcome - a request's end */
+  /** @param outcome - request that has ended, and how */
   recordOutcome (outcome: Outcome): void {
     const { id } = outcome.request
     this.#outcomes.set(id, outcome)
     this.#settling.set(id, setTimeout(() => { this.#settle(outcome) }, SETTLE_DELAY_MS))
   }
 
-  /** Asks the checks about all that has ended, at once. */
+  /** Checks all requests that have ended, without waiting for the rest of their delay. */
   settleAll (): void {
     for (const id of [...this.#settling.keys()]) {
       const outcome = this.#outcomes.get(id)
@@ -103,10 +103,10 @@
   }
 
   /**
-   * @param promise - which one is broken
-   * @param detail - how
-   * @param processes - incarnations that had to do with it
-   * @param provokedBy - what the endpoint was asked to do wrong
+   * @param guarantee - guarantee that is broken
+   * @param detail - how it is broken
+   * @param processes - incarnations of the processes that were involved
+   * @param provokedBy - fault that the request asked the endpoint for, if any
    */
   recordViolation (guarantee: GuaranteeName, detail: string, processes: readonly string[], provokedBy?: EndpointBreak): void {
     this.violations.push({ guarantee, detail, at: Date.now(), processes, provokedBy })
--- a/apps/soak/src/lib/SeededRandom.ts
+++ b/apps/soak/src/lib/SeededRandom.ts
@@ -1,30 +1,30 @@
-/** Seeded draws: the same seed gives the same faults and the same work. */
+/** Seeded random numbers: the same seed gives the same faults and the same requests. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** One sequence of draws. */
+/** One sequence of random numbers. */
 export class SeededRandom {
   readonly #generator: ReturnType<typeof xoroshiro128plus>
 
-  /** @param seed - whole number */
+  /** @param seed - any integer */
   constructor (seed: number) {
     this.#generator = xoroshiro128plus(seed)
   }
 
-  /** @returns a number from `least` up to, but not including, `most` */
+  /** @returns a number from `min` up to, but not including, `max` */
   between (min: number, max: number): number {
     return min + uniformFloat64(this.#generator) * (max - min)
   }
 
-  /** @returns a whole number from 0 up to, but not including, `count` */
+  /** @returns an integer from 0 up to, but not including, `count` */
   index (count: number): number {
     return Math.floor(this.between(0, count))
   }
 
-  /** @returns one of the items */
+  /** @returns one of the items; throws if there are none */
   pick<Item> (items: readonly Item[]): Item {
     const item = items[this.index(items.length)]
-    if (item === undefined) throw new Error('there is nothing to draw from')
+    if (item === undefined) throw new Error('cannot pick an item from an empty list')
     return item
   }
 }
--- a/apps/soak/src/lib/SoakCluster.ts
+++ b/apps/soak/src/lib/SoakCluster.ts
@@ -1,4 +1,4 @@
-/** All processes of one run: control hosts and endpoints behind proxies, entry hosts as callers reach them. */
+/** All processes of one run: control hosts and endpoints behind proxies, and entry hosts that callers reach directly. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { EndpointListServer } from './EndpointListServer.js'
 import { endpointLineSchema, type RejectionLine, type RunLine } from './standinProtocol.js'
@@ -9,36 +9,36 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** How labels of processes end that have not started again. */
+/** Suffix of the labels of processes that have not been restarted. */
 export const FIRST_INCARNATION = '#1'
 
-/** All processes log, and entry hosts keep each request's story: a seed that failed must be explained from these files. */
+/** All processes log, and entry hosts record the history of each request, because a failed seed must be explained from these files. */
 const LOG_ENVIRONMENT = { ROARR_LOG: 'true', EELGRASSMUX_KEPT_STORIES: '1', EELGRASSMUX_LOG_LINES_PER_SECOND: '5000' }
 
-/** What a run decides about its processes. */
+/** Settings of the processes of one run. */
 export interface ClusterSettings {
   readonly shape: SoakShape
-  /** For logs and data. */
+  /** Folder for logs and data. */
   readonly folder: string
-  /** How long an entry host may live after SIGTERM, in milliseconds. */
+  /** Grace period of entry hosts from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
-  /** Control hosts acknowledge sites that they do not put: a break for the checks. */
+  /** Control hosts acknowledge changes without putting them in force: a break that the checks must detect. */
   readonly isForgetful: boolean
-  /** Endpoints that have started again are listed as cold for a while. */
+  /** Restarted endpoints are listed as cold for a while. */
   readonly hasColdReturns: boolean
-  /** Hosts do not read what endpoints ask of them: a break for the checks. */
+  /** Entry hosts ignore what endpoints ask of them: a break that the checks must detect. */
   readonly isDeaf: boolean
-  /** Told of each rejection at an endpoint that asks for a pause. */
+  /** Called for each rejection by an endpoint that asks for a pause. */
   onRejection (rejection: RejectionLine): void
-  /** Told of each run at an endpoint. */
+  /** Called for each run on an endpoint. */
   onRun (run: RunLine): void
-  /** Told of each process that started. */
+  /** Called for each process that has started. */
   onStart (label: string): void
-  /** Told of each process that ended; the code is null if a signal ended it. */
+  /** Called for each process that has exited; the code is null if a signal ended it. */
   onEnd (label: string, code: number | null): void
 }
 
-/** Starts and ends the processes. */
+/** Starts and stops the processes. */
 export class SoakCluster {
   readonly endpointList = new EndpointListServer()
   readonly controls: ProcessSlot[] = []
@@ -47,10 +47,10 @@
   readonly #controlProxies: LoopbackProxy[] = []
   readonly #endpointProxies: LoopbackProxy[] = []
 
-  /** @param settings - shape and surroundings */
+  /** @param settings - settings of the processes */
   constructor (private readonly settings: ClusterSettings) {}
 
-  /** Starts all of them. */
+  /** Starts all processes: first endpoints and control hosts, then entry hosts. */
   async start (): Promise<void> {
     const { shape } = this.settings
     const listAddress = await this.endpointList.listen()
@@ -72,35 +72,35 @@
     }
   }
 
-  /** @returns the proxy before a process */
+  /** @returns the proxy in front of a process */
   proxy (role: 'control' | 'endpoint', index: number): LoopbackProxy {
     const proxy = (role === 'control' ? this.#controlProxies : this.#endpointProxies)[index]
-    if (proxy === undefined) throw new Error(`no proxy before ${role} ${index}`)
+    if (proxy === undefined) throw new Error(`no proxy in front of ${role} ${index}`)
     return proxy
   }
 
-  /** Ends all links' faults and wakes all processes. */
+  /** Removes the faults of all links and resumes all paused processes. */
   heal (): void {
     for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.setFault(undefined)
     for (const slot of this.#allSlots()) slot.current?.process.signal('SIGCONT')
   }
 
-  /** Ends all processes and proxies. */
+  /** Stops all processes and proxies. */
   async stop (): Promise<void> {
     await Promise.all(this.#allSlots().map(async slot => { await slot.close() }))
     for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.close()
     this.endpointList.close()
-    // Streams of the logs have a turn to end.
+    // Gives the log streams one turn of the event loop to end.
     await sleep(0)
   }
 
-  /** @returns path of the log of an incarnation */
+  /** @returns path of the log file of an incarnation; empty if no slot has that name */
   logFile (label: string): string {
     const slot = this.#allSlots().find(({ name }) => label.startsWith(`${name}#`))
     return slot?.logFile(label) ?? ''
   }
 
-  /** @returns why a process could not be started again, if that happened */
+  /** @returns why a process could not be restarted; undefined if all could */
   failure (): Error | undefined {
     return this.#allSlots().find(slot => slot.failure !== undefined)?.failure
   }
@@ -157,7 +157,7 @@
     return new ProcessSlot({
       name: `entry-${index}`,
       ...this.#commonPlan('entry'),
-      // Its own loopback address tells it from the others while its port is free.
+      // Each entry host has its own loopback address, which identifies it although its port is assigned by the system.
       args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', control.join(','), '--deaf', String(this.settings.isDeaf)],
       environment: { ...LOG_ENVIRONMENT, EELGRASSMUX_STOP_GRACE_SECONDS: String(this.settings.graceMs / MILLISECONDS_PER_SECOND) },
       onStart: incarnation => { this.settings.onStart(incarnation.label) }
@@ -180,7 +180,7 @@
 
   #onEndpointLine (text: string): void {
     const line = endpointLineSchema.safeParse(JSON.parse(text))
-    // The line that says where it listens is read elsewhere.
+    // ManagedProcess reads the other kind of line, which has the address that the process listens on.
     if (!line.success) return
     if (line.data.event === 'run') this.settings.onRun(line.data)
     else if (line.data.event === 'rejected') this.settings.onRejection(line.data)
--- a/apps/soak/src/lib/SoakCodec.ts
+++ b/apps/soak/src/lib/SoakCodec.ts
@@ -1,18 +1,18 @@
-/** Reads and writes the soak's headers on an entry host. */
+/** Reads and writes the headers of the soak on an entry host. */
 import type { AnswerFields, CallerFields, EndpointFields, RequestCodec } from '@eelgrassmux/entry/routed/RequestCodec'
 import { endToEndHeaders } from '@eelgrassmux/entry/routed/headers'
 import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { PromptDescription } from '@eelgrassmux/routing/prompts/promptDescription'
 import { HEADER, headerValue } from './soakHeaders.js'
 
-/** Headers that only the product may set towards an endpoint. */
+/** Headers of requests to endpoints that only the entry host may set. */
 const SET_BY_PRODUCT: ReadonlySet<string> = new Set([
   'content-length', HEADER.key, HEADER.customer, HEADER.deadlineMs, HEADER.lastEvent, HEADER.instance, HEADER.version, HEADER.cacheSalt
 ])
 
-/** {@link RequestCodec} of the soak. */
+/** {@link RequestCodec} for the headers of the soak. */
 export class SoakCodec implements RequestCodec {
-  /** @param isDeaf - does not read what endpoints ask of hosts: a break for the checks */
+  /** @param isDeaf - ignores what endpoints ask of hosts: a break that the checks must detect */
   constructor (private readonly isDeaf = false) {}
 
   readCaller (headers: readonly string[]): CallerFields {
@@ -47,7 +47,7 @@
   }
 }
 
-/** What the endpoint asks of the host. */
+/** Reads what the endpoint asks of the host. */
 function readRequests (headers: readonly string[]): Pick<AnswerFields, 'requestsPerSecond' | 'isLeaving' | 'retryAfterMs'> {
   return {
     requestsPerSecond: readNumber(headerValue(headers, HEADER.rateLimit)),
--- a/apps/soak/src/lib/Timeline.ts
+++ b/apps/soak/src/lib/Timeline.ts
@@ -1,31 +1,31 @@
-/** What the soak did to which process, and when. */
+/** Chronological record of what the soak did to which process. */
 
-/** One act of the soak. */
+/** One action of the soak, or one event of a process. */
 export interface TimelineEntry {
   /** Wall clock, in milliseconds. */
   readonly at: number
-  /** The end of what lasts; the same as `at` for what happens at once. */
+  /** When the action ends; equal to `at` for an action without duration. */
   readonly until: number
-  /** An incarnation such as `entry-0#2`, or all of them: `entry-0`. */
+  /** An incarnation such as `entry-0#2`, or a slot such as `entry-0`, which stands for all its incarnations. */
   readonly process: string
   readonly action: string
-  /** Signal that was sent, if one was. */
+  /** Signal that was sent, if any. */
   readonly signal?: NodeJS.Signals
-  /** Whether the process could not help breaking off what it had under way. */
+  /** Whether the process could not avoid cutting off its requests because of the action. */
   readonly excusesFailures: boolean
 }
 
 /** A planned stop of an incarnation. */
 export interface PlannedStop {
   readonly at: number
-  /** When it is killed if it still runs. */
+  /** When the incarnation is killed if it is still running. */
   readonly killAt: number
 }
 
-/** Added around each disturbance, in milliseconds: what it does to sockets is seen a little later elsewhere. */
+/** Margin before and after each disturbance, in milliseconds: other processes notice its effect on their sockets a little later. */
 const EFFECT_MARGIN_MS = 300
 
-/** Keeps all actionCount in order. */
+/** Records all actions in order. */
 export class Timeline {
   readonly #entries: TimelineEntry[] = []
   readonly #stops = new Map<string, PlannedStop>()
@@ -33,10 +33,12 @@
   get entries (): readonly TimelineEntry[] { return this.#entries }
 
   /**
-   * @param process - incarnation, or slot for all of its incarnations
-   * @param act - what was done
-   * @param excusesFailures - whether answers may break off because of it
-   * @param durationMs - how long it lasts
+   * Records an action.
+   *
+   * @param process - an incarnation, or a slot for all of its incarnations
+   * @param action - description of the action
+   * @param excusesFailures - whether answers may be cut off because of the action
+   * @param durationMs - how long the action lasts
    */
   record (process: string, action: string, excusesFailures: boolean, durationMs = 0): void {
     const at = Date.now()
@@ -44,23 +46,27 @@
   }
 
   /**
-   * @param incarnation - which process
-   * @param excusesFailures - whether answers may break off because of it
-   * @param reason - why it is killed, in a few words
+   * Records a SIGKILL.
+   *
+   * @param incarnation - process that is killed
+   * @param excusesFailures - whether answers may be cut off because of the kill
+   * @param reason - why the process is killed, in a few words
    */
   recordKill (incarnation: string, excusesFailures: boolean, reason = ''): void {
     const at = Date.now()
     this.#entries.push({ at, until: at, process: incarnation, action: `SIGKILL ${reason}`.trim(), signal: 'SIGKILL', excusesFailures })
   }
 
-  /** @returns whether an incarnation was killed by the soak */
+  /** @returns whether the soak killed the incarnation */
   wasKilled (incarnation: string): boolean {
     return this.#entries.some(({ process, signal }) => process === incarnation && signal === 'SIGKILL')
   }
 
   /**
-   * @param incarnation - which process
-   * @param graceMs - time until it is killed
+   * Records a SIGTERM.
+   *
+   * @param incarnation - process that is stopped
+   * @param graceMs - time until the process is killed
    */
   recordStop (incarnation: string, graceMs: number): void {
     const at = Date.now()
@@ -68,16 +74,16 @@
     this.#stops.set(incarnation, { at, killAt: at + graceMs })
   }
 
-  /** @returns the planned stop of an incarnation, if there was one */
+  /** @returns the planned stop of the incarnation; undefined if there was none */
   stopOf (incarnation: string): PlannedStop | undefined {
     return this.#stops.get(incarnation)
   }
 
   /**
-   * @param incarnation - which process
-   * @param from - start of the time asked about
-   * @param to - its end
-   * @returns whether an act then excusesFailures broken answers there
+   * @param incarnation - process to look up
+   * @param from - start of the interval
+   * @param to - end of the interval
+   * @returns whether an action in this interval excuses answers that the process cut off
    */
   isExcused (incarnation: string, from: number, to: number): boolean {
     return this.#entries.some(entry => entry.excusesFailures && isOf(entry.process, incarnation) &&
@@ -85,16 +91,16 @@
   }
 
   /**
-   * @param slot - name of a slot, or what the names of several begin with
-   * @param from - start of the time asked about
-   * @param to - its end
-   * @returns whether anything was done to them then, their starts included
+   * @param slot - name of a slot, or common prefix of several names
+   * @param from - start of the interval
+   * @param to - end of the interval
+   * @returns whether any action in this interval concerned these slots, including starts of their processes
    */
   wasDisturbed (slot: string, from: number, to: number): boolean {
     return this.#entries.some(entry => entry.process.startsWith(slot) && entry.at <= to && entry.until >= from)
   }
 
-  /** @returns one line for each act, with seconds since the first */
+  /** @returns one line for each action, with the seconds since the first one */
   describe (): string[] {
     const start = this.#entries[0]?.at ?? 0
     return this.#entries.map(({ at, until, process, action }) => {
--- a/apps/soak/src/lib/WeightsState.ts
+++ b/apps/soak/src/lib/WeightsState.ts
@@ -1,33 +1,33 @@
-/** The weights of an endpoint stand-in: an order waits for the runs under way, then takes the next version. */
+/** The weights of an endpoint stand-in: an order waits until the current runs have ended, then loads the new version. */
 import { setTimeout as sleep } from 'node:timers/promises'
 
-/** Time that loading takes, in milliseconds: short, so that several loads fit into one run of the soak. */
+/** Duration of loading, in milliseconds: short, so that several loads fit into one run of the soak. */
 const LOAD_MS = 300
 
-/** Interval between looks whether the last run has ended, in milliseconds. */
+/** Interval between checks whether the last run has ended, in milliseconds. */
 const POLL_INTERVAL_MS = 10
 
-/** Holds one version and carries out orders. */
+/** Holds one version and executes orders to load another. */
 export class WeightsState {
   #isBusy = false
   #acceptedOrders = 0
 
   /**
-   * @param version - held at the start
-   * @param runs - runs under way, as of now
-   * @param onChange - told of each new version
+   * @param version - version that is loaded at the start
+   * @param runs - returns the current number of runs
+   * @param onChange - called with each version after it is loaded
    */
   constructor (private version: number, private readonly runs: () => number, private readonly onChange: (version: number) => void) {}
 
   get loadedVersion (): number { return this.version }
-  /** Whether new work must wait. */
+  /** Whether an order is in progress, so that new work must be rejected. */
   get isBusy (): boolean { return this.#isBusy }
   get acceptedOrders (): number { return this.#acceptedOrders }
 
   /**
-   * @param version - wanted
-   * @param expectedOrders - orders that were accepted before this one
-   * @returns an HTTP status: 202 if it was accepted, 200 if it is held already, 409 if another order came first
+   * @param version - version to load
+   * @param expectedOrders - number of orders that the sender believes were accepted before this one
+   * @returns an HTTP status: 202 if the order is accepted, 200 if this version or a newer one is already loaded, 409 if an order is in progress or another order was accepted first
    */
   order (version: number, expectedOrders: number): 200 | 202 | 409 {
     if (version <= this.version) return 200
--- a/apps/soak/src/lib/checks/AtMostOnceCheck.ts
+++ b/apps/soak/src/lib/checks/AtMostOnceCheck.ts
@@ -1,9 +1,9 @@
-/** A request that is not idempotent runs once at most, over all endpoints. */
+/** A request that is not idempotent runs at most once across all endpoints. */
 import type { RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import { AT_MOST_ONCE_KINDS } from '../observations.js'
 
-/** {@link RequestCheck} of repeated runs. */
+/** {@link RequestCheck} that reports repeated runs of such a request. */
 export class AtMostOnceCheck implements RequestCheck {
   readonly guarantee = 'at-most-once'
 
@@ -11,6 +11,6 @@
     const kind = view.request(run.requestId)?.kind
     if (kind === undefined || !AT_MOST_ONCE_KINDS.has(kind)) return undefined
     const runs = view.runs(run.requestId)
-    return runs.length > 1 ? `ran ${runs.length} times, at ${runs.map(({ endpoint }) => endpoint).join(', ')}` : undefined
+    return runs.length > 1 ? `ran ${runs.length} times, on ${runs.map(({ endpoint }) => endpoint).join(', ')}` : undefined
   }
 }
--- a/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
@@ -1,4 +1,4 @@
-/** An endpoint that has just started again gets few requests a second from all hosts together. */
+/** All hosts together keep the request rate of a restarted endpoint low while it is cold. */
 import type { RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import { FIRST_INCARNATION } from '../SoakCluster.js'
@@ -6,15 +6,15 @@
 
 const WINDOW_MS = 1000
 
-/** Most requests in a second: half as much again as the rate, and some. */
+/** Maximum number of requests in the window: 1.5 times the cold rate, plus 5. */
 const MAX_IN_WINDOW = 1.5 * COLD_REQUESTS_PER_SECOND + 5
 
-/** {@link RequestCheck} of endpoints that come back cold. */
+/** {@link RequestCheck} of the request rate of cold endpoints. */
 export class ColdRatesAreKeptCheck implements RequestCheck {
   readonly guarantee = 'cold-rates-are-kept'
   readonly #arrivals = new Map<string, number[]>()
 
-  /** @param isOn - whether endpoints come back cold in this run */
+  /** @param isOn - whether restarted endpoints are listed as cold in this run */
   constructor (private readonly isOn: boolean) {}
 
   onRun ({ endpoint, at }: RunLine, { timeline }: HistoryView): string | undefined {
@@ -23,6 +23,6 @@
     if (at > startedAt + COLD_DURATION_MS || timeline.isExcused(endpoint, startedAt, at)) return undefined
     const arrivals = [...(this.#arrivals.get(endpoint) ?? []).filter(earlier => earlier > at - WINDOW_MS), at]
     this.#arrivals.set(endpoint, arrivals)
-    return arrivals.length > MAX_IN_WINDOW ? `${endpoint} was cold and got ${arrivals.length} requests in ${WINDOW_MS} ms` : undefined
+    return arrivals.length > MAX_IN_WINDOW ? `${endpoint} was cold and received ${arrivals.length} requests in ${WINDOW_MS} ms` : undefined
   }
 }
--- a/apps/soak/src/lib/checks/ConfigurationCheck.ts
+++ b/apps/soak/src/lib/checks/ConfigurationCheck.ts
@@ -1,13 +1,13 @@
-/** A site that was acknowledged is never lost, and no reader or host goes back behind one. */
+/** An acknowledged site is never lost, and no reader or host reverts to a version older than an acknowledged one. */
 import type { RequestHistory } from '../RequestHistory.js'
 
-/** How long a host may act on a confirmed configuration, in milliseconds: the product's default, with room for the two clocks. */
+/** How long a host may act on a confirmed configuration, in milliseconds: the default freshness of 3000 ms, plus 200 ms for the difference between two clocks. */
 const FRESHNESS_MS = 3000 + 200
 
 const OK = 200
 const NOT_FOUND = 404
 
-/** A site as an operator read it. */
+/** Result of reading the site from a control host. */
 export interface SiteRead {
   readonly control: string
   readonly startedAt: number
@@ -15,7 +15,7 @@
   readonly source: string
 }
 
-/** A caller's question whether a host knows a site version. */
+/** Result of a caller's request to the route that a site version adds, which shows whether the host knows that version. */
 export interface SiteProbe {
   readonly host: string
   readonly version: number
@@ -26,48 +26,48 @@
 
 interface Acknowledgement { readonly version: number, readonly at: number }
 
-/** Follows what operators were told and what readers and callers see. */
+/** Compares the sites that were acknowledged to the operator with the versions that control hosts and entry hosts return. */
 export class ConfigurationCheck {
   readonly #sources = new Map<number, string>()
   readonly #acknowledged: Acknowledgement[] = []
   readonly #seen = new Map<string, Acknowledgement[]>()
 
-  /** @param history - takes what is wrong */
+  /** @param history - records the violations */
   constructor (private readonly history: RequestHistory) {}
 
-  /** The newest acknowledged version. */
+  /** The newest acknowledged version; 0 if there is none. */
   get newest (): number { return this.acknowledgedBefore(Number.POSITIVE_INFINITY) }
 
-  /** @returns the newest version that was acknowledged before a time */
+  /** @returns the newest version that was acknowledged before the given time; 0 if there is none */
   acknowledgedBefore (time: number): number {
     return newestBefore(this.#acknowledged, time)
   }
 
-  /** A site is about to be sent. */
+  /** Records the source of a site version; called before the site is sent. */
   recordSent (version: number, source: string): void {
     this.#sources.set(version, source)
   }
 
-  /** An operator was told that a site is accepted. */
+  /** Records that a control host acknowledged a site version to the operator. */
   recordAcknowledgement (version: number): void {
     this.#acknowledged.push({ version, at: Date.now() })
   }
 
-  /** @param reading - what a control host said */
+  /** @param read - what a control host returned */
   recordRead ({ control, startedAt, version, source }: SiteRead): void {
     const newestAcknowledged = this.acknowledgedBefore(startedAt)
-    if (version < newestAcknowledged) this.#recordViolation(`reads version ${version} after ${newestAcknowledged} was acknowledged`, control)
-    else if (source !== this.#sources.get(version)) this.#recordViolation(`version ${version} is not what was sent`, control)
+    if (version < newestAcknowledged) this.#recordViolation(`returned version ${version} after version ${newestAcknowledged} was acknowledged`, control)
+    else if (source !== this.#sources.get(version)) this.#recordViolation(`returned a version ${version} that differs from the one that was sent`, control)
   }
 
-  /** @param probe - what a host answered a caller */
+  /** @param probe - how an entry host answered a caller */
   recordProbe ({ host, version, sentAt, endedAt, status }: SiteProbe): void {
     const seen = this.#seen.get(host) ?? []
     this.#seen.set(host, seen)
     if (status === OK) seen.push({ version, at: endedAt })
     if (status !== NOT_FOUND) return
-    if (newestBefore(seen, sentAt) >= version) this.#recordViolation(`does not know version ${version} any more`, host)
-    if (this.acknowledgedBefore(sentAt - FRESHNESS_MS) >= version) this.#recordViolation(`acts without version ${version}, acknowledged over ${FRESHNESS_MS} ms before`, host)
+    if (newestBefore(seen, sentAt) >= version) this.#recordViolation(`no longer knows version ${version}`, host)
+    if (this.acknowledgedBefore(sentAt - FRESHNESS_MS) >= version) this.#recordViolation(`does not know version ${version}, which was acknowledged more than ${FRESHNESS_MS} ms earlier`, host)
   }
 
   #recordViolation (detail: string, process: string): void {
--- a/apps/soak/src/lib/checks/EventsInOrderCheck.ts
+++ b/apps/soak/src/lib/checks/EventsInOrderCheck.ts
@@ -1,16 +1,16 @@
-/** Events of a stream come in order, none missing or doubled, and a stream is complete only with its last. */
+/** The events of a stream arrive in order, without gaps or duplicates, and a stream is complete only after its last event. */
 import type { StreamEvent } from '../standinProtocol.js'
 import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
-/** {@link RequestCheck} of streams. */
+/** {@link RequestCheck} of the events of streams. */
 export class EventsInOrderCheck implements RequestCheck {
   readonly guarantee = 'events-in-order'
 
   onOutcome ({ request, end }: Outcome): string | undefined {
     if (request.work.kind !== 'stream') return undefined
     const wrong = end.events.findIndex((event, index) => !isNext(event, index, request.id))
-    if (wrong >= 0) return `at place ${wrong + 1} comes ${JSON.stringify(end.events[wrong])}`
+    if (wrong >= 0) return `event ${wrong + 1} is ${JSON.stringify(end.events[wrong])}`
     const isComplete = end.kind === 'answered' && end.status === 200
     if (!isComplete || end.events.length === request.work.events) return undefined
     return `complete after ${end.events.length} of ${request.work.events} events`
--- a/apps/soak/src/lib/checks/LeavingIsHeededCheck.ts
+++ b/apps/soak/src/lib/checks/LeavingIsHeededCheck.ts
@@ -1,14 +1,14 @@
-/** An endpoint that has said in an answer that it is leaving gets nothing more from the host that got the answer. */
+/** A host sends nothing more to an endpoint that has announced in an answer to this host that it is leaving. */
 import type { RunLine, Work } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 
-/** Time after that answer in which requests may still arrive, in milliseconds. */
+/** How long after that answer requests of the host may still arrive, in milliseconds. */
 const DRAIN_MS = 1000
 
-/** {@link RequestCheck} of endpoints that leave. */
+/** {@link RequestCheck} that reports requests to endpoints that are leaving. */
 export class LeavingIsHeededCheck implements RequestCheck {
   readonly guarantee = 'leaving-is-heeded'
-  /** When the first answer that says so has begun, by endpoint and host. */
+  /** Time of the head of the first answer with the announcement, by endpoint and host. */
   readonly #announcedAt = new Map<string, number>()
 
   onRun (run: RunLine, view: HistoryView): string | undefined {
@@ -20,13 +20,13 @@
     if (announcedAt === undefined || run.at <= announcedAt + DRAIN_MS) return undefined
     const { timeline } = view
     if (timeline.isExcused(request.host, announcedAt, run.at) || timeline.isExcused(run.endpoint, announcedAt, run.at)) return undefined
-    return `${run.endpoint} had said to ${request.host} that it is leaving ${run.at - announcedAt} ms before`
+    return `${run.endpoint} had announced to ${request.host} ${run.at - announcedAt} ms earlier that it is leaving`
   }
 }
 
 /**
- * @param work - of a run
- * @returns milliseconds until the head of its answer
+ * @param work - what a run is to do
+ * @returns delay from the start of the run to the head of its answer, in milliseconds
  */
 export function responseHeadDelayMs (work: Work): number {
   return work.kind === 'plain' ? work.milliseconds : 0
--- a/apps/soak/src/lib/checks/NotRunIsTrueCheck.ts
+++ b/apps/soak/src/lib/checks/NotRunIsTrueCheck.ts
@@ -1,12 +1,12 @@
-/** A status that says that the request has not run is true, also later. */
+/** A request that was answered with a status that means "not run" has not run, and does not run later either. */
 import type { RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
-/** Statuses that callers take for that promise. */
+/** Statuses that callers interpret as "not run". */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
-/** {@link RequestCheck} of refusals. */
+/** {@link RequestCheck} that reports runs of refused requests. */
 export class NotRunIsTrueCheck implements RequestCheck {
   readonly guarantee = 'not-run-is-true'
 
@@ -22,5 +22,5 @@
 
 function describeViolation ({ end }: Outcome, runs: readonly RunLine[]): string | undefined {
   if (end.kind !== 'answered' || !NOT_RUN_STATUSES.has(end.status) || runs.length === 0) return undefined
-  return `status ${end.status}, but it ran at ${runs.map(({ endpoint }) => endpoint).join(', ')}`
+  return `status ${end.status}, but the request ran on ${runs.map(({ endpoint }) => endpoint).join(', ')}`
 }
--- a/apps/soak/src/lib/checks/NothingIsCutCheck.ts
+++ b/apps/soak/src/lib/checks/NothingIsCutCheck.ts
@@ -1,18 +1,18 @@
 /**
- * A request that a host has read and passed on is not cut, but for faults that the
- * host could not foresee: its own, its endpoint's, or of the link between them. A
- * planned stop is no such fault.
+ * The answer to a request that a host has forwarded is not cut off, except by a fault
+ * that the host could not foresee: of the host itself, of the endpoint or of the link
+ * between them. A planned stop is not such a fault.
  */
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
-/** A request that was sent up to here after SIGTERM may find the host still taking work, in milliseconds. */
+/** How long after SIGTERM a host may still accept requests, in milliseconds. */
 const ACCEPTING_AFTER_STOP_MS = 3000
 
-/** An endpoint that is still at work in this last part of the grace time is not waited for. */
+/** Last share of the grace period, in which a host no longer waits for endpoints that are still working. */
 const GRACE_RESERVE_SHARE = 1 / 6
 
-/** {@link RequestCheck} of broken answers. */
+/** {@link RequestCheck} that reports answers that were cut off. */
 export class NothingIsCutCheck implements RequestCheck {
   readonly guarantee = 'nothing-is-cut'
 
@@ -24,14 +24,14 @@
     const stop = timeline.stopOf(request.host)
     if (runs.some(({ endpoint }) => timeline.isExcused(endpoint, request.sentAt, endedAt))) return undefined
     if (timeline.isExcused(request.host, request.sentAt, endedAt) || outlastsGrace(outcome, view)) return undefined
-    // A host that was paused when its SIGTERM was sent can't know how much of its grace time is gone.
+    // A host that was paused when SIGTERM was sent cannot know how much of its grace period has passed.
     if (stop !== undefined && timeline.isExcused(request.host, stop.at, stop.at)) return undefined
-    const when = stop === undefined ? '' : `, sent ${request.sentAt - stop.at} ms after SIGTERM, cut ${endedAt - stop.at} ms after it`
-    return `${request.kind} was cut at ${request.host} after ${endedAt - request.sentAt} ms (${end.reason})${when}`
+    const when = stop === undefined ? '' : `, sent ${request.sentAt - stop.at} ms and cut off ${endedAt - stop.at} ms after SIGTERM`
+    return `${request.kind} was cut off by ${request.host} after ${endedAt - request.sentAt} ms (${end.reason})${when}`
   }
 }
 
-/** The request came while hosts still take work, and its endpoint needed more than the grace time. */
+/** @returns whether the request was sent while the host still accepted work, and its endpoint needed longer than the grace period */
 function outlastsGrace ({ request, endedAt }: Outcome, view: HistoryView): boolean {
   const stop = view.timeline.stopOf(request.host)
   if (stop === undefined || request.sentAt > stop.at + ACCEPTING_AFTER_STOP_MS) return false
--- a/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
+++ b/apps/soak/src/lib/checks/OneWeightVersionCheck.ts
@@ -1,9 +1,9 @@
-/** One answer comes from one version of the weights, and so does one cache scope. */
+/** All events of an answer come from one version of the weights, and a cache scope is used with one version only. */
 import type { RunLine } from '../standinProtocol.js'
 import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
-/** {@link RequestCheck} of weights. */
+/** {@link RequestCheck} that reports mixed weight versions. */
 export class OneWeightVersionCheck implements RequestCheck {
   readonly guarantee = 'one-weight-version'
   readonly #versionsBySalt = new Map<string, number>()
@@ -17,6 +17,6 @@
 
   onOutcome ({ end }: Outcome): string | undefined {
     const versions = new Set(end.events.map(event => event.version))
-    return versions.size > 1 ? `one answer of versions ${[...versions].join(' and ')}` : undefined
+    return versions.size > 1 ? `the answer mixes versions ${[...versions].join(' and ')}` : undefined
   }
 }
--- a/apps/soak/src/lib/checks/PausesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/PausesAreKeptCheck.ts
@@ -1,11 +1,11 @@
-/** An endpoint that has rejected a request and asked for a pause gets nothing more from that host until the pause is over. */
+/** A host sends nothing to an endpoint that has rejected one of its requests and asked for a pause until that pause is over. */
 import { REQUESTED_PAUSE_MS, type RejectionLine, type RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 
-/** Time after a rejection in which what is under way may still arrive, in milliseconds. */
+/** How long after a rejection requests that were in transit may still arrive, in milliseconds. */
 const IN_TRANSIT_MS = 500
 
-/** Requests that may come inside a pause all the same. */
+/** Maximum number of requests that are tolerated during a pause. */
 const MAX_DURING_PAUSE = 2
 
 interface Pause {
@@ -13,10 +13,10 @@
   arrivals: number
 }
 
-/** {@link RequestCheck} of pauses. */
+/** {@link RequestCheck} that reports requests during pauses. */
 export class PausesAreKeptCheck implements RequestCheck {
   readonly guarantee = 'pauses-are-kept'
-  /** The last pause of each endpoint and host. */
+  /** The latest pause, by endpoint and host. */
   readonly #pauses = new Map<string, Pause>()
 
   onRun (run: RunLine, view: HistoryView): string | undefined {
@@ -28,7 +28,7 @@
     const host = view.request(rejection.requestId)?.host
     const key = `${rejection.endpoint} ${host ?? ''}`
     const existing = this.#pauses.get(key)
-    // What crosses the first rejection is rejected as well, and asks for no longer pause of its own here.
+    // Requests that were in transit during the first rejection are rejected as well; their rejections don't extend the pause.
     if (existing === undefined || rejection.at > existing.from + REQUESTED_PAUSE_MS) this.#pauses.set(key, { from: rejection.at, arrivals: 0 })
     return detail
   }
@@ -40,6 +40,6 @@
     const { timeline } = view
     if (timeline.isExcused(host, pause.from, at) || timeline.isExcused(endpoint, pause.from, at)) return undefined
     pause.arrivals += 1
-    return pause.arrivals > MAX_DURING_PAUSE ? `${endpoint} had asked ${host} for a pause ${at - pause.from} ms before, and got ${pause.arrivals} requests in it` : undefined
+    return pause.arrivals > MAX_DURING_PAUSE ? `${endpoint} had asked ${host} for a pause ${at - pause.from} ms earlier and received ${pause.arrivals} requests during it` : undefined
   }
 }
--- a/apps/soak/src/lib/checks/PoisonRequestsStopCheck.ts
+++ b/apps/soak/src/lib/checks/PoisonRequestsStopCheck.ts
@@ -1,19 +1,19 @@
 /**
- * A request that crashes the endpoints that run it stops being sent: once three have ended
- * with it and hosts have had a moment to hear of it, it reaches three more at most,
- * whichever hosts are asked and however often.
+ * Hosts stop sending a request that crashes the endpoints that run it: after it has crashed
+ * three endpoints and the hosts have had time to learn of this, it runs at most three more
+ * times, no matter how often it is sent and to which hosts.
  */
 import type { RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import type { SentRequest } from '../observations.js'
 
-/** Ends after which the request must be known for what it does. */
+/** Number of crashes after which the hosts must know that the request causes them. */
 const KNOWN_AFTER_CRASHES = 3
 
-/** Time that hosts have to hear of it, in milliseconds; also the calm that a process needs to be held to it. */
+/** How long it may take until all hosts know, in milliseconds. Runs within this time of a disturbance of their host or of a control host are not counted. */
 const PROPAGATION_MS = 3000
 
-/** Runs that may still begin after that. */
+/** Maximum number of runs that may start after that time. */
 const MAX_LATE_RUNS = 3
 
 interface CrashRecord {
@@ -21,7 +21,7 @@
   lateRuns: number
 }
 
-/** {@link RequestCheck} of requests that crash endpoints. */
+/** {@link RequestCheck} of requests that crash endpoints, identified by kind, customer and body. */
 export class PoisonRequestsStopCheck implements RequestCheck {
   readonly guarantee = 'poison-requests-stop'
   readonly #crashRecords = new Map<string, CrashRecord>()
@@ -37,7 +37,7 @@
     if (run.at <= knownAt || isExcused(run, request, view)) return undefined
     record.lateRuns += 1
     if (record.lateRuns <= MAX_LATE_RUNS) return undefined
-    return `${request.kind} of ${request.customer} ran ${record.lateRuns} times more after it was known to end endpoints; ${record.crashTimes.length} ended in all`
+    return `${request.kind} of ${request.customer} ran ${record.lateRuns} more times after hosts should have known that it crashes endpoints; ${record.crashTimes.length} crashes in total`
   }
 
   #crashRecordOf ({ kind, customer, body }: SentRequest): CrashRecord {
@@ -50,7 +50,7 @@
   }
 }
 
-/** Control hosts that were just disturbed can't tell hosts anything, and a host that was can't have heard. */
+/** Control hosts that were just disturbed cannot inform hosts, and a host that was just disturbed may not have been informed. */
 function isExcused ({ at }: RunLine, { host }: SentRequest, { timeline }: HistoryView): boolean {
   const slot = host.split('#')[0] ?? host
   return timeline.wasDisturbed('control-', at - PROPAGATION_MS, at) || timeline.wasDisturbed(slot, at - PROPAGATION_MS, at)
--- a/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/RatesAreKeptCheck.ts
@@ -1,28 +1,28 @@
-/** An endpoint that names a rate gets no more from all hosts that were informed, once they have had time to agree on it. */
+/** All hosts that know the rate limit of an endpoint keep it together, once they have had time to agree on their shares. */
 import { REQUESTED_RATE_PER_SECOND, type RunLine } from '../standinProtocol.js'
 import type { HistoryView, RequestCheck } from '../RequestHistory.js'
 import { responseHeadDelayMs } from './LeavingIsHeededCheck.js'
 
 const WINDOW_MS = 4000
 
-/** Most requests in a window: half as much again as what is named, and some. */
+/** Maximum number of requests in a window: 1.5 times the requested rate, plus 5. */
 const MAX_IN_WINDOW = 1.5 * REQUESTED_RATE_PER_SECOND * WINDOW_MS / 1000 + 5
 
-/** Time after the first answer that names the rate in which hosts may exceed it, in milliseconds. */
+/** How long after the first answer with the rate limit hosts may exceed it, in milliseconds. */
 const AGREEMENT_MS = 3000
 
-/** Time after which a host that got such an answer counts as informed, in milliseconds. */
+/** Time after which a host that received such an answer counts as informed, in milliseconds. */
 const INFORMED_MS = 500
 
 interface RateLimit {
   readonly since: number
-  /** When each host was informed. */
+  /** Time from which each host counts as informed. */
   readonly informedAt: Map<string, number>
-  /** Times of requests of hosts that were informed. */
+  /** Arrival times of requests of informed hosts in the current window. */
   arrivals: number[]
 }
 
-/** {@link RequestCheck} of rates. */
+/** {@link RequestCheck} of the request rate of endpoints that ask for a limit. */
 export class RatesAreKeptCheck implements RequestCheck {
   readonly guarantee = 'rates-are-kept'
   readonly #rateLimits = new Map<string, RateLimit>()
@@ -42,7 +42,7 @@
     const counts = informedAt !== undefined && run.at >= informedAt && run.at > rateLimit.since + AGREEMENT_MS && !isExcused(run, host, rateLimit.since, view)
     if (!counts) return undefined
     rateLimit.arrivals = [...rateLimit.arrivals.filter(at => at > run.at - WINDOW_MS), run.at]
-    return rateLimit.arrivals.length > MAX_IN_WINDOW ? `${run.endpoint} had named ${REQUESTED_RATE_PER_SECOND} requests a second and got ${rateLimit.arrivals.length} in ${WINDOW_MS} ms` : undefined
+    return rateLimit.arrivals.length > MAX_IN_WINDOW ? `${run.endpoint} had asked for at most ${REQUESTED_RATE_PER_SECOND} requests per second and received ${rateLimit.arrivals.length} in ${WINDOW_MS} ms` : undefined
   }
 }
 
--- a/apps/soak/src/lib/checks/WholeAnswersCheck.ts
+++ b/apps/soak/src/lib/checks/WholeAnswersCheck.ts
@@ -1,22 +1,22 @@
-/** An answer is whole and belongs to its request. */
+/** An answer is complete and belongs to its request. */
 import { plainAnswerSchema } from '../standinProtocol.js'
 import type { RequestCheck } from '../RequestHistory.js'
 import type { Outcome } from '../observations.js'
 
 const OK = 200
 
-/** {@link RequestCheck} of plain answers. */
+/** {@link RequestCheck} of request ids and plain bodies. */
 export class WholeAnswersCheck implements RequestCheck {
   readonly guarantee = 'whole-answers'
 
   onOutcome ({ request, end }: Outcome): string | undefined {
     if (end.kind !== 'answered' || end.status !== OK) return undefined
-    if (end.answerId !== request.id) return `the answer bears the id ${end.answerId ?? 'of nothing'}`
+    if (end.answerId !== request.id) return `the answer has the request id ${end.answerId ?? '(none)'}`
     if (request.work.kind !== 'plain') return undefined
     const answer = parseAnswer(end.body)
-    if (answer === undefined) return `the body is not whole: ${end.body.slice(0, 100)}`
+    if (answer === undefined) return `the body is incomplete: ${end.body.slice(0, 100)}`
     if (answer.requestId !== request.id) return `the body belongs to ${answer.requestId}`
-    return answer.echo === request.body ? undefined : 'the body that the endpoint got is not the one that was sent'
+    return answer.echo === request.body ? undefined : 'the body that the endpoint received differs from the one that was sent'
   }
 }
 
@@ -24,7 +24,7 @@
   try {
     return plainAnswerSchema.safeParse(JSON.parse(body)).data
   } catch {
-    // Not JSON: an answer that was cut off.
+    // An answer that was cut off is not valid JSON.
     return undefined
   }
 }
--- a/apps/soak/src/lib/checks/requestChecks.test.ts
+++ b/apps/soak/src/lib/checks/requestChecks.test.ts
@@ -21,7 +21,7 @@
   }
 }
 
-describe('the checks of requests', () => {
+describe('requestChecks', () => {
   const timeline = (): Timeline => new Timeline()
 
   function broken (requests: readonly SentRequest[], runs: readonly RunLine[], line = timeline(), end?: CallerEnd, endedAt = Date.now()): GuaranteeName[] {
@@ -34,29 +34,29 @@
     return history.violations.map(({ guarantee }) => guarantee)
   }
 
-  describe('customers apart', () => {
+  describe('CustomersApartCheck', () => {
     const both = [asked(), asked({ id: 'r2', customer: 'clinic' })]
 
-    it('takes runs of different cache scopes', () => {
+    it('accepts runs with different cache scopes', () => {
       expect(broken(both, [ran({ cacheSalt: 'a' }), ran({ requestId: 'r2', customer: 'clinic', cacheSalt: 'b' })])).toEqual([])
     })
 
-    it('finds a cache scope that an isolated customer shares', () => {
+    it('reports a cache scope that an isolated customer shares', () => {
       expect(broken(both, [ran({ cacheSalt: 'a' }), ran({ requestId: 'r2', customer: 'clinic', cacheSalt: 'a' })])).toEqual(['customers-apart'])
     })
 
-    it('finds a key that was passed on, and a run that nobody asked for', () => {
+    it('reports a key that was passed on, and a run that no caller requested', () => {
       expect(broken(both, [ran({ hasKey: true }), ran({ requestId: 'r3' })])).toEqual(['customers-apart', 'customers-apart'])
     })
   })
 
-  describe('one weight version', () => {
-    it('finds a cache scope of two versions', () => {
+  describe('OneWeightVersionCheck', () => {
+    it('reports a cache scope that is used with two versions', () => {
       expect(broken([asked()], [ran({ cacheSalt: 'a' }), ran({ cacheSalt: 'a', version: 2 })])).toEqual(['one-weight-version'])
     })
   })
 
-  describe('few endpoints end', () => {
+  describe('PoisonRequestsStopCheck', () => {
     const poison = (id: string): SentRequest => asked({ id, kind: 'unsafe', work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })
     const times = [0, 400, 800, 4000, 4500, 5000, 5500]
 
@@ -65,35 +65,35 @@
       return broken(ids.map(poison), ids.map((requestId, index) => ran({ requestId, endpoint: `endpoint-0#${index}`, at: from + (times[index] ?? 0) })), line)
     }
 
-    it('takes three more runs once the request is known', () => {
+    it('accepts three runs after the hosts know of the crashes', () => {
       expect(poisonRuns(6)).toEqual([])
     })
 
-    it('finds the fourth', () => {
+    it('reports the fourth run', () => {
       expect(poisonRuns(7)).toEqual(['poison-requests-stop'])
     })
 
-    it('leaves out runs right after a disturbance of control hosts', () => {
+    it('ignores runs shortly after a disturbance of control hosts', () => {
       const line = timeline()
       line.recordKill('control-1#1', true)
       expect(poisonRuns(7, line, Date.now() - 3000)).toEqual([])
     })
   })
 
-  describe('bystanders', () => {
+  describe('BystandersAreServedCheck', () => {
     const refused: CallerEnd = { kind: 'answered', status: 503, answerId: undefined, body: '{"type":"urn:eelgrassmux:problem:request-quarantined"}', events: [] }
 
-    it('are not refused for what another request did', () => {
+    it('reports a refused request that crashes no endpoint', () => {
       expect(broken([asked()], [], timeline(), refused)).toEqual(['bystanders-are-served'])
     })
 
-    it('are others than the request that crashes endpoints', () => {
+    it('accepts the refusal of a request that crashes endpoints', () => {
       expect(broken([asked({ work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })], [], timeline(), refused)).toEqual([])
     })
   })
 
-  describe('not run', () => {
-    it('finds a run that begins after the refusal', () => {
+  describe('NotRunIsTrueCheck', () => {
+    it('reports a run that starts after the refusal', () => {
       const history = new RequestHistory(timeline(), requestChecks())
       const request = asked()
       history.recordRequest(request)
@@ -104,22 +104,22 @@
     })
   })
 
-  describe('cuts', () => {
-    it('finds one without a cause', () => {
+  describe('NothingIsCutCheck', () => {
+    it('reports a cut without a cause', () => {
       expect(broken([asked()], [ran()], timeline(), CUT)).toEqual(['nothing-is-cut'])
     })
 
-    it('takes one that was never passed on', () => {
+    it('accepts a cut of a request that was never forwarded', () => {
       expect(broken([asked()], [], timeline(), CUT)).toEqual([])
     })
 
-    it.each(['entry-0#1', 'endpoint-0#1', 'endpoint-0'])('takes one with an unplanned fault of %s', process => {
+    it.each(['entry-0#1', 'endpoint-0#1', 'endpoint-0'])('accepts a cut that an unplanned fault of %s explains', process => {
       const line = timeline()
       line.record(process, 'SIGKILL', true)
       expect(broken([asked()], [ran()], line, CUT)).toEqual([])
     })
 
-    it('finds one whose host was stopped as planned, unless it had no chance to end', () => {
+    it('reports a cut by a host that was stopped as planned, unless the request could not end in the grace period', () => {
       const line = timeline()
       line.recordStop('entry-0#1', 6000)
       const at = line.stopOf('entry-0#1')?.at ?? 0
@@ -128,7 +128,7 @@
       expect(broken([asked({ sentAt: at - 100 })], [ran()], line, CUT, at + 6000)).toEqual([])
     })
 
-    it('takes one whose host was paused when its SIGTERM was sent', () => {
+    it('accepts a cut by a host that was paused when SIGTERM was sent', () => {
       const line = timeline()
       line.record('entry-0#1', 'SIGSTOP', true, 2000)
       line.recordStop('entry-0#1', 6000)
@@ -138,7 +138,7 @@
   })
 })
 
-describe('the check of configurations', () => {
+describe('ConfigurationCheck', () => {
   function check (): { history: RequestHistory, configuration: ConfigurationCheck } {
     const history = new RequestHistory(new Timeline(), [])
     const configuration = new ConfigurationCheck(history)
@@ -150,21 +150,21 @@
 
   const later = (milliseconds: number): number => Date.now() + milliseconds
 
-  it('takes what was acknowledged, and older versions read before', () => {
+  it('accepts acknowledged versions, and older ones that were read before the acknowledgement', () => {
     const { history, configuration } = check()
     configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'two' })
     configuration.recordRead({ control: 'c', startedAt: later(-10_000), version: 1, source: 'one' })
     expect(history.violations).toEqual([])
   })
 
-  it('finds an older version, and another text under the same version', () => {
+  it('reports an older version, and a different source with the same version', () => {
     const { history, configuration } = check()
     configuration.recordRead({ control: 'c', startedAt: later(10), version: 1, source: 'one' })
     configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'other' })
     expect(history.violations).toHaveLength(2)
   })
 
-  it('finds a host that knew a version and knows it no more', () => {
+  it('reports a host that no longer knows a version that it knew before', () => {
     const { history, configuration } = check()
     configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(1), endedAt: later(2), status: 200 })
     configuration.recordProbe({ host: 'entry-0#2', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
@@ -173,7 +173,7 @@
     expect(history.violations).toHaveLength(1)
   })
 
-  it('finds a host that acts on a version for longer than its lease', () => {
+  it('reports a host that does not know a version long after its acknowledgement', () => {
     const { history, configuration } = check()
     configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(10_000), endedAt: later(10_001), status: 404 })
     expect(history.violations).toHaveLength(1)
--- a/apps/soak/src/lib/checks/requestChecks.ts
+++ b/apps/soak/src/lib/checks/requestChecks.ts
@@ -1,4 +1,4 @@
-/** All promises about requests, ready for one run of the soak. */
+/** Creates the checks of requests for one run of the soak. */
 import type { RequestCheck } from '../RequestHistory.js'
 import { AtMostOnceCheck } from './AtMostOnceCheck.js'
 import { BystandersAreServedCheck } from './BystandersAreServedCheck.js'
@@ -15,8 +15,8 @@
 import { WholeAnswersCheck } from './WholeAnswersCheck.js'
 
 /**
- * @param hasColdReturns - whether endpoints come back cold in this run
- * @returns new checks
+ * @param hasColdReturns - whether restarted endpoints are listed as cold in this run
+ * @returns checks without any state yet
  */
 export function requestChecks (hasColdReturns = false): RequestCheck[] {
   return [
--- a/apps/soak/src/lib/faultPlan.ts
+++ b/apps/soak/src/lib/faultPlan.ts
@@ -1,10 +1,10 @@
-/** Draws which faults come when, from a seed alone. */
+/** Plans which faults are injected and when, determined by a seed alone. */
 import { SeededRandom } from './SeededRandom.js'
 import { RESTRAINT_KINDS, type RestraintKind } from './standinProtocol.js'
 import { DATA_CENTRES } from './soakSite.js'
 import { LINK_FAULTS, type LinkFault } from './LoopbackProxy.js'
 
-/** Number of processes of each kind. */
+/** Number of processes of each role. */
 export interface SoakShape {
   readonly controls: number
   readonly entries: number
@@ -14,7 +14,7 @@
 
 export type SlotRole = 'entry' | 'control' | 'endpoint'
 
-/** A fault as planned; times in milliseconds from the start of the faults. */
+/** A planned fault; times are in milliseconds from the start of the fault phase. */
 export type PlannedFault = { readonly atMs: number } & (
   | { readonly kind: 'rolling-stop', readonly gapMs: number }
   | { readonly kind: 'stop' | 'kill', readonly role: SlotRole, readonly slot: number }
@@ -22,46 +22,46 @@
   | { readonly kind: 'link', readonly role: 'control' | 'endpoint', readonly slot: number, readonly fault: LinkFault, readonly durationMs: number }
   | { readonly kind: 'restraint', readonly slot: number, readonly asks: RestraintKind, readonly durationMs: number }
   | { readonly kind: 'evacuation', readonly dataCentre: string, readonly durationMs: number }
-  /** An endpoint is killed and comes back cold. */
+  /** An endpoint is killed, and its next incarnation is listed as cold. */
   | { readonly kind: 'cold-return', readonly slot: number }
   | { readonly kind: 'new-site' | 'new-weights' }
 )
 
-/** Gap between the stops of a rolling stop, in milliseconds: shorter than a stop takes, so that they overlap. */
+/** Delay between the stops of a rolling stop, in milliseconds: shorter than a stop takes, so that the stops overlap. */
 const ROLLING_GAP_MS = 1300
 
-/** Time of the first fault, in milliseconds: all callers are at work by then. */
+/** Time of the first rolling stop, in milliseconds: all callers are sending requests by then. */
 const FIRST_FAULT_MS = 500
 
-/** Bounds of the time between two faults, in milliseconds: several are under way at any time. */
+/** Bounds of the time between two faults, in milliseconds: short enough that several faults overlap at any time. */
 const MIN_GAP_MS = 150
 const MAX_GAP_MS = 1400
 
-/** Bounds of how long a fault lasts, in milliseconds: around the product's leases and timeouts. */
+/** Bounds of the duration of a fault, in milliseconds: shorter and longer than the leases and timeouts of the product. */
 const MIN_DURATION_MS = 200
 const MAX_DURATION_MS = 4500
 
-/** Bounds of how long an endpoint asks hosts for less, in milliseconds: a rate is to be kept in any four seconds. */
+/** Bounds of the duration of a restraint or an evacuation, in milliseconds: rates are checked over windows of four seconds. */
 const MIN_RESTRAINT_MS = 4000
 const MAX_RESTRAINT_MS = 9000
 
 export type FaultKind = PlannedFault['kind']
 
-/** Kinds by how often they come, as the seeds that failed once were drawn from. */
+/** Kinds of faults, repeated according to their frequency. The regression seeds depend on this list. */
 export const FAULT_KINDS: readonly FaultKind[] = [
   'rolling-stop', 'stop', 'stop', 'kill', 'kill', 'pause', 'pause', 'pause', 'link', 'link', 'link', 'link',
   'new-site', 'new-site', 'new-weights', 'new-weights'
 ]
 
-/** The same, and endpoints that ask hosts for less, data centres that are evacuated and endpoints that come back cold. */
+/** All kinds of faults: {@link FAULT_KINDS}, restraints that endpoints ask for, evacuations of data centres, and endpoints that come back cold. */
 export const ALL_FAULT_KINDS: readonly FaultKind[] = [...FAULT_KINDS, 'restraint', 'restraint', 'restraint', 'evacuation', 'cold-return', 'cold-return']
 
 /**
- * @param seed - decides everything
- * @param seconds - how long faults go on
- * @param shape - how many processes there are
- * @param kinds - faults to draw from
- * @returns the faults in order of time; the first is a rolling stop, if such are drawn from
+ * @param seed - determines all faults
+ * @param seconds - duration of the fault phase
+ * @param shape - number of processes of each role
+ * @param kinds - kinds of faults to choose from
+ * @returns the faults in order of time; they include a rolling stop near the start if `kinds` has that kind
  */
 export function planFaults (seed: number, seconds: number, shape: SoakShape, kinds = FAULT_KINDS): PlannedFault[] {
   const random = new SeededRandom(seed)
--- a/apps/soak/src/lib/observations.ts
+++ b/apps/soak/src/lib/observations.ts
@@ -1,24 +1,24 @@
-/** What callers ask and see. Times are milliseconds of the wall clock; all processes share one machine. */
+/** Requests and outcomes as callers observe them. Times are wall-clock milliseconds, which all processes share because they run on one host. */
 import type { StreamEvent, Work } from './standinProtocol.js'
 
-/** Kinds of requests; `generation` is a resumable stream of a model, `probe` asks whether a site version is in force. */
+/** Kinds of requests; `generation` is a resumable stream of a model, `probe` tests whether a site version is in force. */
 export const REQUEST_KINDS = ['safe', 'unsafe', 'stream', 'resumable', 'generation', 'probe'] as const
 export type RequestKind = typeof REQUEST_KINDS[number]
 
-/** Kinds that may run once at most. */
+/** Kinds of requests that may run at most once. */
 export const AT_MOST_ONCE_KINDS: ReadonlySet<RequestKind> = new Set<RequestKind>(['unsafe', 'stream'])
 
-/** A request as its caller made it. */
+/** A request as its caller sent it. */
 export interface SentRequest {
   readonly id: string
   readonly kind: RequestKind
   readonly customer: string
   readonly work: Work
   readonly body: string
-  /** Incarnation of the entry host that was asked. */
+  /** Incarnation of the entry host to which the request was sent. */
   readonly host: string
   readonly sentAt: number
-  /** Site version that a probe asks for; 0 for other kinds. */
+  /** Site version that a probe tests; 0 for other kinds. */
   readonly siteVersion: number
 }
 
@@ -28,7 +28,7 @@
   /** The connection ended before the answer was complete. */
   | { readonly kind: 'cut', readonly hasHead: boolean, readonly reason: string, readonly events: readonly StreamEvent[] }
 
-/** A request with its end. */
+/** A request and how it ended for its caller. */
 export interface Outcome {
   readonly request: SentRequest
   readonly end: CallerEnd
--- a/apps/soak/src/lib/planRepeatedRequests.ts
+++ b/apps/soak/src/lib/planRepeatedRequests.ts
@@ -1,39 +1,39 @@
-/** Draws requests that come again and again with the same customer, path and body. */
+/** Plans requests that are sent repeatedly with the same customer, path and body. */
 import { SeededRandom } from './SeededRandom.js'
 import type { Work } from './standinProtocol.js'
 import type { RequestKind } from './observations.js'
 import { CUSTOMERS } from './soakSite.js'
 
-/** One request that is asked over and over, under a new id each time. */
+/** A request that is sent repeatedly, with a new id each time. */
 export interface RepeatedRequest {
   readonly name: string
   readonly kind: RequestKind
   readonly customer: string
   readonly work: Work
-  /** Pause between an end and the next request, in milliseconds. */
+  /** Pause between the end of one request and the start of the next, in milliseconds. */
   readonly pauseMs: number
 }
 
-/** Tells these draws from those of faults and callers. */
+/** Keeps this random sequence apart from those of the faults and callers. */
 const REPEATED_SEED_OFFSET = 3_000_000
 
 const POISON_KINDS: readonly RequestKind[] = ['safe', 'unsafe', 'stream', 'resumable', 'generation']
 
-/** Bounds of the time that an endpoint lives on with a poison request, in milliseconds. */
+/** Bounds of the time between the start of a poison request and the crash of its endpoint, in milliseconds. */
 const MIN_CRASH_DELAY_MS = 20
 const MAX_CRASH_DELAY_MS = 200
 
-/** Bounds of the pause before it comes again, in milliseconds: as callers press who don't do as they are told. */
+/** Bounds of the pause before a poison request is sent again, in milliseconds: like callers that ignore what refusals ask of them. */
 const MIN_PAUSE_MS = 100
 const MAX_PAUSE_MS = 900
 
-/** Often under way at any endpoint that ends, and as short as it takes to come through now and then. */
+/** Sent so often that it is usually running on any endpoint that crashes, and short enough to succeed now and then. */
 const HARMLESS: RepeatedRequest = { name: 'harmless', kind: 'safe', customer: 'kiosk', work: { kind: 'plain', milliseconds: 60 }, pauseMs: 20 }
 
 /**
- * @param seed - decides everything
- * @param poison - how many of them end the endpoints that run them
- * @returns the poison ones and, if there are any, one that is only often beside them
+ * @param seed - determines all requests
+ * @param poison - number of requests that crash the endpoints that run them
+ * @returns the poison requests and, if there are any, a harmless one that often runs beside them
  */
 export function planRepeatedRequests (seed: number, poison: number): RepeatedRequest[] {
   if (poison === 0) return []
--- a/apps/soak/src/lib/runSoak.ts
+++ b/apps/soak/src/lib/runSoak.ts
@@ -1,4 +1,4 @@
-/** One seeded run: start, faults under load, recovery, and what it found. */
+/** Runs the soak with one seed: starts all processes, injects faults under load, waits for the recovery and collects the violations. */
 import { mkdtemp, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -20,56 +20,56 @@
 import { MODEL } from './soakSite.js'
 import { Timeline } from './Timeline.js'
 
-/** Ways to break a promise on purpose, beyond those of the endpoints. */
+/** Ways to break a guarantee on purpose, in addition to those of the endpoint stand-ins. */
 export const PROCESS_BREAKS = ['abrupt-stop', 'forgetful-control', 'deaf-hosts', 'no-cold-rate'] as const
 export type SoakBreak = EndpointBreak | typeof PROCESS_BREAKS[number]
 
-/** What a run is to do. */
+/** Parameters of a run. */
 export interface SoakPlan {
   readonly seed: number
-  /** How long new faults come. */
+  /** Duration of the fault phase, in seconds. */
   readonly seconds: number
   readonly shape: SoakShape
   readonly callers: number
   /** Time from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
   readonly breaks: readonly SoakBreak[]
-  /** Time in which everything is in order again after the last fault, in milliseconds. */
+  /** Time limit of each step of the recovery after the last fault, in milliseconds; the default is {@link RECOVERY_TIMEOUT_MS}. */
   readonly recoveryMs?: number
-  /** Kinds of faults to draw from. */
+  /** Kinds of faults to choose from. */
   readonly kinds?: readonly FaultKind[]
-  /** Requests that crash each endpoint that runs them and come again and again, beside one that comes as often and ends none; 0 if absent. */
+  /** Number of requests that crash each endpoint that runs them and are sent repeatedly, beside a harmless one; 0 if absent. */
   readonly poisonRequests?: number
 }
 
-/** What a run has shown. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number
   readonly requests: number
-  /** Ends of requests by status, `cut` for those without one. */
+  /** Number of requests by status, and of those that were cut off as `cut`. */
   readonly ends: ReadonlyMap<string, number>
   readonly actionCount: number
   readonly violations: readonly Violation[]
-  /** One line for each act. */
+  /** One line for each action. */
   readonly timeline: readonly string[]
-  /** Logs of the processes that broken promises involve. */
+  /** Log files of the processes that were involved in violations. */
   readonly logFiles: readonly string[]
 }
 
-/** Usual time for the recovery, in milliseconds: far above what the product needs on a busy machine. */
+/** Default time limit of each step of the recovery, in milliseconds: far more than the product needs, even if the processors are busy. */
 const RECOVERY_TIMEOUT_MS = 60_000
 
-/** Tells apart the draws of faults, callers and the operator. */
+/** Offsets that keep the random sequences of the faults, the operator and the callers apart. */
 const OPERATOR_SEED_OFFSET = 500_000
 const CALLER_SEED_OFFSET = 1_000_000
 const REPEATING_SEED_OFFSET = 2_000_000
 
-/** Keeps the draws of repeated requests of two seeds apart. */
+/** Maximum number of repeated requests in a run; keeps the random sequences of repeating callers apart between seeds. */
 const MAX_REPEATED_REQUESTS = 100
 
 /**
- * @param plan - what to do
- * @returns what was seen; the logs stay if a promise was broken
+ * @param plan - parameters of the run
+ * @returns the result; the log files are kept if a guarantee was broken
  */
 export async function runSoak (plan: SoakPlan): Promise<SoakResult> {
   const run = new SoakRun(plan, await mkdtemp(join(tmpdir(), `eelgrassmux-soak-${plan.seed}-`)))
@@ -136,13 +136,13 @@
   }
 
   #recordProcessEnd (label: string, code: number | null): void {
-    this.#timeline.record(label, `ended with ${code ?? 'a signal'}`, false)
+    this.#timeline.record(label, `exited with ${code ?? 'a signal'}`, false)
     if (code === CRASHED_BY_REQUEST_EXIT_CODE) {
-      this.#timeline.record(label, 'ended by a request', true)
+      this.#timeline.record(label, 'crashed by a request', true)
       return
     }
     const isExpected = code === null ? this.#timeline.wasKilled(label) : code === 0 && this.#timeline.stopOf(label) !== undefined
-    if (!isExpected) this.#history.recordViolation('ends-when-told', `${label} ended with ${code ?? 'a signal that nobody sent'}`, [label])
+    if (!isExpected) this.#history.recordViolation('ends-when-told', `${label} exited with ${code ?? 'a signal that the soak did not send'}`, [label])
   }
 
   async #injectFaults (): Promise<void> {
@@ -152,7 +152,7 @@
     const injector = new FaultInjector(this.#cluster, this.#operator, this.#timeline, this.#evacuations, { graceMs, isAbrupt: breaks.includes('abrupt-stop') })
     await injector.run(planFaults(seed, seconds, shape, kinds))
     this.#cluster.heal()
-    this.#timeline.record('soak', 'the last fault is over', false)
+    this.#timeline.record('soak', 'the last fault has ended', false)
     for (const caller of this.#callers) caller.stop()
     this.#operator.stop()
     await Promise.all([calling, reading])
@@ -171,7 +171,7 @@
     try {
       await until(condition, this.plan.recoveryMs ?? RECOVERY_TIMEOUT_MS)
     } catch (error) {
-      this.#history.recordViolation('recovers', `not so: ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
+      this.#history.recordViolation('recovers', `timed out waiting until ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
     }
   }
 
--- a/apps/soak/src/lib/sendRequest.ts
+++ b/apps/soak/src/lib/sendRequest.ts
@@ -1,24 +1,24 @@
-/** Sends one request on a caller's connection and reads what comes. */
+/** Sends one request on the connection of a caller and reads the answer. */
 import { request, type Agent, type IncomingMessage } from 'node:http'
 import { eventSchema, type StreamEvent } from './standinProtocol.js'
 import type { SentRequest, CallerEnd } from './observations.js'
 import { HEADER } from './soakHeaders.js'
 import { CUSTOMERS, MODEL, probePath, REQUEST_TIMEOUT_MS, SITE_HOST } from './soakSite.js'
 
-/** Tokens of a prompt, for the product's estimates. */
+/** Number of tokens of each prompt, which entry hosts use for their estimates. */
 const PROMPT_TOKENS = 200
 
-/** How an exchange ended, and whether its connection may be used again. */
+/** How an exchange ended, and whether its connection can be reused. */
 export interface Exchange {
   readonly end: CallerEnd
   readonly isReusable: boolean
 }
 
 /**
- * @param callerRequest - what to send
- * @param address - of the entry host
- * @param agent - holds the caller's one connection
- * @returns the end; never rejects
+ * @param callerRequest - request to send
+ * @param address - address of the entry host
+ * @param agent - agent with the connection of the caller
+ * @returns how the exchange ended; never rejects
  */
 export async function sendRequest (callerRequest: SentRequest, address: string, agent: Agent): Promise<Exchange> {
   const [host, port] = address.split(':')
@@ -34,7 +34,7 @@
         if (!response.complete) return
         resolve({ end: answered(callerRequest, response, text), isReusable: response.headers.connection !== 'close' })
       })
-      response.on('close', () => { cut('closed inside the answer', true) })
+      response.on('close', () => { cut('connection closed before the end of the answer', true) })
     })
     httpRequest.on('error', error => { cut(error.message, false) })
     httpRequest.end(callerRequest.body)
@@ -63,7 +63,7 @@
   }
 }
 
-/** Whole events only: an event that was cut inside is none. */
+/** Returns complete events only; an event that was cut off is left out. */
 function readEvents (callerRequest: SentRequest, text: string): StreamEvent[] {
   if (callerRequest.work.kind !== 'stream') return []
   return text.split('\n\n').slice(0, -1).flatMap(event => {
--- a/apps/soak/src/lib/serveOperatorApi.ts
+++ b/apps/soak/src/lib/serveOperatorApi.ts
@@ -1,4 +1,4 @@
-/** What the soak's operator calls on a control host. */
+/** HTTP interface of a control host for the operator of the soak. */
 import { H3, serve } from 'h3'
 import { z } from 'zod'
 import type { OperatorApi } from '@eelgrassmux/control/ControlDaemon'
@@ -13,18 +13,18 @@
 const UNAVAILABLE = 503
 
 /**
- * Opens the operator's interface on a free port.
+ * Serves the operator interface on a free port.
  *
- * @param host - IP number
- * @param sites - what it leads to
- * @param isForgetful - acknowledge sites and weights without putting them in force
+ * @param host - IP address to listen on
+ * @param sites - service that executes the requests
+ * @param isForgetful - acknowledges changes without putting them in force
  */
 export async function serveOperatorApi (host: string, sites: SiteService, isForgetful: boolean): Promise<OperatorApi> {
   const app = new H3()
   app.put('/site', async event => {
     const source = new Uint8Array(await event.req.arrayBuffer())
     const site = siteSchema.parse(JSON.parse(Buffer.from(source).toString()))
-    // The first site is put all the same: without one nothing is served at all.
+    // The first site is always stored, because hosts serve nothing without a site.
     if (isForgetful && site.version > 1) return status(OK)
     return status((await sites.putSite(site, source)).kind === 'applied' ? OK : UNAVAILABLE)
   })
--- a/apps/soak/src/lib/soakHeaders.ts
+++ b/apps/soak/src/lib/soakHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers of the soak's requests and answers: the smallest words that carry what the product needs. */
+/** Headers of the requests and answers in the soak: a minimal set that carries the fields that the product needs. */
 
 export const HEADER = {
   requestId: 'request-id',
@@ -6,29 +6,29 @@
   customer: 'customer',
   deadlineMs: 'deadline-ms',
   lastEvent: 'last-event-id',
-  /** Endpoint instance that a request is meant for. */
+  /** Endpoint incarnation that a request is meant for. */
   instance: 'instance',
   answeredBy: 'answered-by',
   notRun: 'not-run',
   model: 'model',
   promptTokens: 'prompt-tokens',
-  /** Version of the weights: the one wanted in a request, the one held in an answer. */
+  /** Version of the weights: in a request the required one, in an answer the loaded one. */
   version: 'version',
   cacheSalt: 'cache-salt',
-  /** Requests a second that the endpoint takes from all hosts together. */
+  /** Number of requests per second that the endpoint accepts from all hosts together. */
   rateLimit: 'rate-limit',
-  /** Of answers: `1` if the endpoint is about to end. */
+  /** In answers: `1` if the endpoint is about to exit. */
   leaving: 'leaving',
-  /** Of rejections: seconds for which the endpoint wants nothing more from that host. */
+  /** In rejections: number of seconds for which the host is to send nothing to the endpoint. */
   retryAfter: 'retry-after',
-  /** What the endpoint stand-in is to do; see {@link workSchema}. */
+  /** What the endpoint stand-in is to do, as JSON; see {@link workSchema}. */
   work: 'work'
 } as const
 
 /**
- * @param headers - names and values by turns
- * @param name - in lower case
- * @returns the first value
+ * @param headers - names and values alternately
+ * @param name - header name in lower case
+ * @returns the first value of the header; undefined if it is absent
  */
 export function headerValue (headers: readonly string[], name: string): string | undefined {
   const at = headers.findIndex((header, index) => index % 2 === 0 && header.toLowerCase() === name)
--- a/apps/soak/src/lib/soakSite.ts
+++ b/apps/soak/src/lib/soakSite.ts
@@ -1,4 +1,4 @@
-/** The sites that the soak puts in force: each version keeps all that earlier ones had and adds one route. */
+/** The sites that the soak puts in force: each version has everything that the previous version has, and one more route. */
 import type { Route, Site, SiteCustomer } from '@eelgrassmux/schema/site/siteSchema'
 
 export const MODEL = 'base'
@@ -6,27 +6,27 @@
 export const PLAIN_SERVICE = 'app'
 export const MODEL_SERVICE = 'engines'
 
-/** Data centres; processes of each role are spread over them in turn. */
+/** Data centres; the processes of each role are assigned to them in rotation. */
 export const DATA_CENTRES = ['hall-north', 'hall-central', 'hall-south'] as const
 
-/** Requests a second that an endpoint takes while it is cold, in runs in which endpoints come back cold. */
+/** Number of requests per second that an endpoint accepts while it is cold, in runs in which restarted endpoints are cold. */
 export const COLD_REQUESTS_PER_SECOND = 4
 
-/** How long it is cold after its start, in milliseconds. */
+/** How long an endpoint is cold after its start, in milliseconds. */
 export const COLD_DURATION_MS = 3000
 
 /**
- * @param index - number of a process in its role
- * @returns where it stands
+ * @param index - index of a process among those of its role
+ * @returns the data centre of the process
  */
 export function dataCentreOf (index: number): string {
   return DATA_CENTRES[index % DATA_CENTRES.length] ?? ''
 }
 
-/** How long a request may take, in milliseconds: longer than any that the callers make, pauses included. */
+/** Timeout of requests, in milliseconds: longer than any request of the callers takes, even if processes are paused meanwhile. */
 export const REQUEST_TIMEOUT_MS = 12_000
 
-/** Two customers who share no cache with anybody, and one who may. */
+/** Two isolated customers, which share no cache with others, and one that may share it. */
 export const CUSTOMERS: readonly SiteCustomer[] = [
   { name: 'ward', keys: ['key-of-ward'], isIsolated: true },
   { name: 'clinic', keys: ['key-of-clinic'], isIsolated: true },
@@ -35,16 +35,16 @@
 
 /**
  * @param version - site version, from 1
- * @returns path prefix of the route that comes with it
+ * @returns path prefix of the route that this version adds
  */
 export function probePath (version: number): string {
   return `/since-${version}/`
 }
 
 /**
- * @param version - from 1
- * @param hasColdRate - whether its services state what cold endpoints take
- * @returns the whole site
+ * @param version - site version, from 1
+ * @param hasColdRate - whether the services limit the request rate of cold endpoints
+ * @returns the complete site
  */
 export function soakSite (version: number, hasColdRate = false): Site {
   const coldRate = hasColdRate ? { coldRequestsPerSecond: COLD_REQUESTS_PER_SECOND } : {}
--- a/apps/soak/src/main.ts
+++ b/apps/soak/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: real processes under seeded faults; see docs/PROOFS.md. */
+/** `npm run soak`: runs real processes under seeded faults; see docs/PROOFS.md. */
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { ENDPOINT_BREAKS } from './lib/standinProtocol.js'
 import { ALL_FAULT_KINDS, FAULT_KINDS } from './lib/faultPlan.js'
@@ -7,10 +7,10 @@
 
 const BREAKS: readonly SoakBreak[] = [...ENDPOINT_BREAKS, ...PROCESS_BREAKS]
 
-/** Control hosts: the smallest group that bears the loss of one. */
+/** Number of control hosts: the smallest group that tolerates the loss of one. */
 const CONTROL_HOSTS = 3
 
-/** Broken promises printed of one run. */
+/** Maximum number of violations to print for each run. */
 const MAX_PRINTED_VIOLATIONS = 10
 
 const EXIT_VIOLATIONS = 1
@@ -18,23 +18,23 @@
 
 class SoakCommand extends Command {
   static override paths = [Command.Default]
-  static override usage = Command.Usage({ description: 'run all programs as processes under seeded faults and check every promise' })
+  static override usage = Command.Usage({ description: 'run all programs as processes under seeded faults and check every guarantee' })
   seed = Option.String('--seed', '1', { description: 'first seed' })
-  seconds = Option.String('--seconds', '30', { description: 'how long new faults come in each run' })
-  runs = Option.String('--runs', '1', { description: 'seeds to run, one after another' })
-  entries = Option.String('--entries', '4', { description: 'entry hosts' })
-  endpoints = Option.String('--endpoints', '3', { description: 'plain endpoints, and as many engines' })
-  callers = Option.String('--callers', '32', { description: 'callers with one connection each' })
-  graceMs = Option.String('--grace-ms', '8000', { description: 'time from SIGTERM to SIGKILL, in milliseconds' })
-  kinds = Option.String('--kinds', { description: `faults to draw from, separated by commas: ${[...new Set(ALL_FAULT_KINDS)].join(', ')}` })
-  poison = Option.String('--poison', '1', { description: 'requests of a run that crash each endpoint that runs them and come again' })
-  skipRegressions = Option.Boolean('--skip-regressions', false, { description: 'do not play the seeds that failed once first' })
-  broken = Option.String('--break', { description: `break a promise on purpose: ${BREAKS.join(', ')}` })
+  seconds = Option.String('--seconds', '30', { description: 'duration of the fault phase of each run, in seconds' })
+  runs = Option.String('--runs', '1', { description: 'number of seeds to run, one after another' })
+  entries = Option.String('--entries', '4', { description: 'number of entry hosts' })
+  endpoints = Option.String('--endpoints', '3', { description: 'number of plain endpoints, and of engines' })
+  callers = Option.String('--callers', '32', { description: 'number of callers, with one connection each' })
+  graceMs = Option.String('--grace-ms', '8000', { description: 'grace period from SIGTERM to SIGKILL, in milliseconds' })
+  kinds = Option.String('--kinds', { description: `kinds of faults to choose from, separated by commas: ${[...new Set(ALL_FAULT_KINDS)].join(', ')}` })
+  poison = Option.String('--poison', '1', { description: 'number of requests in each run that crash every endpoint that runs them and are sent repeatedly' })
+  skipRegressions = Option.Boolean('--skip-regressions', false, { description: 'do not run the regression seeds first' })
+  broken = Option.String('--break', { description: `break a guarantee on purpose: ${BREAKS.join(', ')}` })
 
   override async execute (): Promise<number> {
     const broken = BREAKS.find(name => name === this.broken)
     if (this.broken !== undefined && broken === undefined) {
-      this.context.stderr.write(`there is no break ${this.broken}; there are ${BREAKS.join(', ')}\n`)
+      this.context.stderr.write(`unknown break ${this.broken}; known breaks: ${BREAKS.join(', ')}\n`)
       return EXIT_USAGE
     }
     const regressions = this.skipRegressions ? [] : REGRESSION_SEEDS
@@ -47,7 +47,7 @@
       this.#print(result)
       if (result.violations.length > 0) failed += 1
     }
-    this.context.stdout.write(`${regressions.length + fresh.length} runs, ${failed} with a broken guarantee\n`)
+    this.context.stdout.write(`${regressions.length + fresh.length} runs, ${failed} with violations\n`)
     return failed === 0 ? 0 : EXIT_VIOLATIONS
   }
 
@@ -67,10 +67,10 @@
 
   #print ({ seed, requests, ends, actionCount, violations, timeline, logFiles }: SoakResult): void {
     const counts = [...ends].sort().map(([name, count]) => `${name}: ${count}`).join(', ')
-    this.context.stdout.write(`seed ${seed}: ${requests} requests (${counts}), ${actionCount} acts, ${violations.length} broken promises\n`)
+    this.context.stdout.write(`seed ${seed}: ${requests} requests (${counts}), ${actionCount} actions, ${violations.length} violations\n`)
     if (violations.length === 0) return
     for (const { guarantee, detail } of violations.slice(0, MAX_PRINTED_VIOLATIONS)) this.context.stdout.write(`  ${guarantee}: ${detail}\n`)
-    this.context.stdout.write(`  logs: ${logFiles.join(' ')}\n  time line:\n${timeline.map(line => `    ${line}\n`).join('')}`)
+    this.context.stdout.write(`  logs: ${logFiles.join(' ')}\n  timeline:\n${timeline.map(line => `    ${line}\n`).join('')}`)
   }
 }
 
--- a/apps/soak/src/soak.test.ts
+++ b/apps/soak/src/soak.test.ts
@@ -1,11 +1,11 @@
-/** Short seeded runs of the soak, and runs that break each promise on purpose. */
+/** Short seeded runs of the soak, and runs that break each guarantee on purpose. */
 import { describe, expect, it } from 'vitest'
 import { ENDPOINT_BREAKS, type EndpointBreak } from './lib/standinProtocol.js'
 import { FAULT_KINDS, type FaultKind } from './lib/faultPlan.js'
 import type { GuaranteeName } from './lib/RequestHistory.js'
 import { runSoak, type SoakBreak, type SoakResult } from './lib/runSoak.js'
 
-/** Real processes on a machine that may be busy; only a hang gets this far. */
+/** The runs start real processes on processors that may be busy; only a hang takes this long. */
 const TIMEOUT_MS = 240_000
 
 const GUARANTEE_BROKEN_BY: Record<EndpointBreak, GuaranteeName> = {
@@ -45,17 +45,17 @@
   }, TIMEOUT_MS)
 
   /**
-   * Seen: engines ended one after the other, each 70 to 240 ms after the same short request had come to it, through
-   * whichever host it was sent; the one request ended ten of them in 14 s, and each took 5 to 19 others with it.
-   * The same customer, path and body under new ids: no host knew what an earlier attempt had done, since
-   * failures were counted against endpoints only.
+   * Guards against a request that crashes one engine after another. One short request crashed ten engines in 14 s,
+   * each 70 to 240 ms after its arrival and through any host, and each crash cut off 5 to 19 other requests. It was
+   * sent with the same customer, path and body under new ids. No host knew of the earlier attempts, because hosts
+   * counted failures against endpoints only.
    */
   it('stops sending a request that ends every endpoint that runs it, and serves those beside it', async () => {
     const result = await play({ seconds: 12, kinds: ['new-site'], poisonRequests: 1 })
     expect(result.violations, describeRun(result)).toEqual([])
   }, TIMEOUT_MS)
 
-  // Guards against hosts that do not keep to what endpoints ask of them in their answers.
+  // Guards against hosts that ignore what endpoints ask of them in their answers.
   it('keeps pauses and rates that endpoints ask for, and sends nothing to those that say they leave', async () => {
     const result = await play({ seconds: 12, kinds: ['new-site', 'restraint', 'restraint', 'kill'] })
     expect(result.violations, describeRun(result)).toEqual([])
