--- a/apps/soak/src/lib/EndpointStandin.ts
+++ b/apps/soak/src/lib/EndpointStandin.ts
@@ -94,8 +94,8 @@
   }
 
   async #executeWork (request: IncomingMessage, response: ServerResponse, body: string): Promise<void> {
-    const wanted = request.headers[HEADER.version]
-    if (this.#weights.isBusy || (wanted !== undefined && Number(wanted) !== this.#weights.loadedVersion)) {
+    const requiredVersion = request.headers[HEADER.version]
+    if (this.#weights.isBusy || (requiredVersion !== undefined && Number(requiredVersion) !== this.#weights.loadedVersion)) {
       this.#reject(response, UNAVAILABLE)
       return
     }
@@ -158,8 +158,8 @@
     const requestId = headerOf(request, HEADER.requestId)
     const version = this.#weights.loadedVersion
     response.writeHead(200, { [HEADER.requestId]: requestId, [HEADER.version]: String(version), 'content-type': 'text/event-stream' })
-    const last = work.fault === 'early-end' ? work.events - 1 : work.events
-    for (let number = Number(request.headers[HEADER.lastEvent] ?? 0) + 1; number <= last; number += 1) {
+    const lastNumber = work.fault === 'early-end' ? work.events - 1 : work.events
+    for (let number = Number(request.headers[HEADER.lastEvent] ?? 0) + 1; number <= lastNumber; number += 1) {
       await sleep(work.intervalMs)
       if (response.destroyed) return
       if (work.fault === 'cut' && number > 1) {
@@ -167,8 +167,8 @@
         return
       }
       if (work.fault === 'event-missing' && number === 2) continue
-      const shown = work.fault === 'mixed-weights' && number === last ? version + 1 : version
-      const text = writeEvent({ requestId, number, of: work.events, version: shown })
+      const reportedVersion = work.fault === 'mixed-weights' && number === lastNumber ? version + 1 : version
+      const text = writeEvent({ requestId, number, of: work.events, version: reportedVersion })
       response.write(work.fault === 'event-doubled' && number === 2 ? text + text : text)
     }
     response.end()
--- a/apps/soak/src/lib/SoakCluster.ts
+++ b/apps/soak/src/lib/SoakCluster.ts
@@ -54,12 +54,12 @@
   async start (): Promise<void> {
     const { shape } = this.settings
     const listAddress = await this.endpointList.listen()
-    const control = await this.#openProxies(this.#controlProxies, shape.controls)
-    const endpoint = await this.#openProxies(this.#endpointProxies, shape.plainEndpoints + shape.engines)
-    this.endpoints.push(...endpoint.map((address, index) => this.#endpointSlot(index, address)))
-    this.controls.push(...control.map((address, index) => this.#controlSlot(index, address, control, listAddress)))
+    const controlAddresses = await this.#openProxies(this.#controlProxies, shape.controls)
+    const endpointAddresses = await this.#openProxies(this.#endpointProxies, shape.plainEndpoints + shape.engines)
+    this.endpoints.push(...endpointAddresses.map((address, index) => this.#endpointSlot(index, address)))
+    this.controls.push(...controlAddresses.map((address, index) => this.#controlSlot(index, address, controlAddresses, listAddress)))
     await Promise.all([...this.endpoints, ...this.controls].map(async slot => { await slot.start() }))
-    this.entries.push(...Array.from({ length: shape.entries }, (_, index) => this.#entrySlot(index, control)))
+    this.entries.push(...Array.from({ length: shape.entries }, (_, index) => this.#entrySlot(index, controlAddresses)))
     await Promise.all(this.entries.map(async slot => { await slot.start() }))
   }
 
@@ -140,25 +140,25 @@
     })
   }
 
-  #controlSlot (index: number, address: string, all: readonly string[], listAddress: string): ProcessSlot {
+  #controlSlot (index: number, address: string, controlAddresses: readonly string[], listAddress: string): ProcessSlot {
     const name = `control-${index}`
     return new ProcessSlot({
       name,
       ...this.#commonPlan('control'),
       args: () => [
         '--data-centre', dataCentreOf(index), '--data-folder', `${this.settings.folder}/${name}`, '--advertise', address, '--list', listAddress,
-        '--bootstrap', 'true', '--join', all.join(','), '--minimum-voters', String(all.length), '--forgetful', String(this.settings.isForgetful)
+        '--bootstrap', 'true', '--join', controlAddresses.join(','), '--minimum-voters', String(controlAddresses.length), '--forgetful', String(this.settings.isForgetful)
       ],
       onStart: incarnation => { this.#attachProxy(this.proxy('control', index), incarnation, 'rpc') }
     })
   }
 
-  #entrySlot (index: number, control: readonly string[]): ProcessSlot {
+  #entrySlot (index: number, controlAddresses: readonly string[]): ProcessSlot {
     return new ProcessSlot({
       name: `entry-${index}`,
       ...this.#commonPlan('entry'),
       // Each entry host has its own loopback address, which identifies it although its port is assigned by the system.
-      args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', control.join(','), '--deaf', String(this.settings.isDeaf)],
+      args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', controlAddresses.join(','), '--deaf', String(this.settings.isDeaf)],
       environment: { ...LOG_ENVIRONMENT, EELGRASSMUX_STOP_GRACE_SECONDS: String(this.settings.graceMs / MILLISECONDS_PER_SECOND) },
       onStart: incarnation => { this.settings.onStart(incarnation.label) }
     })
@@ -173,8 +173,8 @@
     }
   }
 
-  #attachProxy (proxy: LoopbackProxy, { label, addresses }: Incarnation, served: string): void {
-    proxy.target = Number(addresses[served]?.split(':')[1])
+  #attachProxy (proxy: LoopbackProxy, { label, addresses }: Incarnation, addressName: string): void {
+    proxy.target = Number(addresses[addressName]?.split(':')[1])
     this.settings.onStart(label)
   }
 
--- a/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
+++ b/apps/soak/src/lib/checks/ColdRatesAreKeptCheck.ts
@@ -14,11 +14,11 @@
   readonly guarantee = 'cold-rates-are-kept'
   readonly #arrivals = new Map<string, number[]>()
 
-  /** @param isOn - whether restarted endpoints are listed as cold in this run */
-  constructor (private readonly isOn: boolean) {}
+  /** @param hasColdReturns - whether restarted endpoints are listed as cold in this run */
+  constructor (private readonly hasColdReturns: boolean) {}
 
   onRun ({ endpoint, at }: RunLine, { timeline }: HistoryView): string | undefined {
-    if (!this.isOn || endpoint.endsWith(FIRST_INCARNATION)) return undefined
+    if (!this.hasColdReturns || endpoint.endsWith(FIRST_INCARNATION)) return undefined
     const startedAt = timeline.entries.find(({ process, action }) => process === endpoint && action === 'started')?.at ?? at
     if (at > startedAt + COLD_DURATION_MS || timeline.isExcused(endpoint, startedAt, at)) return undefined
     const arrivals = [...(this.#arrivals.get(endpoint) ?? []).filter(earlier => earlier > at - WINDOW_MS), at]
--- a/apps/soak/src/lib/checks/EventsInOrderCheck.ts
+++ b/apps/soak/src/lib/checks/EventsInOrderCheck.ts
@@ -9,8 +9,8 @@
 
   onOutcome ({ request, end }: Outcome): string | undefined {
     if (request.work.kind !== 'stream') return undefined
-    const wrong = end.events.findIndex((event, index) => !isNext(event, index, request.id))
-    if (wrong >= 0) return `event ${wrong + 1} is ${JSON.stringify(end.events[wrong])}`
+    const firstUnexpected = end.events.findIndex((event, index) => !isNext(event, index, request.id))
+    if (firstUnexpected >= 0) return `event ${firstUnexpected + 1} is ${JSON.stringify(end.events[firstUnexpected])}`
     const isComplete = end.kind === 'answered' && end.status === 200
     if (!isComplete || end.events.length === request.work.events) return undefined
     return `complete after ${end.events.length} of ${request.work.events} events`
--- a/apps/soak/src/lib/checks/requestChecks.test.ts
+++ b/apps/soak/src/lib/checks/requestChecks.test.ts
@@ -1,21 +1,21 @@
 import { describe, expect, it } from 'vitest'
 import type { RunLine, Work } from '../standinProtocol.js'
 import { RequestHistory, type GuaranteeName } from '../RequestHistory.js'
-import type { SentRequest, CallerEnd } from '../observations.js'
+import type { SentRequest, RequestEnd } from '../observations.js'
 import { Timeline } from '../Timeline.js'
 import { ConfigurationCheck } from './ConfigurationCheck.js'
 import { requestChecks } from './requestChecks.js'
 
 const STREAM: Work = { kind: 'stream', events: 3, intervalMs: 0 }
-const CUT: CallerEnd = { kind: 'cut', hasHead: true, reason: 'aborted', events: [] }
+const CUT: RequestEnd = { kind: 'cut', hasHead: true, reason: 'aborted', events: [] }
 
-function asked (overrides: Partial<SentRequest> = {}): SentRequest {
+function sentRequest (overrides: Partial<SentRequest> = {}): SentRequest {
   return {
     id: 'r1', kind: 'generation', customer: 'ward', work: STREAM, body: '', host: 'entry-0#1', sentAt: Date.now(), siteVersion: 0, ...overrides
   }
 }
 
-function ran (overrides: Partial<RunLine> = {}): RunLine {
+function runLine (overrides: Partial<RunLine> = {}): RunLine {
   return {
     event: 'run', requestId: 'r1', endpoint: 'endpoint-0#1', customer: 'ward', cacheSalt: '', hasKey: false, version: 1, after: 0, at: Date.now(), ...overrides
   }
@@ -24,7 +24,7 @@
 describe('requestChecks', () => {
   const timeline = (): Timeline => new Timeline()
 
-  function broken (requests: readonly SentRequest[], runs: readonly RunLine[], line = timeline(), end?: CallerEnd, endedAt = Date.now()): GuaranteeName[] {
+  function brokenGuarantees (requests: readonly SentRequest[], runs: readonly RunLine[], line = timeline(), end?: RequestEnd, endedAt = Date.now()): GuaranteeName[] {
     const history = new RequestHistory(line, requestChecks())
     for (const request of requests) history.recordRequest(request)
     for (const run of runs) history.recordRun(run)
@@ -35,34 +35,34 @@
   }
 
   describe('CustomersApartCheck', () => {
-    const both = [asked(), asked({ id: 'r2', customer: 'clinic' })]
+    const twoCustomers = [sentRequest(), sentRequest({ id: 'r2', customer: 'clinic' })]
 
     it('accepts runs with different cache scopes', () => {
-      expect(broken(both, [ran({ cacheSalt: 'a' }), ran({ requestId: 'r2', customer: 'clinic', cacheSalt: 'b' })])).toEqual([])
+      expect(brokenGuarantees(twoCustomers, [runLine({ cacheSalt: 'a' }), runLine({ requestId: 'r2', customer: 'clinic', cacheSalt: 'b' })])).toEqual([])
     })
 
     it('reports a cache scope that an isolated customer shares', () => {
-      expect(broken(both, [ran({ cacheSalt: 'a' }), ran({ requestId: 'r2', customer: 'clinic', cacheSalt: 'a' })])).toEqual(['customers-apart'])
+      expect(brokenGuarantees(twoCustomers, [runLine({ cacheSalt: 'a' }), runLine({ requestId: 'r2', customer: 'clinic', cacheSalt: 'a' })])).toEqual(['customers-apart'])
     })
 
     it('reports a key that was passed on, and a run that no caller requested', () => {
-      expect(broken(both, [ran({ hasKey: true }), ran({ requestId: 'r3' })])).toEqual(['customers-apart', 'customers-apart'])
+      expect(brokenGuarantees(twoCustomers, [runLine({ hasKey: true }), runLine({ requestId: 'r3' })])).toEqual(['customers-apart', 'customers-apart'])
     })
   })
 
   describe('OneWeightVersionCheck', () => {
     it('reports a cache scope that is used with two versions', () => {
-      expect(broken([asked()], [ran({ cacheSalt: 'a' }), ran({ cacheSalt: 'a', version: 2 })])).toEqual(['one-weight-version'])
+      expect(brokenGuarantees([sentRequest()], [runLine({ cacheSalt: 'a' }), runLine({ cacheSalt: 'a', version: 2 })])).toEqual(['one-weight-version'])
     })
   })
 
   describe('PoisonRequestsStopCheck', () => {
-    const poison = (id: string): SentRequest => asked({ id, kind: 'unsafe', work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })
+    const poison = (id: string): SentRequest => sentRequest({ id, kind: 'unsafe', work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })
     const times = [0, 400, 800, 4000, 4500, 5000, 5500]
 
     function poisonRuns (count: number, line = timeline(), from = Date.now() - 60_000): GuaranteeName[] {
       const ids = times.slice(0, count).map((_, index) => `r${index}`)
-      return broken(ids.map(poison), ids.map((requestId, index) => ran({ requestId, endpoint: `endpoint-0#${index}`, at: from + (times[index] ?? 0) })), line)
+      return brokenGuarantees(ids.map(poison), ids.map((requestId, index) => runLine({ requestId, endpoint: `endpoint-0#${index}`, at: from + (times[index] ?? 0) })), line)
     }
 
     it('accepts three runs after the hosts know of the crashes', () => {
@@ -81,51 +81,51 @@
   })
 
   describe('BystandersAreServedCheck', () => {
-    const refused: CallerEnd = { kind: 'answered', status: 503, answerId: undefined, body: '{"type":"urn:eelgrassmux:problem:request-quarantined"}', events: [] }
+    const refused: RequestEnd = { kind: 'answered', status: 503, answerId: undefined, body: '{"type":"urn:eelgrassmux:problem:request-quarantined"}', events: [] }
 
     it('reports a refused request that crashes no endpoint', () => {
-      expect(broken([asked()], [], timeline(), refused)).toEqual(['bystanders-are-served'])
+      expect(brokenGuarantees([sentRequest()], [], timeline(), refused)).toEqual(['bystanders-are-served'])
     })
 
     it('accepts the refusal of a request that crashes endpoints', () => {
-      expect(broken([asked({ work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })], [], timeline(), refused)).toEqual([])
+      expect(brokenGuarantees([sentRequest({ work: { kind: 'plain', milliseconds: 0, crashesEndpointAfterMs: 50 } })], [], timeline(), refused)).toEqual([])
     })
   })
 
   describe('NotRunIsTrueCheck', () => {
     it('reports a run that starts after the refusal', () => {
       const history = new RequestHistory(timeline(), requestChecks())
-      const request = asked()
+      const request = sentRequest()
       history.recordRequest(request)
       history.recordOutcome({ request, end: { kind: 'answered', status: 503, answerId: undefined, body: '', events: [] }, endedAt: Date.now() })
       history.settleAll()
-      history.recordRun(ran())
+      history.recordRun(runLine())
       expect(history.violations.map(({ guarantee }) => guarantee)).toEqual(['not-run-is-true'])
     })
   })
 
   describe('NothingIsCutCheck', () => {
     it('reports a cut without a cause', () => {
-      expect(broken([asked()], [ran()], timeline(), CUT)).toEqual(['nothing-is-cut'])
+      expect(brokenGuarantees([sentRequest()], [runLine()], timeline(), CUT)).toEqual(['nothing-is-cut'])
     })
 
     it('accepts a cut of a request that was never forwarded', () => {
-      expect(broken([asked()], [], timeline(), CUT)).toEqual([])
+      expect(brokenGuarantees([sentRequest()], [], timeline(), CUT)).toEqual([])
     })
 
     it.each(['entry-0#1', 'endpoint-0#1', 'endpoint-0'])('accepts a cut that an unplanned fault of %s explains', process => {
       const line = timeline()
       line.record(process, 'SIGKILL', true)
-      expect(broken([asked()], [ran()], line, CUT)).toEqual([])
+      expect(brokenGuarantees([sentRequest()], [runLine()], line, CUT)).toEqual([])
     })
 
     it('reports a cut by a host that was stopped as planned, unless the request could not end in the grace period', () => {
       const line = timeline()
       line.recordStop('entry-0#1', 6000)
       const at = line.stopOf('entry-0#1')?.at ?? 0
-      expect(broken([asked({ sentAt: at + 3500 })], [ran()], line, CUT, at + 6000)).toEqual(['nothing-is-cut'])
-      expect(broken([asked({ sentAt: at - 100 })], [ran()], line, CUT, at + 4000)).toEqual(['nothing-is-cut'])
-      expect(broken([asked({ sentAt: at - 100 })], [ran()], line, CUT, at + 6000)).toEqual([])
+      expect(brokenGuarantees([sentRequest({ sentAt: at + 3500 })], [runLine()], line, CUT, at + 6000)).toEqual(['nothing-is-cut'])
+      expect(brokenGuarantees([sentRequest({ sentAt: at - 100 })], [runLine()], line, CUT, at + 4000)).toEqual(['nothing-is-cut'])
+      expect(brokenGuarantees([sentRequest({ sentAt: at - 100 })], [runLine()], line, CUT, at + 6000)).toEqual([])
     })
 
     it('accepts a cut by a host that was paused when SIGTERM was sent', () => {
@@ -133,13 +133,13 @@
       line.record('entry-0#1', 'SIGSTOP', true, 2000)
       line.recordStop('entry-0#1', 6000)
       const at = line.stopOf('entry-0#1')?.at ?? 0
-      expect(broken([asked({ sentAt: at + 3500 })], [ran()], line, CUT, at + 6000)).toEqual([])
+      expect(brokenGuarantees([sentRequest({ sentAt: at + 3500 })], [runLine()], line, CUT, at + 6000)).toEqual([])
     })
   })
 })
 
 describe('ConfigurationCheck', () => {
-  function check (): { history: RequestHistory, configuration: ConfigurationCheck } {
+  function createCheck (): { history: RequestHistory, configuration: ConfigurationCheck } {
     const history = new RequestHistory(new Timeline(), [])
     const configuration = new ConfigurationCheck(history)
     configuration.recordSent(1, 'one')
@@ -148,34 +148,34 @@
     return { history, configuration }
   }
 
-  const later = (milliseconds: number): number => Date.now() + milliseconds
+  const fromNow = (milliseconds: number): number => Date.now() + milliseconds
 
   it('accepts acknowledged versions, and older ones that were read before the acknowledgement', () => {
-    const { history, configuration } = check()
-    configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'two' })
-    configuration.recordRead({ control: 'c', startedAt: later(-10_000), version: 1, source: 'one' })
+    const { history, configuration } = createCheck()
+    configuration.recordRead({ control: 'c', startedAt: fromNow(10), version: 2, source: 'two' })
+    configuration.recordRead({ control: 'c', startedAt: fromNow(-10_000), version: 1, source: 'one' })
     expect(history.violations).toEqual([])
   })
 
   it('reports an older version, and a different source with the same version', () => {
-    const { history, configuration } = check()
-    configuration.recordRead({ control: 'c', startedAt: later(10), version: 1, source: 'one' })
-    configuration.recordRead({ control: 'c', startedAt: later(10), version: 2, source: 'other' })
+    const { history, configuration } = createCheck()
+    configuration.recordRead({ control: 'c', startedAt: fromNow(10), version: 1, source: 'one' })
+    configuration.recordRead({ control: 'c', startedAt: fromNow(10), version: 2, source: 'other' })
     expect(history.violations).toHaveLength(2)
   })
 
   it('reports a host that no longer knows a version that it knew before', () => {
-    const { history, configuration } = check()
-    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(1), endedAt: later(2), status: 200 })
-    configuration.recordProbe({ host: 'entry-0#2', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
+    const { history, configuration } = createCheck()
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: fromNow(1), endedAt: fromNow(2), status: 200 })
+    configuration.recordProbe({ host: 'entry-0#2', version: 2, sentAt: fromNow(3), endedAt: fromNow(4), status: 404 })
     expect(history.violations).toEqual([])
-    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(3), endedAt: later(4), status: 404 })
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: fromNow(3), endedAt: fromNow(4), status: 404 })
     expect(history.violations).toHaveLength(1)
   })
 
   it('reports a host that does not know a version long after its acknowledgement', () => {
-    const { history, configuration } = check()
-    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: later(10_000), endedAt: later(10_001), status: 404 })
+    const { history, configuration } = createCheck()
+    configuration.recordProbe({ host: 'entry-0#1', version: 2, sentAt: fromNow(10_000), endedAt: fromNow(10_001), status: 404 })
     expect(history.violations).toHaveLength(1)
   })
 })
--- a/apps/soak/src/lib/observations.ts
+++ b/apps/soak/src/lib/observations.ts
@@ -23,7 +23,7 @@
 }
 
 /** How a request ended for its caller. */
-export type CallerEnd =
+export type RequestEnd =
   | { readonly kind: 'answered', readonly status: number, readonly answerId: string | undefined, readonly body: string, readonly events: readonly StreamEvent[] }
   /** The connection ended before the answer was complete. */
   | { readonly kind: 'cut', readonly hasHead: boolean, readonly reason: string, readonly events: readonly StreamEvent[] }
@@ -31,6 +31,6 @@
 /** A request and how it ended for its caller. */
 export interface Outcome {
   readonly request: SentRequest
-  readonly end: CallerEnd
+  readonly end: RequestEnd
   readonly endedAt: number
 }
--- a/apps/soak/src/lib/regressionSeeds.ts
+++ b/apps/soak/src/lib/regressionSeeds.ts
@@ -7,7 +7,7 @@
   readonly seconds: number
   readonly entries: number
   readonly callers: number
-  /** Kinds of faults to choose from; {@link FAULT_KINDS} if absent. */
+  /** Kinds of faults to choose from; `FAULT_KINDS` if absent. */
   readonly kinds?: readonly FaultKind[]
   /** Why the run failed, in one line. */
   readonly cause: string
--- a/apps/soak/src/lib/runSoak.ts
+++ b/apps/soak/src/lib/runSoak.ts
@@ -47,7 +47,7 @@
   readonly seed: number
   readonly requests: number
   /** Number of requests by status, and of those that were cut off as `cut`. */
-  readonly ends: ReadonlyMap<string, number>
+  readonly endCounts: ReadonlyMap<string, number>
   readonly actionCount: number
   readonly violations: readonly Violation[]
   /** One line for each action. */
@@ -176,22 +176,22 @@
   }
 
   #haveEnginesNewestWeights (): boolean {
-    const held = [...this.#cluster.endpointList.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
-    return held.every(({ version }) => version >= this.#operator.newestWeightsVersion)
+    const loaded = [...this.#cluster.endpointList.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
+    return loaded.every(({ version }) => version >= this.#operator.newestWeightsVersion)
   }
 
   #result (): SoakResult {
     const { violations } = this.#history
-    const ends = new Map<string, number>()
+    const endCounts = new Map<string, number>()
     for (const { end } of this.#history.outcomes) {
       const name = end.kind === 'cut' ? 'cut' : String(end.status)
-      ends.set(name, (ends.get(name) ?? 0) + 1)
+      endCounts.set(name, (endCounts.get(name) ?? 0) + 1)
     }
     const involved = new Set(violations.flatMap(({ processes }) => processes))
     return {
       seed: this.plan.seed,
       requests: this.#history.requestCount,
-      ends,
+      endCounts,
       actionCount: this.#timeline.entries.length,
       violations,
       timeline: this.#timeline.describe(),
--- a/apps/soak/src/lib/sendRequest.ts
+++ b/apps/soak/src/lib/sendRequest.ts
@@ -1,7 +1,7 @@
 /** Sends one request on the connection of a caller and reads the answer. */
 import { request, type Agent, type IncomingMessage } from 'node:http'
 import { eventSchema, type StreamEvent } from './standinProtocol.js'
-import type { SentRequest, CallerEnd } from './observations.js'
+import type { SentRequest, RequestEnd } from './observations.js'
 import { HEADER } from './soakHeaders.js'
 import { CUSTOMERS, MODEL, probePath, REQUEST_TIMEOUT_MS, SITE_HOST } from './soakSite.js'
 
@@ -10,7 +10,7 @@
 
 /** How an exchange ended, and whether its connection can be reused. */
 export interface Exchange {
-  readonly end: CallerEnd
+  readonly end: RequestEnd
   readonly isReusable: boolean
 }
 
@@ -41,7 +41,7 @@
   })
 }
 
-function answered (callerRequest: SentRequest, response: IncomingMessage, text: string): CallerEnd {
+function answered (callerRequest: SentRequest, response: IncomingMessage, text: string): RequestEnd {
   const answerId = response.headers[HEADER.requestId]
   return { kind: 'answered', status: response.statusCode ?? 0, answerId: answerId?.toString(), body: text, events: readEvents(callerRequest, text) }
 }
--- a/apps/soak/src/main.ts
+++ b/apps/soak/src/main.ts
@@ -65,8 +65,8 @@
     return await runSoak({ seed, seconds, breaks, kinds, shape, callers, graceMs: Number(this.graceMs), poisonRequests })
   }
 
-  #print ({ seed, requests, ends, actionCount, violations, timeline, logFiles }: SoakResult): void {
-    const counts = [...ends].sort().map(([name, count]) => `${name}: ${count}`).join(', ')
+  #print ({ seed, requests, endCounts, actionCount, violations, timeline, logFiles }: SoakResult): void {
+    const counts = [...endCounts].sort().map(([name, count]) => `${name}: ${count}`).join(', ')
     this.context.stdout.write(`seed ${seed}: ${requests} requests (${counts}), ${actionCount} actions, ${violations.length} violations\n`)
     if (violations.length === 0) return
     for (const { guarantee, detail } of violations.slice(0, MAX_PRINTED_VIOLATIONS)) this.context.stdout.write(`  ${guarantee}: ${detail}\n`)
