--- a/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
@@ -198,7 +198,7 @@
     const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncs ? 4 : 200)
     this.simulation.after(syncMs, () => {
       if (incarnation !== this.#incarnation) return
-      for (const write of writes) this.#disk.take(write)
+      for (const write of writes) this.#disk.applyWrite(write)
       this.#syncing = false
       if (this.mechanisms.syncs) for (const effect of effects) this.#carryOut(effect)
       this.#maybeSnapshot()
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -10,7 +10,7 @@
 import type { RpcServer } from '@eelgrassmux/rpc/RpcServer'
 import type { QuarantineDecision } from '@eelgrassmux/schema/quarantineEntry'
 import type { Command } from '@eelgrassmux/state/commands'
-import type { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
+import type { QuarantineRegistry } from '@eelgrassmux/state/QuarantineRegistry'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { CrashChecker } from './CrashChecker.js'
 import type { CrashDetector } from './CrashDetector.js'
@@ -33,7 +33,7 @@
 /** Dependencies of the task. */
 export interface QuarantinePorts {
   isLeader (): boolean
-  readonly register: QuarantineRegister
+  readonly register: QuarantineRegistry
   propose (command: Command): Promise<unknown>
   readonly detector: CrashDetector
   readonly telemetry: Telemetry
@@ -127,7 +127,7 @@
   #settleCrash (endpoint: string, hasCrashed: boolean): void {
     const now = performance.now()
     this.#correlator.recordCrashCheck(endpoint, hasCrashed, now)
-    this.ports.telemetry.stateChanged('endpoint-crash-checked', { endpoint, hasCrashed })
+    this.ports.telemetry.logStateChange('endpoint-crash-checked', { endpoint, hasCrashed })
     this.#restartChecks(now)
   }
 
@@ -149,7 +149,7 @@
     this.#isProposing = true
     for (const { fingerprint, service, decision, forMs } of decisions) {
       this.#decisions.count(decision)
-      this.ports.telemetry.stateChanged('quarantine-decided', { fingerprint, service, decision, forMs, ...this.#correlator.describe(fingerprint) })
+      this.ports.telemetry.logStateChange('quarantine-decided', { fingerprint, service, decision, forMs, ...this.#correlator.describe(fingerprint) })
     }
     const finish = (): void => {
       this.#isProposing = false
@@ -160,7 +160,7 @@
   }
 
   #expire (): void {
-    const { nextEndAt } = this.ports.register
+    const { nextExpiryAt: nextEndAt } = this.ports.register
     if (nextEndAt === undefined || nextEndAt > Date.now() || !this.ports.isLeader()) return
     void this.ports.propose({ kind: 'expire-quarantine' })
   }
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -4,7 +4,7 @@
 import type { RunningDaemon } from '@eelgrassmux/daemon/runDaemon'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { dataCentresSetting } from '@eelgrassmux/daemon/dataCentresSetting'
-import { addressListSetting, boundSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
+import { addressListSetting, durationLimitSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
 import { composeMechanisms, mechanismSchema } from '@eelgrassmux/routing/mechanisms/mechanisms'
 import { OutdatedWeightsDeadlines } from '@eelgrassmux/routing/prompts/OutdatedWeightsDeadlines'
 import { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
@@ -29,7 +29,7 @@
   staleView: z.enum(['refuse', 'serve']).default('refuse').describe('what to do when no majority of control hosts confirms the configuration: refuse new work, or go on with the last one'),
   balancerLagMs: integerSetting(0, 60_000).default(1000).describe('how long the balancer may send new work after readiness is withdrawn, in milliseconds'),
   stopGraceSeconds: stopGraceSetting,
-  weightsBoundMs: boundSetting.describe('time after weights were named from which no request may begin on older ones, in milliseconds; without bound if empty'),
+  weightsBoundMs: durationLimitSetting.describe('time after weights were named from which no request may begin on older ones, in milliseconds; without bound if empty'),
   dataCentres: dataCentresSetting.describe('data centres with the region of each, as a JSON object; needed where routes or customers are bound to regions'),
   leaveOut: listSetting(mechanismSchema).describe('mechanisms to do without, separated by commas, to measure what they are worth; none in service'),
   retryRatio: z.coerce.number().min(0).max(1).default(0.1).describe('repeats for each request of a service, over all entry hosts'),
@@ -83,7 +83,7 @@
   const mechanisms = composeMechanisms(new Set(settings.leaveOut))
   const liveHosts = (): number => link.liveEntries
   const fleet = new RoutedFleet(settings.dataCentre, liveHosts, telemetry, mechanisms, address)
-  const stored = link.followStores({
+  const stored = link.followStoredParts({
     reset: () => { fleet.storedParts.clear() },
     apply: change => { fleet.storedParts.apply(change) }
   })
@@ -92,13 +92,13 @@
     aggregatorAddress: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
-    others: fleet.others,
+    others: fleet.otherHostsLoad,
     onAnswer: () => {
-      fleet.noteObservations()
+      fleet.applyObservations()
       server.releaseWaiting()
     }
   }, telemetry)
-  fleet.onWork(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
+  fleet.onWorkChange(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
   loads.start()
   const mayAct = (): boolean => settings.staleView === 'serve' ? link.site !== undefined : link.isReady()
   const crashReporter = new CrashReporter(address, { rpc, leader: () => link.leader, telemetry })
@@ -114,17 +114,17 @@
     regions: new Map(Object.entries(settings.dataCentres)),
     budget: { ratio: settings.retryRatio, slack: settings.retrySlack },
     liveHosts: () => link.liveEntries,
-    leftMsOn: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
+    remainingMsForVersion: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
-    mayAct,
+    isSiteUsable: mayAct,
     // Without a current confirmation from the control hosts, stored parts may have been freed already.
-    storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
+    areStoresUsable: now => mechanisms.usesStores && stored.isLeaseValid(now),
     storeClockMs: now => stored.storeClockMs(now),
-    beforePlacing: place => { loads.beforePlacing(place) },
-    isLagging: () => link.lagMs > EVENT_LOOP_LAG_LIMIT_MS
+    withRecentLoad: place => { loads.beforePlacing(place) },
+    isLagging: () => link.eventLoopLagMs > EVENT_LOOP_LAG_LIMIT_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
   const port = await server.listen(settings.host, settings.port, platform.earlyListener)
-  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
+  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.hasEndpoints && mayAct()
   const platformServers = await platform.openPlatformServers(isReady)
 
   let siteVersion = -1
@@ -133,9 +133,9 @@
     siteVersion = site.version
     server.configure(site)
     fleet.configure(site)
-    telemetry.stateChanged('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
+    telemetry.logStateChange('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
   }
-  link.onLeader(() => { crashReporter.leaderChanged() })
+  link.onLeaderChange(() => { crashReporter.leaderChanged() })
   link.onChange(() => {
     olderWeights.observe(link.weights, performance.now())
     quarantine.logChanges(link.viewRevision, performance.now())
@@ -149,7 +149,7 @@
   telemetry.gauge('view_revision', 'View in force', () => link.viewRevision)
   telemetry.gauge('configuration_fresh', '1 while the configuration is confirmed', () => link.isFresh() ? 1 : 0)
   telemetry.gauge('endpoint_list_age_seconds', 'Time since the platform stated the endpoint list', () => link.endpointListAgeMs(performance.now()) / 1000)
-  telemetry.gauge('requests_under_way', 'Routed requests that have not ended', () => work.underWay)
+  telemetry.gauge('requests_under_way', 'Routed requests that have not ended', () => work.activeCount)
 
   return {
     addresses: { http: `${settings.host}:${port}` },
