--- a/apps/soak/src/control.ts
+++ b/apps/soak/src/control.ts
@@ -1,31 +1,31 @@
-/** The control host with the soak's surroundings. */
+/** A control host with the platform adapters of the soak. */
 import { z } from 'zod'
 import { controlSettingsShape, startControl } from '@eelgrassmux/control/ControlDaemon'
 import { runDaemon, type DaemonProgram } from '@eelgrassmux/daemon/runDaemon'
 import { addressSetting, booleanSetting } from '@eelgrassmux/daemon/settings'
 import { HttpEndpointProbe } from './lib/HttpEndpointProbe.js'
 import { HttpEndpointSource } from './lib/HttpEndpointSource.js'
-import { HttpWeightOrders } from './lib/HttpWeightOrders.js'
+import { HttpRolloutBackend } from './lib/HttpRolloutBackend.js'
 import { NoStores } from './lib/NoStores.js'
-import { openOperatorEdge } from './lib/operatorEdge.js'
+import { serveOperatorApi } from './lib/serveOperatorApi.js'
 
 const settingsSchema = z.object({
   ...controlSettingsShape,
   list: addressSetting.describe('address of the endpoint list'),
-  forgetful: booleanSetting.default(false).describe('acknowledges sites and weights without putting them in force: a break for the checks')
+  forgetful: booleanSetting.default(false).describe('acknowledges sites, weights and evacuations without putting them in force: a break that the checks must detect')
 })
 
 const program: DaemonProgram<z.infer<typeof settingsSchema>> = {
   name: 'soak-control',
-  description: 'Agrees on the soak\'s sites and weights',
+  description: 'Control host of the soak: agrees on sites and weights',
   settings: settingsSchema,
   start: async (settings, telemetry, fail) => await startControl(settings, telemetry, fail, {
     endpoints: new HttpEndpointSource(settings.list),
-    engines: new HttpWeightOrders(),
+    engines: new HttpRolloutBackend(),
     stores: new NoStores(),
     probe: new HttpEndpointProbe(),
     contacts: () => settings.join,
-    openOperatorApi: async sites => await openOperatorEdge(settings.host, sites, settings.forgetful)
+    openOperatorApi: async sites => await serveOperatorApi(settings.host, sites, settings.forgetful)
   })
 }
 
--- a/apps/soak/src/lib/Balancer.ts
+++ b/apps/soak/src/lib/Balancer.ts
@@ -1,70 +1,70 @@
-/** Chooses entry hosts for new connections by their readiness; knows nothing of connections that are open. */
+/** Chooses entry hosts for new connections by their readiness, regardless of open connections. */
 import { request } from 'undici'
-import type { Draws } from './Draws.js'
-import type { Incarnation, Slot } from './Slot.js'
+import type { SeededRandom } from './SeededRandom.js'
+import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
 
-/** Interval between questions, in milliseconds. */
-const LOOK_MS = 200
+/** Interval between readiness probes of a host, in milliseconds. */
+const PROBE_INTERVAL_MS = 200
 
-/** Longest wait for an answer, in milliseconds. */
-const TIMEOUT_MS = 300
+/** Timeout of a readiness probe, in milliseconds. */
+const PROBE_TIMEOUT_MS = 300
 
-/** Questions in a row without a yes that take a host out. */
-const MISSES = 2
+/** Number of consecutive failed probes after which a host is taken out of rotation. */
+const UNREADY_THRESHOLD = 2
 
-/** Asks all hosts for readiness until closed. */
+/** Probes the readiness of all hosts until closed. */
 export class Balancer {
-  readonly #misses = new Map<string, number>()
+  readonly #failures = new Map<string, number>()
   #timer: NodeJS.Timeout | undefined
 
   /** @param slots - entry hosts */
-  constructor (private readonly slots: readonly Slot[]) {}
+  constructor (private readonly slots: readonly ProcessSlot[]) {}
 
-  /** Starts to ask. */
+  /** Starts the probes. */
   start (): void {
-    this.#timer = setInterval(() => { for (const { present } of this.slots) void this.#look(present) }, LOOK_MS)
+    this.#timer = setInterval(() => { for (const { current } of this.slots) void this.#probe(current) }, PROBE_INTERVAL_MS)
   }
 
-  /** Stops asking. */
+  /** Stops the probes. */
   close (): void {
     clearInterval(this.#timer)
   }
 
   /** Whether all hosts are in rotation. */
-  get isComplete (): boolean {
-    return this.slots.every(({ present }) => present !== undefined && this.#isReady(present))
+  get areAllReady (): boolean {
+    return this.slots.every(({ current }) => current !== undefined && this.#isReady(current))
   }
 
   /**
-   * @param draws - decides among equals
-   * @returns a host in rotation; with less than half of them in rotation any that runs, because a few would not bear all
+   * @param random - chooses among the candidates
+   * @returns a host in rotation, or any running host if fewer than half of all hosts are in rotation, because so few could not carry the whole load
    */
-  choose (draws: Draws): Incarnation | undefined {
-    const running = this.slots.flatMap(({ present }) => present ?? [])
+  choose (random: SeededRandom): Incarnation | undefined {
+    const running = this.slots.flatMap(({ current }) => current ?? [])
     const ready = running.filter(incarnation => this.#isReady(incarnation))
     const candidates = ready.length * 2 < this.slots.length ? running : ready
-    return candidates.length === 0 ? undefined : draws.pick(candidates)
+    return candidates.length === 0 ? undefined : random.pick(candidates)
   }
 
   #isReady ({ label }: Incarnation): boolean {
-    return (this.#misses.get(label) ?? MISSES) < MISSES
+    return (this.#failures.get(label) ?? UNREADY_THRESHOLD) < UNREADY_THRESHOLD
   }
 
-  async #look (incarnation: Incarnation | undefined): Promise<void> {
+  async #probe (incarnation: Incarnation | undefined): Promise<void> {
     if (incarnation === undefined) return
     const { label, addresses } = incarnation
     const isReady = await isHostReady(addresses['admin'] ?? '')
-    this.#misses.set(label, isReady ? 0 : (this.#misses.get(label) ?? MISSES) + 1)
+    this.#failures.set(label, isReady ? 0 : (this.#failures.get(label) ?? UNREADY_THRESHOLD) + 1)
   }
 }
 
 async function isHostReady (address: string): Promise<boolean> {
   try {
-    const response = await request(`http://${address}/readyz`, { signal: AbortSignal.timeout(TIMEOUT_MS) })
+    const response = await request(`http://${address}/readyz`, { signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) })
     await response.body.dump()
     return response.statusCode === 200
   } catch {
-    // A host that can't be asked is as good as one that says no.
+    // A host that does not answer counts as not ready.
     return false
   }
 }
--- /dev/null
+++ b/apps/soak/src/lib/FaultInjector.ts
@@ -0,0 +1,164 @@
+/** Injects the planned faults at their times, so that they may overlap, and records them on the timeline. */
+import { setTimeout as sleep } from 'node:timers/promises'
+import { request } from 'undici'
+import type { PlannedFault, SlotRole } from './faultPlan.js'
+import type { Operator } from './Operator.js'
+import type { EvacuationsHoldCheck } from './checks/EvacuationsHoldCheck.js'
+import type { Restraint } from './standinProtocol.js'
+import type { Incarnation, ProcessSlot } from './ProcessSlot.js'
+import type { SoakCluster } from './SoakCluster.js'
+import { HEADER } from './soakHeaders.js'
+import type { Timeline } from './Timeline.js'
+
+/** Timeout for an order to an endpoint, in milliseconds; the endpoint may be paused. */
+const ORDER_TIMEOUT_MS = 500
+
+/** Options of planned stops. */
+export interface StopOptions {
+  /** Time from SIGTERM to SIGKILL, in milliseconds. */
+  readonly graceMs: number
+  /** Sends SIGKILL in place of SIGTERM: a break that the checks must detect. */
+  readonly isAbrupt: boolean
+}
+
+/** Injects all faults of a plan. */
+export class FaultInjector {
+  readonly #pending: Array<Promise<void>> = []
+  readonly #evacuated = new Set<string>()
+
+  /**
+   * @param cluster - processes and links to disturb
+   * @param operator - changes sites and weights
+   * @param timeline - records the faults
+   * @param evacuations - notified of acknowledged evacuations
+   * @param options - options of planned stops
+   */
+  constructor (
+    private readonly cluster: SoakCluster, private readonly operator: Operator, private readonly timeline: Timeline,
+    private readonly evacuations: EvacuationsHoldCheck, private readonly options: StopOptions
+  ) {}
+
+  /**
+   * @param plan - faults in order of time
+   * @returns a promise that resolves when the last fault is over
+   */
+  async run (plan: readonly PlannedFault[]): Promise<void> {
+    const startedAt = performance.now()
+    for (const fault of plan) {
+      await sleep(Math.max(0, startedAt + fault.atMs - performance.now()))
+      this.#pending.push(this.#inject(fault))
+    }
+    await Promise.all(this.#pending)
+  }
+
+  async #inject (fault: PlannedFault): Promise<void> {
+    switch (fault.kind) {
+      case 'rolling-stop': return await this.#rollingStop(fault.gapMs)
+      case 'stop': return await this.#stop(this.#slot(fault.role, fault.slot), fault.role)
+      case 'kill': return this.#kill(this.#slot(fault.role, fault.slot))
+      case 'pause': return await this.#pause(this.#slot(fault.role, fault.slot), fault.durationMs)
+      case 'link': return await this.#breakLink(fault)
+      case 'restraint': return await this.#restrain(fault)
+      case 'evacuation': return await this.#evacuate(fault.dataCentre, fault.durationMs)
+      case 'cold-return': return this.#kill(this.#slot('endpoint', fault.slot))
+      case 'new-site':
+        this.timeline.record('operator', 'stores a new site', false)
+        return await this.operator.putSite()
+      case 'new-weights':
+        this.timeline.record('operator', 'requests new weights', false)
+        return await this.operator.nameWeights()
+    }
+  }
+
+  async #rollingStop (gapMs: number): Promise<void> {
+    const stops: Array<Promise<void>> = []
+    for (const slot of this.cluster.entries) {
+      stops.push(this.#stop(slot, 'entry'))
+      await sleep(gapMs)
+    }
+    await Promise.all(stops)
+  }
+
+  async #stop (slot: ProcessSlot, role: SlotRole): Promise<void> {
+    const { current } = slot
+    // A second SIGTERM would ask the process to exit at once.
+    if (current === undefined || this.timeline.stopOf(current.label) !== undefined) return
+    const { graceMs, isAbrupt } = this.options
+    if (role === 'endpoint') this.cluster.endpointList.markLeaving(current.label)
+    this.timeline.recordStop(current.label, graceMs)
+    current.process.signal(isAbrupt ? 'SIGKILL' : 'SIGTERM')
+    await Promise.race([sleep(graceMs, undefined, { ref: false }), current.process.exited()])
+    if (!isCurrent(slot, current)) return
+    // Killing an endpoint cuts off its runs, which is excused; an entry host should have exited by itself.
+    this.timeline.recordKill(current.label, role !== 'entry', 'after its grace period')
+    current.process.signal('SIGKILL')
+  }
+
+  #kill ({ current }: ProcessSlot): void {
+    if (current === undefined) return
+    this.timeline.recordKill(current.label, true)
+    current.process.signal('SIGKILL')
+  }
+
+  async #pause (slot: ProcessSlot, durationMs: number): Promise<void> {
+    const { current } = slot
+    if (current === undefined) return
+    this.timeline.record(current.label, 'SIGSTOP', true, durationMs)
+    current.process.signal('SIGSTOP')
+    await sleep(durationMs)
+    if (isCurrent(slot, current)) current.process.signal('SIGCONT')
+  }
+
+  async #breakLink ({ role, slot, fault, durationMs }: Extract<PlannedFault, { kind: 'link' }>): Promise<void> {
+    const proxy = this.cluster.proxy(role, slot)
+    this.timeline.record(`${role}-${slot}`, `link: ${fault}`, true, durationMs)
+    proxy.setFault(fault)
+    await sleep(durationMs)
+    // The later of two overlapping faults may end early. The timeline then excuses more failures than the faults can cause, never fewer.
+    proxy.setFault(undefined)
+  }
+
+  /** Orders an endpoint to ask for a restraint; an endpoint that announces that it is leaving is stopped afterwards. */
+  async #restrain ({ slot: index, asks, durationMs }: Extract<PlannedFault, { kind: 'restraint' }>): Promise<void> {
+    const slot = this.#slot('endpoint', index)
+    const { current } = slot
+    if (current === undefined || !await orderRestraint(current, { kind: asks, durationMs })) return
+    this.timeline.record(current.label, `asks for ${asks}`, false, durationMs)
+    await sleep(durationMs)
+    if (asks === 'leaving' && isCurrent(slot, current)) await this.#stop(slot, 'endpoint')
+  }
+
+  async #evacuate (dataCentre: string, durationMs: number): Promise<void> {
+    if (this.#evacuated.has(dataCentre)) return
+    this.#evacuated.add(dataCentre)
+    this.timeline.record('operator', `evacuates ${dataCentre}`, false, durationMs)
+    if (await this.operator.evacuate(dataCentre, true)) this.evacuations.recordAcknowledgement(dataCentre)
+    await sleep(durationMs)
+    this.evacuations.recordLift(dataCentre)
+    await this.operator.evacuate(dataCentre, false)
+    this.#evacuated.delete(dataCentre)
+  }
+
+  #slot (role: SlotRole, index: number): ProcessSlot {
+    const slot = this.cluster.slots(role)[index]
+    if (slot === undefined) throw new Error(`no ${role} ${index}`)
+    return slot
+  }
+}
+
+async function orderRestraint ({ label, addresses }: Incarnation, restraint: Restraint): Promise<boolean> {
+  try {
+    const { statusCode, body } = await request(`http://${addresses.http ?? ''}/restraint`, {
+      method: 'POST', headers: { [HEADER.instance]: label }, body: JSON.stringify(restraint), signal: AbortSignal.timeout(ORDER_TIMEOUT_MS)
+    })
+    await body.dump()
+    return statusCode === 200
+  } catch {
+    // The endpoint is paused or has just exited.
+    return false
+  }
+}
+
+function isCurrent ({ current }: ProcessSlot, incarnation: Incarnation): boolean {
+  return current === incarnation
+}
--- a/apps/soak/src/lib/HttpWeightOrders.ts
+++ b/apps/soak/src/lib/HttpRolloutBackend.ts
@@ -1,17 +1,17 @@
-/** Orders of weights to the endpoint stand-ins. */
+/** Orders endpoint stand-ins to load weights, and reads their status. */
 import { request } from 'undici'
 import type { EngineStatus, LoadOrder, OrderOutcome } from '@eelgrassmux/control/rollout/RolloutPlan'
 import type { RolloutBackend } from '@eelgrassmux/control/rollout/RolloutTask'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import { reportSchema } from './endpointWork.js'
+import { reportSchema } from './standinProtocol.js'
 import { HEADER } from './soakHeaders.js'
 
-/** Longest wait for a stand-in, in milliseconds; it may be paused. */
+/** Timeout of a request to a stand-in, in milliseconds; the stand-in may be paused. */
 const TIMEOUT_MS = 500
 
-/** {@link RolloutBackend} over the stand-ins. */
-export class HttpWeightOrders implements RolloutBackend {
+/** {@link RolloutBackend} for stand-ins. */
+export class HttpRolloutBackend implements RolloutBackend {
   async status (endpoint: ListedEndpoint): Promise<Result<EngineStatus, { readonly kind: string }>> {
     try {
       const response = await request(`http://${endpoint.address}/weights`, {
@@ -35,7 +35,7 @@
       await response.body.dump()
       return outcomeOf(response.statusCode)
     } catch {
-      // The order may have arrived all the same: the caller looks before the next step.
+      // The order may have arrived nevertheless; the caller reads the status before its next step.
       return 'unanswered'
     }
   }
--- a/apps/soak/src/lib/RepeatingCaller.ts
+++ b/apps/soak/src/lib/RepeatingCaller.ts
@@ -1,51 +1,51 @@
-/** A caller that asks the same thing over and over, of any host, whatever it is told. */
+/** A caller that keeps sending the same request to any host, regardless of the answers. */
 import { Agent } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
-import type { CallerSurroundings } from './Caller.js'
-import { callOnce } from './callOnce.js'
-import type { Draws } from './Draws.js'
-import type { AskedRequest } from './observations.js'
+import type { CallerContext } from './Caller.js'
+import { sendRequest } from './sendRequest.js'
+import type { SeededRandom } from './SeededRandom.js'
+import type { SentRequest } from './observations.js'
 import type { RepeatedRequest } from './planRepeatedRequests.js'
 
-/** Sends one request after another until stopped, each on a connection of its own. */
+/** Sends one request after another until stopped, each on a new connection. */
 export class RepeatingCaller {
   #isStopped = false
   #count = 0
 
   /**
-   * @param repeated - what to ask
-   * @param draws - decides which hosts are asked
-   * @param surroundings - shared with other callers
+   * @param repeated - request to send
+   * @param random - chooses the hosts
+   * @param context - shared with other callers
    */
   constructor (
-    private readonly repeated: RepeatedRequest, private readonly draws: Draws, private readonly surroundings: Pick<CallerSurroundings, 'balancer' | 'ledger'>
+    private readonly repeated: RepeatedRequest, private readonly random: SeededRandom, private readonly context: Pick<CallerContext, 'balancer' | 'history'>
   ) {}
 
-  /** Runs until stopped; ends with its last request. */
+  /** Sends requests until stopped; resolves after the last one has ended. */
   async run (): Promise<void> {
     while (!this.#isStopped) {
-      await this.#ask()
+      await this.#sendNext()
       await sleep(this.repeated.pauseMs)
     }
   }
 
-  /** Makes the request under way the last one. */
+  /** Sends no further requests after the current one. */
   stop (): void {
     this.#isStopped = true
   }
 
-  async #ask (): Promise<void> {
-    const host = this.surroundings.balancer.choose(this.draws)
+  async #sendNext (): Promise<void> {
+    const host = this.context.balancer.choose(this.random)
     if (host === undefined) return
     this.#count += 1
     const { name, kind, customer, work } = this.repeated
-    const request: AskedRequest = {
+    const request: SentRequest = {
       id: `${name}-${this.#count}`, kind, customer, work, body: `body of ${name}`, host: host.label, sentAt: Date.now(), siteVersion: 0
     }
-    this.surroundings.ledger.noteAsked(request)
+    this.context.history.recordRequest(request)
     const agent = new Agent()
-    const { end } = await callOnce(request, host.addresses['http'] ?? '', agent)
+    const { end } = await sendRequest(request, host.addresses['http'] ?? '', agent)
     agent.destroy()
-    this.surroundings.ledger.noteOutcome({ request, end, endedAt: Date.now() })
+    this.context.history.recordOutcome({ request, end, endedAt: Date.now() })
   }
 }
--- a/apps/soak/src/lib/SoakCluster.ts
+++ b/apps/soak/src/lib/SoakCluster.ts
@@ -1,70 +1,70 @@
-/** All processes of one run: control hosts and endpoints behind proxies, entry hosts as callers reach them. */
+/** All processes of one run: control hosts and endpoints behind proxies, and entry hosts that callers reach directly. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { EndpointListServer } from './EndpointListServer.js'
-import { endpointLineSchema, type RejectionLine, type RunLine } from './endpointWork.js'
+import { endpointLineSchema, type RejectionLine, type RunLine } from './standinProtocol.js'
 import type { SlotRole, SoakShape } from './faultPlan.js'
 import { LoopbackProxy } from './LoopbackProxy.js'
-import { Slot, type Incarnation, type SlotPlan } from './Slot.js'
-import { COLD_MS, dataCentreOf, MODEL, MODEL_SERVICE, PLAIN_SERVICE } from './soakSite.js'
+import { ProcessSlot, type Incarnation, type SlotPlan } from './ProcessSlot.js'
+import { COLD_DURATION_MS, dataCentreOf, MODEL, MODEL_SERVICE, PLAIN_SERVICE } from './soakSite.js'
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** How labels of processes end that have not started again. */
+/** Suffix of the labels of processes that have not been restarted. */
 export const FIRST_INCARNATION = '#1'
 
-/** All processes log, and entry hosts keep each request's story: a seed that failed must be explained from these files. */
+/** All processes log, and entry hosts record the history of each request, because a failed seed must be explained from these files. */
 const LOG_ENVIRONMENT = { ROARR_LOG: 'true', EELGRASSMUX_KEPT_STORIES: '1', EELGRASSMUX_LOG_LINES_PER_SECOND: '5000' }
 
-/** What a run decides about its processes. */
+/** Settings of the processes of one run. */
 export interface ClusterSettings {
   readonly shape: SoakShape
-  /** For logs and data. */
+  /** Folder for logs and data. */
   readonly folder: string
-  /** How long an entry host may live after SIGTERM, in milliseconds. */
+  /** Grace period of entry hosts from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
-  /** Control hosts acknowledge sites that they do not put: a break for the checks. */
+  /** Control hosts acknowledge changes without putting them in force: a break that the checks must detect. */
   readonly isForgetful: boolean
-  /** Endpoints that have started again are listed as cold for a while. */
+  /** Restarted endpoints are listed as cold for a while. */
   readonly hasColdReturns: boolean
-  /** Hosts do not read what endpoints ask of them: a break for the checks. */
+  /** Entry hosts ignore what endpoints ask of them: a break that the checks must detect. */
   readonly isDeaf: boolean
-  /** Told of each rejection at an endpoint that asks for a pause. */
+  /** Called for each rejection by an endpoint that asks for a pause. */
   onRejection (rejection: RejectionLine): void
-  /** Told of each run at an endpoint. */
+  /** Called for each run on an endpoint. */
   onRun (run: RunLine): void
-  /** Told of each process that started. */
+  /** Called for each process that has started. */
   onStart (label: string): void
-  /** Told of each process that ended; the code is null if a signal ended it. */
+  /** Called for each process that has exited; the code is null if a signal ended it. */
   onEnd (label: string, code: number | null): void
 }
 
-/** Starts and ends the processes. */
+/** Starts and stops the processes. */
 export class SoakCluster {
-  readonly list = new EndpointListServer()
-  readonly controls: Slot[] = []
-  readonly entries: Slot[] = []
-  readonly endpoints: Slot[] = []
+  readonly endpointList = new EndpointListServer()
+  readonly controls: ProcessSlot[] = []
+  readonly entries: ProcessSlot[] = []
+  readonly endpoints: ProcessSlot[] = []
   readonly #controlProxies: LoopbackProxy[] = []
   readonly #endpointProxies: LoopbackProxy[] = []
 
-  /** @param settings - shape and surroundings */
+  /** @param settings - settings of the processes */
   constructor (private readonly settings: ClusterSettings) {}
 
-  /** Starts all of them. */
+  /** Starts all processes: first endpoints and control hosts, then entry hosts. */
   async start (): Promise<void> {
     const { shape } = this.settings
-    const listAddress = await this.list.listen()
-    const control = await this.#openProxies(this.#controlProxies, shape.controls)
-    const endpoint = await this.#openProxies(this.#endpointProxies, shape.plainEndpoints + shape.engines)
-    this.endpoints.push(...endpoint.map((address, index) => this.#endpointSlot(index, address)))
-    this.controls.push(...control.map((address, index) => this.#controlSlot(index, address, control, listAddress)))
+    const listAddress = await this.endpointList.listen()
+    const controlAddresses = await this.#openProxies(this.#controlProxies, shape.controls)
+    const endpointAddresses = await this.#openProxies(this.#endpointProxies, shape.plainEndpoints + shape.engines)
+    this.endpoints.push(...endpointAddresses.map((address, index) => this.#endpointSlot(index, address)))
+    this.controls.push(...controlAddresses.map((address, index) => this.#controlSlot(index, address, controlAddresses, listAddress)))
     await Promise.all([...this.endpoints, ...this.controls].map(async slot => { await slot.start() }))
-    this.entries.push(...Array.from({ length: shape.entries }, (_, index) => this.#entrySlot(index, control)))
+    this.entries.push(...Array.from({ length: shape.entries }, (_, index) => this.#entrySlot(index, controlAddresses)))
     await Promise.all(this.entries.map(async slot => { await slot.start() }))
   }
 
   /** @returns the slots of a role */
-  slots (role: SlotRole): readonly Slot[] {
+  slots (role: SlotRole): readonly ProcessSlot[] {
     switch (role) {
       case 'entry': return this.entries
       case 'control': return this.controls
@@ -72,40 +72,40 @@
     }
   }
 
-  /** @returns the proxy before a process */
+  /** @returns the proxy in front of a process */
   proxy (role: 'control' | 'endpoint', index: number): LoopbackProxy {
     const proxy = (role === 'control' ? this.#controlProxies : this.#endpointProxies)[index]
-    if (proxy === undefined) throw new Error(`no proxy before ${role} ${index}`)
+    if (proxy === undefined) throw new Error(`no proxy in front of ${role} ${index}`)
     return proxy
   }
 
-  /** Ends all links' faults and wakes all processes. */
+  /** Removes the faults of all links and resumes all paused processes. */
   heal (): void {
-    for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.misbehave(undefined)
-    for (const slot of this.#allSlots()) slot.present?.process.signal('SIGCONT')
+    for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.setFault(undefined)
+    for (const slot of this.#allSlots()) slot.current?.process.signal('SIGCONT')
   }
 
-  /** Ends all processes and proxies. */
+  /** Stops all processes and proxies. */
   async stop (): Promise<void> {
     await Promise.all(this.#allSlots().map(async slot => { await slot.close() }))
     for (const proxy of [...this.#controlProxies, ...this.#endpointProxies]) proxy.close()
-    this.list.close()
-    // Streams of the logs have a turn to end.
+    this.endpointList.close()
+    // Gives the log streams one turn of the event loop to end.
     await sleep(0)
   }
 
-  /** @returns path of the log of an incarnation */
+  /** @returns path of the log file of an incarnation; empty if no slot has that name */
   logFile (label: string): string {
     const slot = this.#allSlots().find(({ name }) => label.startsWith(`${name}#`))
     return slot?.logFile(label) ?? ''
   }
 
-  /** @returns why a process could not be started again, if that happened */
+  /** @returns why a process could not be restarted; undefined if all could */
   failure (): Error | undefined {
     return this.#allSlots().find(slot => slot.failure !== undefined)?.failure
   }
 
-  #allSlots (): Slot[] {
+  #allSlots (): ProcessSlot[] {
     return [...this.entries, ...this.controls, ...this.endpoints]
   }
 
@@ -114,17 +114,17 @@
     return await Promise.all(proxies.map(async proxy => await proxy.listen()))
   }
 
-  #endpointSlot (index: number, address: string): Slot {
+  #endpointSlot (index: number, address: string): ProcessSlot {
     const isEngine = index >= this.settings.shape.plainEndpoints
     const name = `endpoint-${index}`
-    return new Slot({
+    return new ProcessSlot({
       name,
-      ...this.#common('endpoint'),
+      ...this.#commonPlan('endpoint'),
       args: label => ['--id', label, ...isEngine ? ['--model', MODEL, '--weights-version', '1'] : []],
       onLine: line => { this.#onEndpointLine(line) },
       onStart: incarnation => {
-        this.#aim(this.proxy('endpoint', index), incarnation, 'http')
-        this.list.list(name, {
+        this.#attachProxy(this.proxy('endpoint', index), incarnation, 'http')
+        this.endpointList.put(name, {
           id: incarnation.label,
           service: isEngine ? MODEL_SERVICE : PLAIN_SERVICE,
           address,
@@ -135,36 +135,36 @@
           isCold: this.settings.hasColdReturns && !incarnation.label.endsWith(FIRST_INCARNATION),
           models: isEngine ? [{ model: MODEL, version: 1 }] : []
         })
-        setTimeout(() => { this.list.markWarm(incarnation.label) }, COLD_MS).unref()
+        setTimeout(() => { this.endpointList.markWarm(incarnation.label) }, COLD_DURATION_MS).unref()
       }
     })
   }
 
-  #controlSlot (index: number, address: string, all: readonly string[], listAddress: string): Slot {
+  #controlSlot (index: number, address: string, controlAddresses: readonly string[], listAddress: string): ProcessSlot {
     const name = `control-${index}`
-    return new Slot({
+    return new ProcessSlot({
       name,
-      ...this.#common('control'),
+      ...this.#commonPlan('control'),
       args: () => [
         '--data-centre', dataCentreOf(index), '--data-folder', `${this.settings.folder}/${name}`, '--advertise', address, '--list', listAddress,
-        '--bootstrap', 'true', '--join', all.join(','), '--minimum-voters', String(all.length), '--forgetful', String(this.settings.isForgetful)
+        '--bootstrap', 'true', '--join', controlAddresses.join(','), '--minimum-voters', String(controlAddresses.length), '--forgetful', String(this.settings.isForgetful)
       ],
-      onStart: incarnation => { this.#aim(this.proxy('control', index), incarnation, 'rpc') }
+      onStart: incarnation => { this.#attachProxy(this.proxy('control', index), incarnation, 'rpc') }
     })
   }
 
-  #entrySlot (index: number, control: readonly string[]): Slot {
-    return new Slot({
+  #entrySlot (index: number, controlAddresses: readonly string[]): ProcessSlot {
+    return new ProcessSlot({
       name: `entry-${index}`,
-      ...this.#common('entry'),
-      // Its own loopback address tells it from the others while its port is free.
-      args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', control.join(','), '--deaf', String(this.settings.isDeaf)],
+      ...this.#commonPlan('entry'),
+      // Each entry host has its own loopback address, which identifies it although its port is assigned by the system.
+      args: () => ['--host', `127.0.1.${index + 1}`, '--data-centre', dataCentreOf(index), '--control', controlAddresses.join(','), '--deaf', String(this.settings.isDeaf)],
       environment: { ...LOG_ENVIRONMENT, EELGRASSMUX_STOP_GRACE_SECONDS: String(this.settings.graceMs / MILLISECONDS_PER_SECOND) },
       onStart: incarnation => { this.settings.onStart(incarnation.label) }
     })
   }
 
-  #common (program: string): Pick<SlotPlan, 'program' | 'logFolder' | 'environment' | 'onEnd'> {
+  #commonPlan (program: string): Pick<SlotPlan, 'program' | 'logFolder' | 'environment' | 'onEnd'> {
     return {
       environment: LOG_ENVIRONMENT,
       program: new URL(`../${program}.js`, import.meta.url.replace('/src/lib/', '/dist/lib/')),
@@ -173,17 +173,17 @@
     }
   }
 
-  #aim (proxy: LoopbackProxy, { label, addresses }: Incarnation, served: string): void {
-    proxy.target = Number(addresses[served]?.split(':')[1])
+  #attachProxy (proxy: LoopbackProxy, { label, addresses }: Incarnation, addressName: string): void {
+    proxy.target = Number(addresses[addressName]?.split(':')[1])
     this.settings.onStart(label)
   }
 
   #onEndpointLine (text: string): void {
     const line = endpointLineSchema.safeParse(JSON.parse(text))
-    // The line that says where it listens is read elsewhere.
+    // ManagedProcess reads the other kind of line, which has the address that the process listens on.
     if (!line.success) return
     if (line.data.event === 'run') this.settings.onRun(line.data)
     else if (line.data.event === 'rejected') this.settings.onRejection(line.data)
-    else this.list.setWeights(line.data.endpoint, MODEL, line.data.version)
+    else this.endpointList.setWeights(line.data.endpoint, MODEL, line.data.version)
   }
 }
--- a/apps/soak/src/lib/runSoak.ts
+++ b/apps/soak/src/lib/runSoak.ts
@@ -1,4 +1,4 @@
-/** One seeded run: start, faults under load, recovery, and what it found. */
+/** Runs the soak with one seed: starts all processes, injects faults under load, waits for the recovery and collects the violations. */
 import { mkdtemp, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -8,68 +8,68 @@
 import { ConfigurationCheck } from './checks/ConfigurationCheck.js'
 import { EvacuationsHoldCheck } from './checks/EvacuationsHoldCheck.js'
 import { requestChecks } from './checks/requestChecks.js'
-import { Draws } from './Draws.js'
-import { CRASHED_BY_REQUEST_CODE, ENDPOINT_BREAKS, type EndpointBreak } from './endpointWork.js'
-import { FaultDriver } from './FaultDriver.js'
+import { SeededRandom } from './SeededRandom.js'
+import { CRASHED_BY_REQUEST_EXIT_CODE, ENDPOINT_BREAKS, type EndpointBreak } from './standinProtocol.js'
+import { FaultInjector } from './FaultInjector.js'
 import { planFaults, type FaultKind, type SoakShape } from './faultPlan.js'
 import { planRepeatedRequests } from './planRepeatedRequests.js'
 import { RepeatingCaller } from './RepeatingCaller.js'
-import { Ledger, type Violation } from './Ledger.js'
+import { RequestHistory, type Violation } from './RequestHistory.js'
 import { Operator } from './Operator.js'
 import { SoakCluster } from './SoakCluster.js'
 import { MODEL } from './soakSite.js'
-import { TimeLine } from './TimeLine.js'
+import { Timeline } from './Timeline.js'
 
-/** Ways to break a promise on purpose, beyond those of the endpoints. */
+/** Ways to break a guarantee on purpose, in addition to those of the endpoint stand-ins. */
 export const PROCESS_BREAKS = ['abrupt-stop', 'forgetful-control', 'deaf-hosts', 'no-cold-rate'] as const
 export type SoakBreak = EndpointBreak | typeof PROCESS_BREAKS[number]
 
-/** What a run is to do. */
+/** Parameters of a run. */
 export interface SoakPlan {
   readonly seed: number
-  /** How long new faults come. */
+  /** Duration of the fault phase, in seconds. */
   readonly seconds: number
   readonly shape: SoakShape
   readonly callers: number
   /** Time from SIGTERM to SIGKILL, in milliseconds. */
   readonly graceMs: number
   readonly breaks: readonly SoakBreak[]
-  /** Time in which everything is in order again after the last fault, in milliseconds. */
+  /** Time limit of each step of the recovery after the last fault, in milliseconds; the default is {@link RECOVERY_TIMEOUT_MS}. */
   readonly recoveryMs?: number
-  /** Kinds of faults to draw from. */
+  /** Kinds of faults to choose from. */
   readonly kinds?: readonly FaultKind[]
-  /** Requests that crash each endpoint that runs them and come again and again, beside one that comes as often and ends none; 0 if absent. */
+  /** Number of requests that crash each endpoint that runs them and are sent repeatedly, beside a harmless one; 0 if absent. */
   readonly poisonRequests?: number
 }
 
-/** What a run has shown. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number
   readonly requests: number
-  /** Ends of requests by status, `cut` for those without one. */
-  readonly ends: ReadonlyMap<string, number>
-  readonly acts: number
+  /** Number of requests by status, and of those that were cut off as `cut`. */
+  readonly endCounts: ReadonlyMap<string, number>
+  readonly actionCount: number
   readonly violations: readonly Violation[]
-  /** One line for each act. */
-  readonly timeLine: readonly string[]
-  /** Logs of the processes that broken promises involve. */
+  /** One line for each action. */
+  readonly timeline: readonly string[]
+  /** Log files of the processes that were involved in violations. */
   readonly logFiles: readonly string[]
 }
 
-/** Usual time for the recovery, in milliseconds: far above what the product needs on a busy machine. */
-const RECOVERY_MS = 60_000
+/** Default time limit of each step of the recovery, in milliseconds: far more than the product needs, even if the processors are busy. */
+const RECOVERY_TIMEOUT_MS = 60_000
 
-/** Tells apart the draws of faults, callers and the operator. */
-const OPERATOR_SEED = 500_000
-const CALLER_SEED = 1_000_000
-const REPEATING_SEED = 2_000_000
+/** Offsets that keep the random sequences of the faults, the operator and the callers apart. */
+const OPERATOR_SEED_OFFSET = 500_000
+const CALLER_SEED_OFFSET = 1_000_000
+const REPEATING_SEED_OFFSET = 2_000_000
 
-/** Keeps the draws of repeated requests of two seeds apart. */
-const MOST_REPEATED = 100
+/** Maximum number of repeated requests in a run; keeps the random sequences of repeating callers apart between seeds. */
+const MAX_REPEATED_REQUESTS = 100
 
 /**
- * @param plan - what to do
- * @returns what was seen; the logs stay if a promise was broken
+ * @param plan - parameters of the run
+ * @returns the result; the log files are kept if a guarantee was broken
  */
 export async function runSoak (plan: SoakPlan): Promise<SoakResult> {
   const run = new SoakRun(plan, await mkdtemp(join(tmpdir(), `eelgrassmux-soak-${plan.seed}-`)))
@@ -77,9 +77,9 @@
 }
 
 class SoakRun {
-  readonly #timeLine = new TimeLine()
+  readonly #timeline = new Timeline()
   readonly #evacuations = new EvacuationsHoldCheck()
-  readonly #ledger: Ledger
+  readonly #history: RequestHistory
   readonly #configuration: ConfigurationCheck
   readonly #cluster: SoakCluster
   readonly #operator: Operator
@@ -89,8 +89,8 @@
   constructor (private readonly plan: SoakPlan, private readonly folder: string) {
     const { seed, shape, graceMs, breaks } = plan
     const hasColdReturns = plan.kinds?.includes('cold-return') ?? false
-    this.#ledger = new Ledger(this.#timeLine, [...requestChecks(hasColdReturns), this.#evacuations])
-    this.#configuration = new ConfigurationCheck(this.#ledger)
+    this.#history = new RequestHistory(this.#timeline, [...requestChecks(hasColdReturns), this.#evacuations])
+    this.#configuration = new ConfigurationCheck(this.#history)
     this.#cluster = new SoakCluster({
       shape,
       folder,
@@ -98,24 +98,24 @@
       isForgetful: breaks.includes('forgetful-control'),
       isDeaf: breaks.includes('deaf-hosts'),
       hasColdReturns,
-      onRejection: line => { this.#ledger.noteRejection(line) },
-      onRun: line => { this.#ledger.noteRun(line) },
-      onStart: label => { this.#timeLine.note(label, 'started', false) },
-      onEnd: (label, code) => { this.#noteEnd(label, code) }
+      onRejection: line => { this.#history.recordRejection(line) },
+      onRun: line => { this.#history.recordRun(line) },
+      onStart: label => { this.#timeline.record(label, 'started', false) },
+      onEnd: (label, code) => { this.#recordProcessEnd(label, code) }
     })
     this.#balancer = new Balancer(this.#cluster.entries)
-    this.#operator = new Operator(this.#cluster.controls, new Draws(seed + OPERATOR_SEED), this.#configuration, hasColdReturns && !breaks.includes('no-cold-rate'))
-    const surroundings = {
+    this.#operator = new Operator(this.#cluster.controls, new SeededRandom(seed + OPERATOR_SEED_OFFSET), this.#configuration, hasColdReturns && !breaks.includes('no-cold-rate'))
+    const context = {
       balancer: this.#balancer,
-      ledger: this.#ledger,
+      history: this.#history,
       configuration: this.#configuration,
       breaks: ENDPOINT_BREAKS.filter(name => breaks.includes(name))
     }
-    const usual = Array.from({ length: plan.callers }, (_, index) =>
-      new Caller(`r${index}`, new Draws(CALLER_SEED + seed * plan.callers + index), surroundings))
-    const repeating = planRepeatedRequests(seed, plan.poisonRequests ?? 0).map((repeated, index) =>
-      new RepeatingCaller(repeated, new Draws(REPEATING_SEED + seed * MOST_REPEATED + index), surroundings))
-    this.#callers = [...usual, ...repeating]
+    const plainCallers = Array.from({ length: plan.callers }, (_, index) =>
+      new Caller(`r${index}`, new SeededRandom(CALLER_SEED_OFFSET + seed * plan.callers + index), context))
+    const repeatingCallers = planRepeatedRequests(seed, plan.poisonRequests ?? 0).map((repeated, index) =>
+      new RepeatingCaller(repeated, new SeededRandom(REPEATING_SEED_OFFSET + seed * MAX_REPEATED_REQUESTS + index), context))
+    this.#callers = [...plainCallers, ...repeatingCallers]
   }
 
   async play (): Promise<SoakResult> {
@@ -123,36 +123,36 @@
       await this.#cluster.start()
       this.#balancer.start()
       await this.#operator.putSite()
-      await until(async () => this.#balancer.isComplete, RECOVERY_MS)
-      await this.#exercise()
+      await until(async () => this.#balancer.areAllReady, RECOVERY_TIMEOUT_MS)
+      await this.#injectFaults()
     } finally {
       this.#balancer.close()
       await this.#cluster.stop()
     }
-    this.#ledger.settleAll()
+    this.#history.settleAll()
     const result = this.#result()
     if (result.violations.length === 0) await rm(this.folder, { recursive: true, force: true })
     return result
   }
 
-  #noteEnd (label: string, code: number | null): void {
-    this.#timeLine.note(label, `ended with ${code ?? 'a signal'}`, false)
-    if (code === CRASHED_BY_REQUEST_CODE) {
-      this.#timeLine.note(label, 'ended by a request', true)
+  #recordProcessEnd (label: string, code: number | null): void {
+    this.#timeline.record(label, `exited with ${code ?? 'a signal'}`, false)
+    if (code === CRASHED_BY_REQUEST_EXIT_CODE) {
+      this.#timeline.record(label, 'crashed by a request', true)
       return
     }
-    const isExpected = code === null ? this.#timeLine.wasKilled(label) : code === 0 && this.#timeLine.stopOf(label) !== undefined
-    if (!isExpected) this.#ledger.noteViolation('ends-when-told', `${label} ended with ${code ?? 'a signal that nobody sent'}`, [label])
+    const isExpected = code === null ? this.#timeline.wasKilled(label) : code === 0 && this.#timeline.stopOf(label) !== undefined
+    if (!isExpected) this.#history.recordViolation('ends-when-told', `${label} exited with ${code ?? 'a signal that the soak did not send'}`, [label])
   }
 
-  async #exercise (): Promise<void> {
+  async #injectFaults (): Promise<void> {
     const { seed, seconds, shape, graceMs, breaks, kinds } = this.plan
     const calling = Promise.all(this.#callers.map(async caller => { await caller.run() }))
-    const reading = this.#operator.readOn()
-    const driver = new FaultDriver(this.#cluster, this.#operator, this.#timeLine, this.#evacuations, { graceMs, isAbrupt: breaks.includes('abrupt-stop') })
-    await driver.run(planFaults(seed, seconds, shape, kinds))
+    const reading = this.#operator.readRepeatedly()
+    const injector = new FaultInjector(this.#cluster, this.#operator, this.#timeline, this.#evacuations, { graceMs, isAbrupt: breaks.includes('abrupt-stop') })
+    await injector.run(planFaults(seed, seconds, shape, kinds))
     this.#cluster.heal()
-    this.#timeLine.note('soak', 'the last fault is over', false)
+    this.#timeline.record('soak', 'the last fault has ended', false)
     for (const caller of this.#callers) caller.stop()
     this.#operator.stop()
     await Promise.all([calling, reading])
@@ -160,41 +160,41 @@
   }
 
   async #recover (): Promise<void> {
-    await this.#expect('all entry hosts are ready', async () => this.#balancer.isComplete)
-    await this.#expect('the site can be read', async () => await this.#operator.readOnce())
-    await this.#expect('all engines have the newest weights', async () => this.#haveNewestWeights())
+    await this.#waitFor('all entry hosts are ready', async () => this.#balancer.areAllReady)
+    await this.#waitFor('the site can be read', async () => await this.#operator.readOnce())
+    await this.#waitFor('all engines have the newest weights', async () => this.#haveEnginesNewestWeights())
     const failure = this.#cluster.failure()
-    if (failure !== undefined) this.#ledger.noteViolation('recovers', failure.message, [])
+    if (failure !== undefined) this.#history.recordViolation('recovers', failure.message, [])
   }
 
-  async #expect (what: string, condition: () => Promise<boolean>): Promise<void> {
+  async #waitFor (what: string, condition: () => Promise<boolean>): Promise<void> {
     try {
-      await until(condition, this.plan.recoveryMs ?? RECOVERY_MS)
+      await until(condition, this.plan.recoveryMs ?? RECOVERY_TIMEOUT_MS)
     } catch (error) {
-      this.#ledger.noteViolation('recovers', `not so: ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
+      this.#history.recordViolation('recovers', `timed out waiting until ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
     }
   }
 
-  #haveNewestWeights (): boolean {
-    const held = [...this.#cluster.list.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
-    return held.every(({ version }) => version >= this.#operator.newestWeights)
+  #haveEnginesNewestWeights (): boolean {
+    const loaded = [...this.#cluster.endpointList.endpoints].flatMap(({ models }) => models).filter(({ model }) => model === MODEL)
+    return loaded.every(({ version }) => version >= this.#operator.newestWeightsVersion)
   }
 
   #result (): SoakResult {
-    const { violations } = this.#ledger
-    const ends = new Map<string, number>()
-    for (const { end } of this.#ledger.outcomes) {
+    const { violations } = this.#history
+    const endCounts = new Map<string, number>()
+    for (const { end } of this.#history.outcomes) {
       const name = end.kind === 'cut' ? 'cut' : String(end.status)
-      ends.set(name, (ends.get(name) ?? 0) + 1)
+      endCounts.set(name, (endCounts.get(name) ?? 0) + 1)
     }
     const involved = new Set(violations.flatMap(({ processes }) => processes))
     return {
       seed: this.plan.seed,
-      requests: this.#ledger.requestCount,
-      ends,
-      acts: this.#timeLine.entries.length,
+      requests: this.#history.requestCount,
+      endCounts,
+      actionCount: this.#timeline.entries.length,
       violations,
-      timeLine: this.#timeLine.describe(),
+      timeline: this.#timeline.describe(),
       logFiles: [...involved].map(label => this.#cluster.logFile(label))
     }
   }
