--- a/apps/control/src/lib/orders/OrderTask.test.ts
+++ b/apps/control/src/lib/orders/OrderTask.test.ts
@@ -33,7 +33,7 @@
         whileReporting()
         return succeed({ version: 'old' } as unknown as EngineReport)
       },
-      order: async () => {
+      sendOrder: async () => {
         orders += 1
         return succeed({ ok: true })
       },
