--- a/apps/bench/src/demo.ts
+++ b/apps/bench/src/demo.ts
@@ -8,7 +8,7 @@
 import { streamCompletion, type CompletionCall, type StreamedAnswer } from '@eelgrassmux/load/completionStream'
 import { isWhole } from '@eelgrassmux/load/isWhole'
 import { postOnce } from './lib/postOnce.js'
-import { Cluster, until } from './lib/Cluster.js'
+import { Cluster, waitUntil } from './lib/Cluster.js'
 import { LSCSA_PROFILE, TMTS_PROFILE } from './lib/profiles.js'
 
 const CUSTOMERS = [
@@ -50,7 +50,7 @@
     const objects = await Promise.all(cluster.directories.map(async member => await cluster.metric(member, 'eelgrassmux_directory_objects')))
     return objects.some(count => count > 0)
   }
-  await until(published)
+  await waitUntil(published)
   for (let other = 0; other < 14; other += 1) await streamCompletion(call(cluster, promptOf(`other family ${other}`, 12_000), other % 3))
   await sleep(600)
   const returned = await streamCompletion(call(cluster, prompt, 1))
--- a/apps/bench/src/lib/Cluster.ts
+++ b/apps/bench/src/lib/Cluster.ts
@@ -189,10 +189,10 @@
   /** Waits until all entry hosts and directories are ready and all shards have owners. */
   async waitUntilReady (): Promise<void> {
     for (const member of [...this.directories, ...this.entries]) {
-      await until(async () => (await request(`http://${member.addresses.admin}/readyz`)).statusCode === 200)
+      await waitUntil(async () => (await request(`http://${member.addresses.admin}/readyz`)).statusCode === 200)
     }
     if (this.directories.length === 0) return
-    await until(async () => {
+    await waitUntil(async () => {
       const owned = await Promise.all(this.directories.map(async member => await this.metric(member, 'eelgrassmux_directory_shards')))
       return owned.reduce((sum, shards) => sum + shards, 0) >= SHARDS
     })
@@ -267,7 +267,7 @@
   async #startControls (): Promise<void> {
     for (let index = 0; index < this.plan.controls; index += 1) await this.addControl(index)
     const wanted = this.plan.controls
-    await until(async () => (await this.command(['members'])).stdout.split('\n').filter(line => line.startsWith('voter')).length === wanted)
+    await waitUntil(async () => (await this.command(['members'])).stdout.split('\n').filter(line => line.startsWith('voter')).length === wanted)
   }
 
   /**
@@ -303,7 +303,7 @@
  * @param condition - asked again and again; a rejection counts as no
  * @param timeoutMs - longest wait, in milliseconds
  */
-export async function until (condition: () => Promise<boolean>, timeoutMs = CONDITION_MS): Promise<void> {
+export async function waitUntil (condition: () => Promise<boolean>, timeoutMs = CONDITION_MS): Promise<void> {
   const deadline = performance.now() + timeoutMs
   while (performance.now() < deadline) {
     if (await condition().catch(() => false)) return
--- a/apps/bench/src/lib/measure/measureControl.ts
+++ b/apps/bench/src/lib/measure/measureControl.ts
@@ -4,7 +4,7 @@
 import { listHosts, propose, watchView } from '@eelgrassmux/rpc/methods/controlMethods'
 import { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { Command } from '@eelgrassmux/state/commands'
-import { Cluster, until, type ClusterMember } from '../Cluster.js'
+import { Cluster, waitUntil, type ClusterMember } from '../Cluster.js'
 import { TMTS_PROFILE } from '../profiles.js'
 import { median, percentile } from './fit.js'
 
@@ -53,7 +53,7 @@
  */
 export async function findLeader (cluster: Cluster): Promise<ClusterMember> {
   let leader: ClusterMember | undefined
-  await until(async () => {
+  await waitUntil(async () => {
     for (const control of cluster.controls) {
       if (control.process.isRunning && await cluster.metric(control, 'eelgrassmux_raft_is_leader') === 1) leader = control
     }
--- a/apps/bench/src/processes.test.ts
+++ b/apps/bench/src/processes.test.ts
@@ -7,7 +7,7 @@
 import { resumeCompletion, streamCompletion, type CompletionCall, type StreamedAnswer } from '@eelgrassmux/load/completionStream'
 import { isWhole } from '@eelgrassmux/load/isWhole'
 import { postOnce } from './lib/postOnce.js'
-import { Cluster, until, type ClusterMember } from './lib/Cluster.js'
+import { Cluster, waitUntil, type ClusterMember } from './lib/Cluster.js'
 import { TMTS_PROFILE } from './lib/profiles.js'
 
 const WARD = { name: 'ward', credential: 'ward-credential', share: 1 }
@@ -46,7 +46,7 @@
 
   const leader = async (): Promise<ClusterMember> => {
     let found: ClusterMember | undefined
-    await until(async () => {
+    await waitUntil(async () => {
       for (const control of cluster.controls) {
         if (!control.process.isRunning) continue
         if (await cluster.metric(control, 'eelgrassmux_raft_is_leader') === 1) found = control
@@ -140,7 +140,7 @@
       await sleep(400)
       gone.abort()
       await first
-      await until(async () => await cluster.metric(member(cluster.entries, 0), 'eelgrassmux_runs_under_way') === 0)
+      await waitUntil(async () => await cluster.metric(member(cluster.entries, 0), 'eelgrassmux_runs_under_way') === 0)
     })
   })
 
@@ -165,7 +165,7 @@
       await rm(join(cluster.folder, `control-${index}`), { recursive: true })
       await cluster.restart(lost)
       expect(lost.addresses.replicaId).not.toBe(oldId)
-      await until(async () => {
+      await waitUntil(async () => {
         const { stdout } = await cluster.command(['members'])
         return stdout.includes(`voter ${lost.addresses.replicaId ?? ''}`) && !stdout.includes(oldId)
       })
@@ -189,7 +189,7 @@
       stopped.process.signal('SIGCONT')
       const first = await streamCompletion(call(2, prompt('a stopped host'), 4))
       if (first.status !== 200) expect(first.problem).toMatchObject({ type: 'urn:eelgrassmux:problem:configuration-stale', run: 'not-run' })
-      await until(async () => (await streamCompletion(call(2, prompt('a stopped host'), 4))).isDone)
+      await waitUntil(async () => (await streamCompletion(call(2, prompt('a stopped host'), 4))).isDone)
       const revisions = await Promise.all(cluster.entries.map(async entry => await cluster.metric(entry, 'eelgrassmux_configuration_revision')))
       expect(new Set(revisions).size).toBe(1)
     })
@@ -246,7 +246,7 @@
         }
       })
       await cluster.applyAll([{ kind: 'model', name: 'base', version: 'v2', servingFloor: 1 }])
-      await until(async () => !(await cluster.command(['orders'])).stdout.includes('runs v1'))
+      await waitUntil(async () => !(await cluster.command(['orders'])).stdout.includes('runs v1'))
       ending.abort()
       await Promise.all(traffic)
       const versions = new Set(answers.map(({ answer }) => answer.version))
@@ -280,7 +280,7 @@
         await sleep(500)
         expect(await entry.process.stop()).toBe(0)
         await cluster.restart(entry)
-        await until(async () => await ready(entry))
+        await waitUntil(async () => await ready(entry))
       }
       ending.abort()
       await Promise.all(callers)
--- a/apps/soak/src/lib/runSoak.ts
+++ b/apps/soak/src/lib/runSoak.ts
@@ -2,7 +2,7 @@
 import { mkdtemp, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { until } from '@eelgrassmux/bench/Cluster'
+import { waitUntil } from '@eelgrassmux/bench/Cluster'
 import { Balancer } from './Balancer.js'
 import { Caller } from './Caller.js'
 import { ConfigurationCheck } from './checks/ConfigurationCheck.js'
@@ -123,7 +123,7 @@
       await this.#cluster.start()
       this.#balancer.start()
       await this.#operator.putSite()
-      await until(async () => this.#balancer.isComplete, RECOVERY_MS)
+      await waitUntil(async () => this.#balancer.isComplete, RECOVERY_MS)
       await this.#exercise()
     } finally {
       this.#balancer.close()
@@ -169,7 +169,7 @@
 
   async #expect (what: string, condition: () => Promise<boolean>): Promise<void> {
     try {
-      await until(condition, this.plan.recoveryMs ?? RECOVERY_MS)
+      await waitUntil(condition, this.plan.recoveryMs ?? RECOVERY_MS)
     } catch (error) {
       this.#ledger.noteViolation('recovers', `not so: ${what} (${String(error)})`, this.#cluster.entries.map(slot => slot.label))
     }
