--- a/apps/bench/src/demo.ts
+++ b/apps/bench/src/demo.ts
@@ -23,9 +23,9 @@
 
 let failures = 0
 
-function report (step: string, isAsStated: boolean, detail: string): void {
-  if (!isAsStated) failures += 1
-  process.stdout.write(`${isAsStated ? 'ok  ' : 'FAIL'} ${step}: ${detail}\n`)
+function report (step: string, holds: boolean, detail: string): void {
+  if (!holds) failures += 1
+  process.stdout.write(`${holds ? 'ok  ' : 'FAIL'} ${step}: ${detail}\n`)
 }
 
 /** A prompt of its own length and content for each name. */
--- a/apps/bench/src/lib/Cluster.ts
+++ b/apps/bench/src/lib/Cluster.ts
@@ -53,7 +53,7 @@
 }
 
 /** Longest wait for a condition, in milliseconds. */
-const CONDITION_MS = 20_000
+const CONDITION_TIMEOUT_MS = 20_000
 
 /** Starts, drives and stops a cluster. */
 export class Cluster {
@@ -80,10 +80,10 @@
       await cluster.#startBackends()
       await cluster.#startControls()
       const control = ['--control', cluster.controlAddresses]
-      cluster.directories.push(...await many(plan.directories, async index =>
+      cluster.directories.push(...await startAll(plan.directories, async index =>
         await start('directory', ['--data-centre', cluster.#dataCentre(index), ...control, ...plan.directoryArgs ?? []])))
       await cluster.applyAll()
-      cluster.entries.push(...await many(plan.entries, async index => await cluster.#startEntry(index)))
+      cluster.entries.push(...await startAll(plan.entries, async index => await cluster.#startEntry(index)))
       await cluster.waitUntilReady()
     } catch (error) {
       await cluster.stop()
@@ -234,12 +234,12 @@
    * Restarts a member with its addresses.
    *
    * @param member - a stopped member
-   * @param more - arguments that differ from the first start
+   * @param extraArgs - arguments that differ from the first start
    */
-  async restart (member: ClusterMember, more: readonly string[] = []): Promise<void> {
+  async restart (member: ClusterMember, extraArgs: readonly string[] = []): Promise<void> {
     const portFlags = Object.entries({ rpc: '--port', http: '--port', peer: '--peer-port', admin: '--admin-port' })
       .flatMap(([name, flag]) => member.addresses[name] === undefined ? [] : [flag, member.addresses[name].split(':')[1] ?? '0'])
-    const started = await ManagedProcess.start(member.process.program, [...member.args, ...portFlags, ...(member.process.program === 'standin' ? more : [])])
+    const started = await ManagedProcess.start(member.process.program, [...member.args, ...portFlags, ...(member.process.program === 'standin' ? extraArgs : [])])
     member.process = started.process
     member.addresses = started.addresses
   }
@@ -257,11 +257,11 @@
     this.weights = await start('standin', ['weights', '--load-ms', '300'])
     this.members = await start('standin', ['members', '--lag-ms', '500'])
     const engineArgs = ['engine', '--weight-store', this.weights.addresses.http ?? '', ...plan.engineArgs ?? []]
-    this.engines.push(...await many(plan.engines, async () => await start('standin', engineArgs)))
+    this.engines.push(...await startAll(plan.engines, async () => await start('standin', engineArgs)))
     const link = String(plan.storeLinkBytesPerSecond ?? 100 * 1024 * 1024)
     const storeArgs = ['store', '--link-bytes-per-second', link, ...plan.storeArgs ?? []]
-    this.stores.push(...await many(plan.stores, async () => await start('standin', storeArgs)))
-    this.services.push(...await many(plan.services, async index => await start('standin', ['service', '--name', `accounts-${index}`])))
+    this.stores.push(...await startAll(plan.stores, async () => await start('standin', storeArgs)))
+    this.services.push(...await startAll(plan.services, async index => await start('standin', ['service', '--name', `accounts-${index}`])))
   }
 
   async #startControls (): Promise<void> {
@@ -293,7 +293,7 @@
   return { ...await ManagedProcess.start(program, args), args }
 }
 
-async function many<Item> (count: number, make: (index: number) => Promise<Item>): Promise<Item[]> {
+async function startAll<Item> (count: number, make: (index: number) => Promise<Item>): Promise<Item[]> {
   return await Promise.all(Array.from({ length: count }, async (_, index) => await make(index)))
 }
 
@@ -303,7 +303,7 @@
  * @param condition - asked again and again; a rejection counts as no
  * @param timeoutMs - longest wait, in milliseconds
  */
-export async function waitUntil (condition: () => Promise<boolean>, timeoutMs = CONDITION_MS): Promise<void> {
+export async function waitUntil (condition: () => Promise<boolean>, timeoutMs = CONDITION_TIMEOUT_MS): Promise<void> {
   const deadline = performance.now() + timeoutMs
   while (performance.now() < deadline) {
     if (await condition().catch(() => false)) return
--- a/apps/bench/src/lib/ManagedProcess.ts
+++ b/apps/bench/src/lib/ManagedProcess.ts
@@ -25,7 +25,7 @@
 const EXIT_INTERRUPTED = 130
 
 /** Longest wait for the line that says where a process listens, in milliseconds. */
-const START_MS = 20_000
+const START_TIMEOUT_MS = 20_000
 
 /**
  * @param program - which program
@@ -36,10 +36,10 @@
 }
 
 /** Processes that must not outlive this script, however it ends. */
-const running = new Set<ChildProcess>()
+const runningChildren = new Set<ChildProcess>()
 
 process.once('exit', () => {
-  for (const child of running) child.kill('SIGKILL')
+  for (const child of runningChildren) child.kill('SIGKILL')
 })
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => { process.exit(EXIT_INTERRUPTED) })
@@ -50,19 +50,19 @@
   readonly #child: ChildProcess
   readonly #exit: Promise<number | null>
   readonly #log: WriteStream | undefined
-  #errors = ''
+  #stderrTail = ''
 
   private constructor (readonly program: ProgramName | URL, readonly args: readonly string[], private readonly options: ProcessOptions) {
     const env = { ...process.env, ...options.environment }
     this.#child = spawn(process.execPath, [programPath(program), ...args], { stdio: ['ignore', 'pipe', 'pipe'], env })
     this.#log = options.logFile === undefined ? undefined : createWriteStream(options.logFile)
-    running.add(this.#child)
+    runningChildren.add(this.#child)
     this.#exit = once(this.#child, 'exit').then(([code]) => {
-      running.delete(this.#child)
+      runningChildren.delete(this.#child)
       return code as number | null
     })
     this.#child.stderr?.on('data', (bytes: Buffer) => {
-      this.#errors = (this.#errors + bytes.toString()).slice(-4000)
+      this.#stderrTail = (this.#stderrTail + bytes.toString()).slice(-4000)
       this.#log?.write(bytes)
     })
   }
@@ -78,15 +78,15 @@
   static async start (
     program: ProgramName | URL, args: readonly string[], options: ProcessOptions = {}
   ): Promise<{ process: ManagedProcess, addresses: PrintedAddresses }> {
-    const managed = new ManagedProcess(program, args, options)
-    const addresses = await managed.#listening()
-    return { process: managed, addresses }
+    const startedProcess = new ManagedProcess(program, args, options)
+    const addresses = await startedProcess.#waitUntilListening()
+    return { process: startedProcess, addresses }
   }
 
   get pid (): number { return this.#child.pid ?? 0 }
   get isRunning (): boolean { return this.#child.exitCode === null && this.#child.signalCode === null }
   /** Last lines of the error output. */
-  get errors (): string { return this.#errors }
+  get stderrTail (): string { return this.#stderrTail }
 
   /**
    * Sends a signal to this process.
@@ -114,12 +114,12 @@
     await this.exited()
   }
 
-  async #listening (): Promise<PrintedAddresses> {
+  async #waitUntilListening (): Promise<PrintedAddresses> {
     const stdout = this.#child.stdout
     if (stdout === null) throw new Error('no standard output')
     const lines = createInterface({ input: stdout })
     return await new Promise((resolve, reject) => {
-      const timer = setTimeout(() => { reject(new Error(`${String(this.program)} did not listen in time: ${this.#errors}`)) }, START_MS)
+      const timer = setTimeout(() => { reject(new Error(`${String(this.program)} did not listen in time: ${this.#stderrTail}`)) }, START_TIMEOUT_MS)
       lines.on('line', line => {
         this.#log?.write(`${line}\n`)
         this.options.onLine?.(line)
@@ -130,7 +130,7 @@
       })
       void this.#exit.then(code => {
         clearTimeout(timer)
-        reject(new Error(`${String(this.program)} ended with ${code ?? 'a signal'}: ${this.#errors}`))
+        reject(new Error(`${String(this.program)} ended with ${code ?? 'a signal'}: ${this.#stderrTail}`))
       })
     })
   }
--- a/apps/bench/src/lib/measure/faults.ts
+++ b/apps/bench/src/lib/measure/faults.ts
@@ -10,7 +10,7 @@
 export type FaultName = typeof FAULT_NAMES[number]
 
 /** How long a fault lasts where it has an end, in milliseconds. */
-const FAULT_MS = 4000
+const FAULT_DURATION_MS = 4000
 
 /**
  * Brings a fault about and mends it.
@@ -18,23 +18,23 @@
  * @param cluster - where
  * @param fault - which
  */
-export async function bringAbout (cluster: Cluster, fault: FaultName): Promise<void> {
+export async function injectFault (cluster: Cluster, fault: FaultName): Promise<void> {
   switch (fault) {
-    case 'store-dies': await restartAfter(cluster, cluster.stores[0], FAULT_MS); break
+    case 'store-dies': await restartAfter(cluster, cluster.stores[0], FAULT_DURATION_MS); break
     case 'store-full': await post(cluster.stores[0], '/standin/fill'); break
     case 'slow-link': {
       const full = cluster.plan.storeLinkBytesPerSecond ?? 0
       await post(cluster.stores[0], `/standin/link/${Math.round(full / 10)}`)
-      await sleep(FAULT_MS)
+      await sleep(FAULT_DURATION_MS)
       await post(cluster.stores[0], `/standin/link/${full}`)
       break
     }
     case 'engine-restarts': await restartAfter(cluster, cluster.engines[0], 0); break
     case 'entry-killed': await restartAfter(cluster, cluster.entries[0], 500); break
     case 'control-cut-off': {
-      const leader = await leaderOf(cluster)
+      const leader = await currentLeader(cluster)
       leader?.process.signal('SIGSTOP')
-      await sleep(FAULT_MS)
+      await sleep(FAULT_DURATION_MS)
       leader?.process.signal('SIGCONT')
       break
     }
@@ -48,7 +48,7 @@
   await cluster.restart(member, ['--incarnation', '2'])
 }
 
-async function leaderOf (cluster: Cluster): Promise<ClusterMember | undefined> {
+async function currentLeader (cluster: Cluster): Promise<ClusterMember | undefined> {
   for (const control of cluster.controls) {
     if (await cluster.metric(control, 'eelgrassmux_raft_is_leader') === 1) return control
   }
--- a/apps/bench/src/lib/measure/measureControl.ts
+++ b/apps/bench/src/lib/measure/measureControl.ts
@@ -8,14 +8,14 @@
 import { TMTS_PROFILE } from '../profiles.js'
 import { median, percentile } from './fit.js'
 
-const COMMITS_MS = 3000
+const COMMIT_WINDOW_MS = 3000
 const ELECTIONS = 20
 const CHANGES = 20
 const WATCHERS = 100
-const WATCH_MS = 4000
+const WATCH_WINDOW_MS = 4000
 
 /** Deadline of calls, in milliseconds. */
-const CALL_MS = 5000
+const CALL_TIMEOUT_MS = 5000
 
 /**
  * Measures a cluster of three control hosts and eight entry hosts.
@@ -38,7 +38,7 @@
   const rpc = new RpcClient()
   try {
     for (const callers of [1, 16, 64]) print(await measureCommits(cluster, rpc, callers))
-    print(await measureInForce(cluster, rpc))
+    print(await measurePropagation(cluster, rpc))
     for (const line of await measureWatchers(cluster, rpc)) print(line)
     print(await measureElections(cluster))
   } finally {
@@ -66,7 +66,7 @@
 /**
  * @returns a claim under a key of its own
  */
-export function freshClaim (): Command {
+export function createClaim (): Command {
   const id = randomUUID()
   return { kind: 'claim', record: { customer: 'ward', service: 'accounts', idempotencyKey: id }, bodySha256: id, claimId: id, deadlineAt: Date.now() }
 }
@@ -78,9 +78,9 @@
   const latencies: number[] = []
   const startedAt = performance.now()
   await Promise.all(Array.from({ length: callers }, async () => {
-    while (performance.now() < startedAt + COMMITS_MS) {
+    while (performance.now() < startedAt + COMMIT_WINDOW_MS) {
       const sentAt = performance.now()
-      const answer = await rpc.call(address, propose, { command: freshClaim() }, CALL_MS)
+      const answer = await rpc.call(address, propose, { command: createClaim() }, CALL_TIMEOUT_MS)
       if (answer.ok && answer.value.kind === 'applied') latencies.push(performance.now() - sentAt)
     }
   }))
@@ -90,17 +90,17 @@
     `latency p50 ${median(latencies).toFixed(1)} ms p99 ${percentile(latencies, 0.99).toFixed(1)} ms`
 }
 
-async function measureInForce (cluster: Cluster, rpc: RpcClient): Promise<string> {
+async function measurePropagation (cluster: Cluster, rpc: RpcClient): Promise<string> {
   const address = (await findLeader(cluster)).addresses.rpc ?? ''
   const times: number[] = []
   for (let change = 0; change < CHANGES; change += 1) {
     const command: Command = {
       kind: 'change-configuration', requestId: randomUUID(), upserts: [{ ...TMTS_PROFILE, priority: change % 10 }], removes: []
     }
-    await rpc.call(address, propose, { command }, CALL_MS)
+    await rpc.call(address, propose, { command }, CALL_TIMEOUT_MS)
     const acceptedAt = performance.now()
     for (;;) {
-      const hosts = await rpc.call(address, listHosts, {}, CALL_MS)
+      const hosts = await rpc.call(address, listHosts, {}, CALL_TIMEOUT_MS)
       if (hosts.ok) {
         const entries = hosts.value.hosts.filter(host => host.role === 'entry')
         if (entries.length === cluster.entries.length && entries.every(host => host.viewRevision >= hosts.value.viewRevision)) break
@@ -118,34 +118,34 @@
   if (follower === undefined) return []
   const leader = await findLeader(cluster)
   const processorTime = async (): Promise<number> => await cluster.metric(follower, 'process_cpu_seconds_total')
-  const overTime = async (work: () => Promise<void>): Promise<number> => {
+  const processorShareDuring = async (work: () => Promise<void>): Promise<number> => {
     const before = await processorTime()
     const startedAt = performance.now()
     await work()
     return (await processorTime() - before) / ((performance.now() - startedAt) / 1000)
   }
   const change = async (): Promise<void> => {
-    for (let turn = 0; turn < WATCH_MS / 100; turn += 1) {
+    for (let turn = 0; turn < WATCH_WINDOW_MS / 100; turn += 1) {
       const command: Command = { kind: 'change-configuration', requestId: randomUUID(), upserts: [{ ...TMTS_PROFILE, priority: turn % 10 }], removes: [] }
-      await rpc.call(leader.addresses.rpc ?? '', propose, { command }, CALL_MS)
+      await rpc.call(leader.addresses.rpc ?? '', propose, { command }, CALL_TIMEOUT_MS)
       await sleep(100)
     }
   }
-  const idleWithout = await overTime(async () => { await sleep(WATCH_MS) })
-  const busyWithout = await overTime(change)
+  const idleBaseline = await processorShareDuring(async () => { await sleep(WATCH_WINDOW_MS) })
+  const busyBaseline = await processorShareDuring(change)
   const abort = new AbortController()
   const watches = Array.from({ length: WATCHERS }, async () => {
     await rpc.stream(follower.addresses.rpc ?? '', watchView, { viewRevision: 0 }, () => {}, abort.signal)
   })
   await sleep(500)
-  const idleWith = await overTime(async () => { await sleep(WATCH_MS) })
-  const busyWith = await overTime(change)
+  const idleWatched = await processorShareDuring(async () => { await sleep(WATCH_WINDOW_MS) })
+  const busyWatched = await processorShareDuring(change)
   abort.abort()
   await Promise.all(watches)
-  const each = (withWatchers: number, without: number): string => `${((withWatchers - without) / WATCHERS * 1e6).toFixed(0)} µs of processor time a second`
+  const costPerWatcher = (withWatchers: number, without: number): string => `${((withWatchers - without) / WATCHERS * 1e6).toFixed(0)} µs of processor time a second`
   return [
-    `an idle watcher costs its control host ${each(idleWith, idleWithout)}`,
-    `a watcher at 10 changes a second costs ${each(busyWith, busyWithout)}`
+    `an idle watcher costs its control host ${costPerWatcher(idleWatched, idleBaseline)}`,
+    `a watcher at 10 changes a second costs ${costPerWatcher(busyWatched, busyBaseline)}`
   ]
 }
 
--- a/apps/bench/src/lib/measure/heapOf.ts
+++ b/apps/bench/src/lib/measure/measureHeap.ts
@@ -6,12 +6,12 @@
  * @param build - builds it
  * @returns bytes that each takes
  */
-export function heapOf (sizes: readonly number[], build: (size: number) => object): Point[] {
+export function measureHeap (sizes: readonly number[], build: (size: number) => object): Point[] {
   return sizes.map(size => {
     const before = heapUsed()
-    const held = build(size)
+    const built = build(size)
     const value = heapUsed() - before
-    if (Object.keys(held).length < 0) throw new Error('unreachable: keeps the object alive')
+    if (Object.keys(built).length < 0) throw new Error('unreachable: keeps the object alive')
     return { size, value }
   })
 }
--- a/apps/bench/src/lib/measure/measureOverhead.ts
+++ b/apps/bench/src/lib/measure/measureOverhead.ts
@@ -13,7 +13,7 @@
 const PROMPT = 'tag this leg'
 
 /** Requests of one round arrive over this time, in milliseconds. */
-const SPREAD_MS = 1000
+const ARRIVAL_WINDOW_MS = 1000
 
 interface StreamTiming {
   readonly firstTokenMs: number
@@ -40,23 +40,23 @@
   })
   try {
     const direct: StreamTiming[] = []
-    const through: StreamTiming[] = []
+    const proxied: StreamTiming[] = []
     const entry = cluster.entries[0]
     if (entry === undefined) return
-    await round(async index => await straight(cluster, index))
+    await runRound(async index => await streamDirectly(cluster, index))
     let processorSeconds = 0
     for (let turn = 0; turn < ROUNDS; turn += 1) {
-      direct.push(...await round(async index => await straight(cluster, index)))
+      direct.push(...await runRound(async index => await streamDirectly(cluster, index)))
       const before = await cluster.metric(entry, 'process_cpu_seconds_total')
-      through.push(...await round(async () => await viaEntry(cluster)))
+      proxied.push(...await runRound(async () => await streamViaEntry(cluster)))
       processorSeconds += await cluster.metric(entry, 'process_cpu_seconds_total') - before
     }
     const directTimes = direct.map(({ firstTokenMs }) => firstTokenMs)
-    const throughTimes = through.map(({ firstTokenMs }) => firstTokenMs)
-    const ratio = median(throughTimes) / median(directTimes)
-    const added = percentile(throughTimes, 0.99) - percentile(directTimes, 0.99)
+    const proxiedTimes = proxied.map(({ firstTokenMs }) => firstTokenMs)
+    const ratio = median(proxiedTimes) / median(directTimes)
+    const added = percentile(proxiedTimes, 0.99) - percentile(directTimes, 0.99)
     print(`first token at ${STREAMS} streams at once: direct p50 ${median(directTimes).toFixed(2)} ms p99 ${percentile(directTimes, 0.99).toFixed(2)} ms, ` +
-      `through the entry host p50 ${median(throughTimes).toFixed(2)} ms p99 ${percentile(throughTimes, 0.99).toFixed(2)} ms`)
+      `through the entry host p50 ${median(proxiedTimes).toFixed(2)} ms p99 ${percentile(proxiedTimes, 0.99).toFixed(2)} ms`)
     print(`ratio of medians ${ratio.toFixed(3)}, added at p99 ${added.toFixed(2)} ms`)
     print(`processor time of the entry host: ${(processorSeconds * 1e6 / (ROUNDS * STREAMS * ANSWER_TOKENS)).toFixed(1)} µs a token`)
   } finally {
@@ -64,14 +64,14 @@
   }
 }
 
-async function round (one: (index: number) => Promise<StreamTiming>): Promise<StreamTiming[]> {
+async function runRound (one: (index: number) => Promise<StreamTiming>): Promise<StreamTiming[]> {
   return await Promise.all(Array.from({ length: STREAMS }, async (_, index) => {
-    await new Promise(resolve => { setTimeout(resolve, index * SPREAD_MS / STREAMS) })
+    await new Promise(resolve => { setTimeout(resolve, index * ARRIVAL_WINDOW_MS / STREAMS) })
     return await one(index)
   }))
 }
 
-async function viaEntry (cluster: Cluster): Promise<StreamTiming> {
+async function streamViaEntry (cluster: Cluster): Promise<StreamTiming> {
   const answer = await streamCompletion({
     url: cluster.entryUrl(0), credential: 'ward', service: 'summaries', prompt: PROMPT, maxTokens: ANSWER_TOKENS
   })
@@ -79,7 +79,7 @@
   return { firstTokenMs: answer.firstTokenMs }
 }
 
-async function straight (cluster: Cluster, index: number): Promise<StreamTiming> {
+async function streamDirectly (cluster: Cluster, index: number): Promise<StreamTiming> {
   const engine = cluster.engines[index % cluster.engines.length]
   const startedAt = performance.now()
   const response = await request(`http://${engine?.addresses.http ?? ''}/runs`, {
--- a/apps/bench/src/lib/measure/measurePolicies.ts
+++ b/apps/bench/src/lib/measure/measurePolicies.ts
@@ -10,7 +10,7 @@
 import { Cluster } from '../Cluster.js'
 import { programPath } from '../ManagedProcess.js'
 import { LSCSA_PROFILE, TMTS_PROFILE } from '../profiles.js'
-import { bringAbout, type FaultName } from './faults.js'
+import { injectFault, type FaultName } from './faults.js'
 
 /** Profiles that can be measured. */
 export type ProfileName = 'tmts' | 'lscsa'
@@ -89,7 +89,7 @@
     const replaying = runReplay(cluster, trace)
     if (measurement.fault !== undefined) {
       await sleep(measurement.seconds * 1000 / 3)
-      await bringAbout(cluster, measurement.fault)
+      await injectFault(cluster, measurement.fault)
     }
     const result = await replaying
     const counters = await cluster.counters([...cluster.entries, ...cluster.directories])
--- a/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
+++ b/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
@@ -9,38 +9,38 @@
 import type { QuarantineEntry } from '@eelgrassmux/schema/quarantineEntry'
 import { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
 import type { Point } from './fit.js'
-import { heapOf } from './heapOf.js'
+import { measureHeap } from './measureHeap.js'
 import { slopeReport } from './slopeReport.js'
 
 /** Requests at each endpoint that ends, the most that the correlator keeps. */
-const REQUESTS_OF_END = 256
+const REQUESTS_PER_CRASH = 256
 
 /** Repeats of what takes too short to be timed once. */
 const REPEATS = 200
 
 /** One in so many losses is of a request that was lost before; this many different ones are. */
-const REPEATED_EACH = 20
-const MOST_REPEATED = 640
+const REPEAT_INTERVAL = 20
+const REPEATED_FINGERPRINT_RANGE = 640
 
 /** Ends lie this far apart, in milliseconds, so that each is an occasion of its own. */
-const END_GAP_MS = 1000
+const CRASH_INTERVAL_MS = 1000
 
 /** @param print - takes each line of the report */
 export function measureQuarantineSlopes (print: (line: string) => void): void {
   const report = slopeReport(print)
   const sizes = [2000, 8000, 32_000]
-  report('memory of a reported loss on the leader', 'bytes', heapOf(sizes, size => ({ correlator: correlatorOf(size) })))
-  report('memory of a loss on an entry host', 'bytes', heapOf([64, 128, MAX_REPORTS_PER_HOST], size => ({ evidence: evidenceOf(size) })))
-  report('memory of an entry', 'bytes', heapOf([100, 300, 500], size => ({ register: registerOf(size) })))
-  report('processor time of a reported loss on the leader', 'seconds', secondsOf(sizes, size => { correlatorOf(size) }))
-  report('processor time of a look of the leader, for each loss that it holds', 'seconds', sizes.map(size => timedLook(size)))
-  report('processor time of a fingerprint, for each byte of the body', 'seconds', secondsOf([1000, 10_000, 100_000], size => {
+  report('memory of a reported loss on the leader', 'bytes', measureHeap(sizes, size => ({ correlator: buildCorrelator(size) })))
+  report('memory of a loss on an entry host', 'bytes', measureHeap([64, 128, MAX_REPORTS_PER_HOST], size => ({ evidence: buildEvidence(size) })))
+  report('memory of an entry', 'bytes', measureHeap([100, 300, 500], size => ({ register: buildRegister(size) })))
+  report('processor time of a reported loss on the leader', 'seconds', timeWork(sizes, size => { buildCorrelator(size) }))
+  report('processor time of a look of the leader, for each loss that it holds', 'seconds', sizes.map(size => timeDecision(size)))
+  report('processor time of a fingerprint, for each byte of the body', 'seconds', timeWork([1000, 10_000, 100_000], size => {
     const body = Buffer.alloc(size)
     for (let count = 0; count < REPEATS; count += 1) requestFingerprint({ customer: 'ward', method: 'POST', target: '/a', body })
   }).map(({ size, value }) => ({ size, value: value / REPEATS })))
-  const losses = evidenceOf(MAX_REPORTS_PER_HOST).reports(0)
+  const losses = buildEvidence(MAX_REPORTS_PER_HOST).reports(0)
   print(`size of the largest report of losses: ${encodeMessage({ host: '10.0.0.1:7400', losses, completed: [] }).length} bytes, of one with 8: ${encodeMessage({ host: '10.0.0.1:7400', losses: losses.slice(0, 8), completed: [] }).length}`)
-  const register = registerOf(500)
+  const register = buildRegister(500)
   print(`size of 500 entries in a view: ${encodeMessage(quarantineMessage(register, undefined, 0)).length} bytes, of one: ${encodeMessage(quarantineMessage(register, [fingerprintOf(1)], 0)).length}`)
 }
 
@@ -49,49 +49,49 @@
 }
 
 /** Strings of their own, as they come out of a message. */
-function freshFingerprint (): string {
+function randomFingerprint (): string {
   return randomBytes(16).toString('hex')
 }
 
-function correlatorOf (size: number): CrashCorrelator {
+function buildCorrelator (size: number): CrashCorrelator {
   const correlator = new CrashCorrelator()
   for (let loss = 0; loss < size; loss += 1) {
-    const end = Math.floor(loss / REQUESTS_OF_END)
+    const end = Math.floor(loss / REQUESTS_PER_CRASH)
     // One in twenty was lost before, as requests are that were repeated.
-    const fingerprint = loss % REPEATED_EACH === 0 ? fingerprintOf(loss % MOST_REPEATED) : freshFingerprint()
-    correlator.observe({ fingerprint, service: 'pool', endpoint: `i-${end.toString(16).padStart(10, '0')}`, agoMs: 0, ranMs: 100 }, end * END_GAP_MS)
+    const fingerprint = loss % REPEAT_INTERVAL === 0 ? fingerprintOf(loss % REPEATED_FINGERPRINT_RANGE) : randomFingerprint()
+    correlator.observe({ fingerprint, service: 'pool', endpoint: `i-${end.toString(16).padStart(10, '0')}`, agoMs: 0, ranMs: 100 }, end * CRASH_INTERVAL_MS)
   }
   return correlator
 }
 
-function evidenceOf (size: number): CrashEvidence {
+function buildEvidence (size: number): CrashEvidence {
   const evidence = new CrashEvidence()
-  for (let loss = 0; loss < size; loss += 1) evidence.record({ fingerprint: freshFingerprint(), service: 'pool', endpoint: 'i-0123456789', ranMs: 123.456 }, 0)
+  for (let loss = 0; loss < size; loss += 1) evidence.record({ fingerprint: randomFingerprint(), service: 'pool', endpoint: 'i-0123456789', ranMs: 123.456 }, 0)
   return evidence
 }
 
-function registerOf (size: number): QuarantineRegister {
+function buildRegister (size: number): QuarantineRegister {
   const register = new QuarantineRegister()
   register.restore(Array.from({ length: size }, (_, number): QuarantineEntry =>
     ({ fingerprint: fingerprintOf(number), service: 'model-pool', state: 'quarantined', endsAt: 1_790_000_000_000 + number, quarantines: 1 })))
   return register
 }
 
-function timedLook (size: number): Point {
-  const correlator = correlatorOf(size)
+function timeDecision (size: number): Point {
+  const correlator = buildCorrelator(size)
   const agreed = new QuarantineRegister()
   for (const endpoint of correlator.unconfirmedCrashes(agreed)) correlator.recordCrashCheck(endpoint, true, 0)
-  const now = size / REQUESTS_OF_END * END_GAP_MS
+  const now = size / REQUESTS_PER_CRASH * CRASH_INTERVAL_MS
   const startedAt = performance.now()
-  const looks = 10
-  for (let look = 0; look < looks; look += 1) {
+  const repetitions = 10
+  for (let repetition = 0; repetition < repetitions; repetition += 1) {
     correlator.unconfirmedCrashes(agreed)
     correlator.decide(agreed, now)
   }
-  return { size, value: (performance.now() - startedAt) / looks / 1000 }
+  return { size, value: (performance.now() - startedAt) / repetitions / 1000 }
 }
 
-function secondsOf (sizes: readonly number[], work: (size: number) => void): Point[] {
+function timeWork (sizes: readonly number[], work: (size: number) => void): Point[] {
   return sizes.map(size => {
     // Once before, so that compiled code is measured.
     work(size)
--- a/apps/bench/src/lib/measure/measureSlopes.ts
+++ b/apps/bench/src/lib/measure/measureSlopes.ts
@@ -15,16 +15,16 @@
 import { StateMachine } from '@eelgrassmux/state/StateMachine'
 import { Cluster, type ClusterMember } from '../Cluster.js'
 import { TMTS_PROFILE } from '../profiles.js'
-import { findLeader, freshClaim } from './measureControl.js'
+import { findLeader, createClaim } from './measureControl.js'
 import type { Point } from './fit.js'
-import { heapOf } from './heapOf.js'
+import { measureHeap } from './measureHeap.js'
 import { measureQuarantineSlopes } from './measureQuarantineSlopes.js'
-import { slopeReport, type Report } from './slopeReport.js'
+import { slopeReport, type SlopeReporter } from './slopeReport.js'
 
 /** Time over which processor time is measured, in milliseconds. */
 const WINDOW_MS = 4000
 
-const CALL_MS = 5000
+const CALL_TIMEOUT_MS = 5000
 
 /**
  * Measures all slopes.
@@ -33,25 +33,25 @@
  */
 export async function measureSlopes (print: (line: string) => void): Promise<void> {
   const report = slopeReport(print)
-  report('memory of a customer on an entry host', 'bytes', heapOf([5000, 15_000, 45_000], customers))
-  report('memory of a stored object in a directory', 'bytes', heapOf([5000, 20_000, 50_000], storedObjects))
-  report('memory of a resident block in a directory', 'bytes', heapOf([20_000, 100_000, 200_000], residentBlocks))
-  report('memory of an at-most-once record on a control host', 'bytes', heapOf([5000, 20_000, 50_000], records))
-  for (const line of messageSizes()) print(line)
+  report('memory of a customer on an entry host', 'bytes', measureHeap([5000, 15_000, 45_000], buildCustomers))
+  report('memory of a stored object in a directory', 'bytes', measureHeap([5000, 20_000, 50_000], buildStoredObjects))
+  report('memory of a resident block in a directory', 'bytes', measureHeap([20_000, 100_000, 200_000], buildResidentBlocks))
+  report('memory of an at-most-once record on a control host', 'bytes', measureHeap([5000, 20_000, 50_000], buildRecords))
+  for (const line of describeMessageSizes()) print(line)
   measureQuarantineSlopes(print)
   await measureProcessorTime(report)
 }
 
 // --- Memory ---
 
-function customers (size: number): object {
+function buildCustomers (size: number): object {
   const documents = Array.from({ length: size }, (_, index): ConfigurationDocument => ({
     kind: 'customer', name: `customer-${index}`, credentialSha256: index.toString(16).padStart(64, '0'), cacheSecret: `secret of customer ${index}`, share: 1
   }))
   return { documents: new Map(documents.map(document => [`customer/${document.name}`, document])), index: new ConfigurationIndex(1, { documents }) }
 }
 
-function storedObjects (size: number): object {
+function buildStoredObjects (size: number): object {
   const shard = new DirectoryShard(0, 1, DEFAULT_SHARD_SETTINGS, 0)
   for (let object = 0; object < size; object += 1) {
     const keys = Array.from({ length: 16 }, (_, block) => `${object}-${block}`.padStart(32, '0'))
@@ -60,16 +60,16 @@
   return { shard }
 }
 
-function residentBlocks (size: number): object {
+function buildResidentBlocks (size: number): object {
   const index = new ResidencyIndex()
   index.reset('engine-0', Array.from({ length: size }, (_, block) => `${block}`.padStart(32, '0')), 1)
   return { index }
 }
 
-function records (size: number): object {
+function buildRecords (size: number): object {
   const state = new StateMachine()
   for (let record = 0; record < size; record += 1) {
-    const claim = freshClaim()
+    const claim = createClaim()
     if (claim.kind !== 'claim') continue
     state.apply({ stampedAt: record, command: claim })
     const answer = { status: 200, contentType: 'application/json', body: new Uint8Array(120) }
@@ -80,7 +80,7 @@
 
 // --- Messages ---
 
-function messageSizes (): string[] {
+function describeMessageSizes (): string[] {
   const host = '10.0.0.1:7400'
   const status = { host, role: 'entry', address: host, dataCentre: 'round-rock-hall', viewRevision: 123_456, accepting: true, membershipIndex: 9, wantsPeers: false }
   const voters = [0, 1, 2, 3, 4].map(() => ({ id: randomUUID(), address: host }))
@@ -113,7 +113,7 @@
 
 // --- Processor time ---
 
-async function measureProcessorTime (report: Report): Promise<void> {
+async function measureProcessorTime (report: SlopeReporter): Promise<void> {
   const cluster = await Cluster.start({
     dataCentres: ['hall-north', 'hall-central', 'hall-south'],
     controls: 3,
@@ -131,8 +131,8 @@
   const datagrams = new DatagramClient()
   await datagrams.bind('127.0.0.1')
   try {
-    const entry = one(cluster.entries)
-    const directory = one(cluster.directories)
+    const entry = firstMember(cluster.entries)
+    const directory = firstMember(cluster.directories)
     const leader = await findLeader(cluster)
     const rates = [100, 300, 600]
     const status = { host: 'slope', role: 'directory' as const, address: '127.0.0.1:1', dataCentre: 'hall-north', viewRevision: 1, accepting: false, membershipIndex: -1, wantsPeers: false }
@@ -140,16 +140,16 @@
       await new Promise<void>(resolve => { datagrams.ask(leader.addresses.rpc ?? '', reportStatus, status, () => { resolve() }) })
     }))
     report('processor time of a commit on the leader', 'seconds', await processorTime(cluster, leader, rates, async () => {
-      await rpc.call(leader.addresses.rpc ?? '', propose, { command: freshClaim() }, CALL_MS)
+      await rpc.call(leader.addresses.rpc ?? '', propose, { command: createClaim() }, CALL_TIMEOUT_MS)
     }))
     const keys = Array.from({ length: 40 }, (_, block) => `${block}`.padStart(32, '0'))
     report('processor time of a look-up in a directory', 'seconds', await processorTime(cluster, directory, rates, async () => {
-      await rpc.call(directory.addresses.rpc ?? '', lookupBlocks, { shard: 0, epoch: 1, keys }, CALL_MS)
+      await rpc.call(directory.addresses.rpc ?? '', lookupBlocks, { shard: 0, epoch: 1, keys }, CALL_TIMEOUT_MS)
     }))
     report('processor time of a dispatch notice on an entry host', 'seconds', await processorTime(cluster, entry, rates, async () => {
-      await rpc.call(entry.addresses.peer ?? '', noticeDispatches, { dispatches: [{ engine: 'engine-0', tokens: 0, ageMs: 1 }] }, CALL_MS)
+      await rpc.call(entry.addresses.peer ?? '', noticeDispatches, { dispatches: [{ engine: 'engine-0', tokens: 0, ageMs: 1 }] }, CALL_TIMEOUT_MS)
     }))
-    report('processor time of a token on an entry host', 'seconds', await tokens(cluster, entry))
+    report('processor time of a token on an entry host', 'seconds', await tokenProcessorTime(cluster, entry))
     report('processor time of a request of one token on an entry host', 'seconds', await processorTime(cluster, entry, [50, 100, 200], async () => {
       await streamCompletion({ url: cluster.entryUrl(0), credential: 'ward', service: 'summaries', prompt: 'x'.repeat(2000), maxTokens: 1 })
     }))
@@ -160,7 +160,7 @@
   }
 }
 
-function one (members: readonly ClusterMember[]): ClusterMember {
+function firstMember (members: readonly ClusterMember[]): ClusterMember {
   const member = members[0]
   if (member === undefined) throw new Error('no such member')
   return member
@@ -185,7 +185,7 @@
   return points
 }
 
-async function tokens (cluster: Cluster, entry: ClusterMember): Promise<Point[]> {
+async function tokenProcessorTime (cluster: Cluster, entry: ClusterMember): Promise<Point[]> {
   const points: Point[] = []
   for (const streams of [20, 60, 120]) {
     const before = await cluster.metric(entry, 'process_cpu_seconds_total')
--- a/apps/bench/src/lib/measure/slopeReport.ts
+++ b/apps/bench/src/lib/measure/slopeReport.ts
@@ -2,10 +2,10 @@
 import { fitLine, type Point } from './fit.js'
 
 /** Takes a slope that was measured. */
-export type Report = (name: string, unit: string, points: readonly Point[]) => void
+export type SlopeReporter = (name: string, unit: string, points: readonly Point[]) => void
 
 /** @param print - takes each line */
-export function slopeReport (print: (line: string) => void): Report {
+export function slopeReport (print: (line: string) => void): SlopeReporter {
   return (name, unit, points) => {
     const { slope, intercept, fit } = fitLine(points)
     const sizes = points.map(({ size, value }) => `${size}:${value.toPrecision(4)}`).join(' ')
--- a/apps/bench/src/lib/prove/Ledger.ts
+++ b/apps/bench/src/lib/prove/CheckRecorder.ts
@@ -19,7 +19,7 @@
 }
 
 /** Counts of one run. */
-export class Ledger {
+export class CheckRecorder {
   readonly checks = new Map<PromiseName, number>()
   readonly violations: Violation[] = []
 
--- a/apps/bench/src/lib/prove/Simulation.ts
+++ b/apps/bench/src/lib/prove/Simulation.ts
@@ -16,29 +16,29 @@
 }
 
 /** Lines of the trace that are kept for a report. */
-const TRACE_LINES = 40
+const MAX_TRACE_LINES = 40
 
 /** One seeded run: same seed, same run. */
 export class Simulation implements Clock {
   #now = 0
   #sequence = 0
-  #executed = 0
-  #faults = 0
+  #executedEvents = 0
+  #faultCount = 0
   readonly #queue: ScheduledEvent[] = []
   readonly #trace: string[] = []
   readonly #generator
-  readonly #cuts = new Set<string>()
+  readonly #cutLinks = new Set<string>()
 
   /**
    * @param seed - decides everything
-   * @param kinds - faults that may happen
+   * @param enabledFaults - faults that may happen
    */
-  constructor (readonly seed: number, private readonly kinds: ReadonlySet<FaultKind>) {
+  constructor (readonly seed: number, private readonly enabledFaults: ReadonlySet<FaultKind>) {
     this.#generator = xoroshiro128plus(seed)
   }
 
-  get executed (): number { return this.#executed }
-  get faults (): number { return this.#faults }
+  get executedEvents (): number { return this.#executedEvents }
+  get faultCount (): number { return this.#faultCount }
   get trace (): readonly string[] { return this.#trace }
 
   now (): number { return this.#now }
@@ -47,7 +47,7 @@
 
   async sleep (milliseconds: number, signal?: AbortSignal): Promise<void> {
     await new Promise<void>(resolve => {
-      this.after(milliseconds, resolve)
+      this.schedule(milliseconds, resolve)
       signal?.addEventListener('abort', () => { resolve() }, { once: true })
     })
   }
@@ -67,7 +67,7 @@
    * @param items - at least one
    * @returns one of them
    */
-  oneOf<Item> (items: readonly Item[]): Item {
+  pickFrom<Item> (items: readonly Item[]): Item {
     const item = items[this.pick(items.length)]
     if (item === undefined) throw new Error('nothing to choose from')
     return item
@@ -84,14 +84,14 @@
   /**
    * Decides whether a fault happens now, and counts it.
    *
-   * @param kind - which fault
+   * @param fault - which fault
    * @param probability - how often, if this kind is on
    */
-  fault (kind: FaultKind, probability: number): boolean {
+  drawFault (fault: FaultKind, probability: number): boolean {
     // The random number is drawn in any case, so that switching a kind off keeps the rest of the schedule.
-    const happens = this.chance(probability) && this.kinds.has(kind)
-    if (happens) this.#faults += 1
-    return happens
+    const isInjected = this.chance(probability) && this.enabledFaults.has(fault)
+    if (isInjected) this.#faultCount += 1
+    return isInjected
   }
 
   /**
@@ -99,9 +99,9 @@
    *
    * @param line - what happened
    */
-  note (line: string): void {
-    this.#trace.push(`${this.#now.toFixed(1)} ms, event ${this.#executed}: ${line}`)
-    if (this.#trace.length > TRACE_LINES) this.#trace.shift()
+  log (line: string): void {
+    this.#trace.push(`${this.#now.toFixed(1)} ms, event ${this.#executedEvents}: ${line}`)
+    if (this.#trace.length > MAX_TRACE_LINES) this.#trace.shift()
   }
 
   /**
@@ -110,7 +110,7 @@
    * @param milliseconds - from now
    * @param run - what to do
    */
-  after (milliseconds: number, run: () => void): void {
+  schedule (milliseconds: number, run: () => void): void {
     this.#sequence += 1
     this.#push({ at: this.#now + Math.max(0, milliseconds), sequence: this.#sequence, run })
   }
@@ -123,12 +123,12 @@
    * @param deliver - called on arrival
    */
   send (from: string, to: string, deliver: () => void): void {
-    const copies = this.fault('duplicate', 0.02) ? 2 : 1
+    const copies = this.drawFault('duplicate', 0.02) ? 2 : 1
     for (let copy = 0; copy < copies; copy += 1) {
-      if (this.fault('loss', 0.03)) continue
-      const latency = 0.3 + this.random() * 2 + (this.fault('delay', 0.03) ? this.random() * 400 : 0)
-      this.after(latency, () => {
-        if (!this.#cuts.has(`${from}>${to}`)) deliver()
+      if (this.drawFault('loss', 0.03)) continue
+      const latency = 0.3 + this.random() * 2 + (this.drawFault('delay', 0.03) ? this.random() * 400 : 0)
+      this.schedule(latency, () => {
+        if (!this.#cutLinks.has(`${from}>${to}`)) deliver()
       })
     }
   }
@@ -140,14 +140,14 @@
    * @param to - receiver
    * @param milliseconds - how long
    */
-  cut (from: string, to: string, milliseconds: number): void {
-    this.#cuts.add(`${from}>${to}`)
-    this.after(milliseconds, () => { this.#cuts.delete(`${from}>${to}`) })
+  cutLink (from: string, to: string, milliseconds: number): void {
+    this.#cutLinks.add(`${from}>${to}`)
+    this.schedule(milliseconds, () => { this.#cutLinks.delete(`${from}>${to}`) })
   }
 
   /** Mends all cuts. */
-  heal (): void {
-    this.#cuts.clear()
+  restoreLinks (): void {
+    this.#cutLinks.clear()
   }
 
   /**
@@ -156,11 +156,11 @@
    * @param limits - most events in total, latest virtual time
    */
   async run (limits: { readonly events: number, readonly until: number }): Promise<void> {
-    while (this.#executed < limits.events) {
+    while (this.#executedEvents < limits.events) {
       const next = this.#pop(limits.until)
       if (next === undefined) break
       this.#now = next.at
-      this.#executed += 1
+      this.#executedEvents += 1
       next.run()
       // Let everything that waits for this event go on before the next one.
       await new Promise(resolve => { setImmediate(resolve) })
--- a/apps/bench/src/lib/prove/World.ts
+++ b/apps/bench/src/lib/prove/World.ts
@@ -1,9 +1,9 @@
-import type { Ledger, PromiseName } from './Ledger.js'
+import type { CheckRecorder, PromiseName } from './CheckRecorder.js'
 import type { Simulation } from './Simulation.js'
 
 /** A system of cores under a seeded schedule. */
 export interface World {
-  /** Runs it to its end; breaks of promises go to the ledger, broken invariants are thrown. */
+  /** Runs it to its end; breaks of promises go to the recorder, broken invariants are thrown. */
   run (): Promise<void>
 }
 
@@ -14,8 +14,8 @@
   readonly promises: readonly PromiseName[]
   /**
    * @param simulation - schedule
-   * @param ledger - where checks are counted
+   * @param recorder - where checks are counted
    * @param broken - promise whose mechanism is taken away, to see that the run finds it
    */
-  create (simulation: Simulation, ledger: Ledger, broken: PromiseName | undefined): World
+  create (simulation: Simulation, recorder: CheckRecorder, broken: PromiseName | undefined): World
 }
--- a/apps/bench/src/lib/prove/proveAll.test.ts
+++ b/apps/bench/src/lib/prove/proveAll.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { PROMISES, type PromiseName } from './Ledger.js'
+import { PROMISES, type PromiseName } from './CheckRecorder.js'
 import { proveAll } from './proveAll.js'
 
 async function prove (options: { runs: number, seed: number, promise?: PromiseName, broken?: PromiseName, untilFound?: boolean }): Promise<{ code: number, lines: string[] }> {
--- a/apps/bench/src/lib/prove/proveAll.ts
+++ b/apps/bench/src/lib/prove/proveAll.ts
@@ -1,6 +1,6 @@
 /** Runs worlds over many seeds, reports on each promise, and narrows down what broke one. */
 import { InvariantViolation } from '@eelgrassmux/schema/invariant'
-import { Ledger, PROMISES, type PromiseName, type Violation } from './Ledger.js'
+import { CheckRecorder, PROMISES, type PromiseName, type Violation } from './CheckRecorder.js'
 import { FAULT_KINDS, Simulation, type FaultKind } from './Simulation.js'
 import type { WorldFactory } from './World.js'
 import { WORLDS } from './worlds/worlds.js'
@@ -14,12 +14,12 @@
   readonly promise: PromiseName | undefined
   readonly broken: PromiseName | undefined
   /** Ends at the first violation, without looking for the fewest faults. */
-  readonly untilFound?: boolean
+  readonly stopAtFirstViolation?: boolean
 }
 
 /** What one seeded run of one world brought. */
 interface RunOutcome {
-  readonly ledger: Ledger
+  readonly recorder: CheckRecorder
   readonly simulation: Simulation
 }
 
@@ -31,7 +31,7 @@
 }
 
 /** Violations shown in full; more of the same help nobody. */
-const SHOWN_VIOLATIONS = 3
+const MAX_SHOWN_VIOLATIONS = 3
 
 /**
  * Runs all worlds.
@@ -41,9 +41,9 @@
  * @returns exit code: 0 if every promise that was asked for held and was exercised
  */
 export async function proveAll (options: ProveOptions, print: (line: string) => void): Promise<number> {
-  const wanted = PROMISES.filter(promise => options.promise === undefined || promise === options.promise)
-  const worlds = WORLDS.filter(world => world.promises.some(promise => wanted.includes(promise)))
-  const totals = new Map(wanted.map(promise => [promise, { runs: 0, events: 0, faults: 0, violations: 0 }]))
+  const selectedPromises = PROMISES.filter(promise => options.promise === undefined || promise === options.promise)
+  const worlds = WORLDS.filter(world => world.promises.some(promise => selectedPromises.includes(promise)))
+  const totals = new Map(selectedPromises.map(promise => [promise, { runs: 0, events: 0, faults: 0, violations: 0 }]))
   const deadline = performance.now() + options.seconds * 1000
   const isDone = (round: number): boolean => options.runs === undefined ? performance.now() >= deadline : round >= options.runs
   let shown = 0
@@ -51,80 +51,80 @@
     for (const world of worlds) {
       const seed = options.seed + round
       const outcome = await runOnce(world, seed, new Set(FAULT_KINDS), options.broken)
-      addTo(totals, world, outcome)
-      for (const violation of outcome.ledger.violations.slice(0, 1)) {
-        if (shown >= SHOWN_VIOLATIONS) break
+      addOutcome(totals, world, outcome)
+      for (const violation of outcome.recorder.violations.slice(0, 1)) {
+        if (shown >= MAX_SHOWN_VIOLATIONS) break
         shown += 1
-        if (options.untilFound === true) {
+        if (options.stopAtFirstViolation === true) {
           print(`violation of ${violation.promise} in world ${world.name}: seed ${seed}, event ${violation.event}`)
           return 1
         }
-        await explain(world, seed, violation, options.broken, print)
+        await reportMinimalViolation(world, seed, violation, options.broken, print)
       }
     }
   }
-  return report(totals, print)
+  return printTotals(totals, print)
 }
 
 async function runOnce (world: WorldFactory, seed: number, kinds: ReadonlySet<FaultKind>, broken: PromiseName | undefined): Promise<RunOutcome> {
   const simulation = new Simulation(seed, kinds)
-  const ledger = new Ledger(() => simulation.executed)
+  const recorder = new CheckRecorder(() => simulation.executedEvents)
   const onFailure = (error: unknown): void => {
     if (!(error instanceof InvariantViolation)) throw error
     // The invariant inside the program came first; it names the promise or a step towards it.
     const promise = PROMISES.find(name => name === error.invariant) ?? world.promises[0]
-    if (promise !== undefined) ledger.check(promise, false, () => error.message)
+    if (promise !== undefined) recorder.check(promise, false, () => error.message)
   }
   // Tasks run by themselves, so what they throw arrives here.
   process.on('unhandledRejection', onFailure)
   try {
-    await world.create(simulation, ledger, broken).run()
+    await world.create(simulation, recorder, broken).run()
   } catch (error) {
     onFailure(error)
   } finally {
     process.off('unhandledRejection', onFailure)
   }
-  return { ledger, simulation }
+  return { recorder, simulation }
 }
 
-function addTo (totals: ReadonlyMap<PromiseName, PromiseTotals>, world: WorldFactory, { ledger, simulation }: RunOutcome): void {
+function addOutcome (totals: ReadonlyMap<PromiseName, PromiseTotals>, world: WorldFactory, { recorder, simulation }: RunOutcome): void {
   for (const promise of world.promises) {
     const total = totals.get(promise)
     if (total === undefined) continue
     total.runs += 1
-    total.events += ledger.checks.get(promise) ?? 0
-    total.faults += simulation.faults
+    total.events += recorder.checks.get(promise) ?? 0
+    total.faults += simulation.faultCount
   }
-  for (const { promise } of ledger.violations) {
+  for (const { promise } of recorder.violations) {
     const total = totals.get(promise)
     if (total !== undefined) total.violations += 1
   }
 }
 
 /** Finds the fewest kinds of faults under which the same seed still breaks the promise, and prints the end of that schedule. */
-async function explain (world: WorldFactory, seed: number, first: Violation, broken: PromiseName | undefined, print: (line: string) => void): Promise<void> {
+async function reportMinimalViolation (world: WorldFactory, seed: number, first: Violation, broken: PromiseName | undefined, print: (line: string) => void): Promise<void> {
   let kinds = new Set<FaultKind>(FAULT_KINDS)
-  let shortest = await runOnce(world, seed, kinds, broken)
+  let minimalOutcome = await runOnce(world, seed, kinds, broken)
   for (const kind of FAULT_KINDS) {
-    const fewer = new Set([...kinds].filter(other => other !== kind))
-    const outcome = await runOnce(world, seed, fewer, broken)
-    if (!outcome.ledger.violations.some(violation => violation.promise === first.promise)) continue
-    kinds = fewer
-    shortest = outcome
+    const reducedKinds = new Set([...kinds].filter(other => other !== kind))
+    const outcome = await runOnce(world, seed, reducedKinds, broken)
+    if (!outcome.recorder.violations.some(violation => violation.promise === first.promise)) continue
+    kinds = reducedKinds
+    minimalOutcome = outcome
   }
-  const violation = shortest.ledger.violations.find(candidate => candidate.promise === first.promise) ?? first
+  const violation = minimalOutcome.recorder.violations.find(candidate => candidate.promise === first.promise) ?? first
   print(`violation of ${violation.promise} in world ${world.name}: seed ${seed}, event ${violation.event}, faults needed: ${[...kinds].join(', ') || 'none'}`)
   print(`  ${violation.detail}`)
-  const before = shortest.simulation.trace.filter(line => Number(/event (\d+)/.exec(line)?.[1] ?? 0) <= violation.event)
-  for (const line of before.slice(-12)) print(`    ${line}`)
+  const eventsUpToViolation = minimalOutcome.simulation.trace.filter(line => Number(/event (\d+)/.exec(line)?.[1] ?? 0) <= violation.event)
+  for (const line of eventsUpToViolation.slice(-12)) print(`    ${line}`)
 }
 
-function report (totals: ReadonlyMap<PromiseName, PromiseTotals>, print: (line: string) => void): number {
-  let isProved = true
+function printTotals (totals: ReadonlyMap<PromiseName, PromiseTotals>, print: (line: string) => void): number {
+  let allHeld = true
   for (const [promise, { runs, events, faults, violations }] of totals) {
     const remark = events === 0 ? ' not proved: no events' : ''
-    if (events === 0 || violations > 0) isProved = false
+    if (events === 0 || violations > 0) allHeld = false
     print(`promise ${promise}: runs ${runs} events ${events} faults ${faults} violations ${violations}${remark}`)
   }
-  return isProved ? 0 : 1
+  return allHeld ? 0 : 1
 }
--- a/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
@@ -8,32 +8,32 @@
 import type { Command } from '@eelgrassmux/state/commands'
 import { FreshnessLease } from '@eelgrassmux/view/FreshnessLease'
 import { ViewFollower } from '@eelgrassmux/view/ViewFollower'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 import { SimulatedKeyedCalls } from './SimulatedKeyedCalls.js'
-import { SimulatedProposer, type Proposed } from './SimulatedProposer.js'
+import { SimulatedProposer, type ProposalResult } from './SimulatedProposer.js'
 import { ALL_MECHANISMS, SimulatedReplica } from './SimulatedReplica.js'
 
 const HOSTS = 3
 
 /** Lease of the hosts, in milliseconds. */
-const FRESHNESS_MS = 1000
+const FRESHNESS_LEASE_MS = 1000
 
 /** Events of the part with faults, and time for the part without. */
-const FAULTY_EVENTS = 30_000
-const FAULTY_MS = 40_000
-const CALM_EVENTS = 60_000
-const CALM_MS = 20_000
+const FAULT_PHASE_EVENTS = 30_000
+const FAULT_PHASE_MS = 40_000
+const FAULT_FREE_PHASE_EVENTS = 60_000
+const FAULT_FREE_PHASE_MS = 20_000
 
 /** Restarted processes come back within this time, in milliseconds. */
-const RESTART_MS = 1500
+const MAX_RESTART_DELAY_MS = 1500
 
 interface SimulatedHost {
   readonly name: string
   follower: ViewFollower
   lease: FreshnessLease
-  once: AtMostOnceExecutor
+  executor: AtMostOnceExecutor
   incarnation: number
   frozenUntil: number
 }
@@ -49,19 +49,19 @@
   readonly #answers = new Map<string, string>()
   readonly #proposer: SimulatedProposer
   readonly #keyedCalls: SimulatedKeyedCalls
-  #repairing = false
+  #isRepairing = false
   #nextReplica = 0
   #nextRequest = 0
-  #isCalm = false
+  #hasFaultsEnded = false
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    */
-  constructor (private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined) {
+  constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     this.#proposer = new SimulatedProposer(simulation, this.#replicas)
-    this.#keyedCalls = new SimulatedKeyedCalls(simulation, ledger, broken, this.#proposer)
+    this.#keyedCalls = new SimulatedKeyedCalls(simulation, recorder, broken, this.#proposer)
     const founders = [0, 1, 2].map(() => this.#newReplicaName())
     const membership = { voters: founders, learners: [] }
     const disk: PersistentState = {
@@ -76,11 +76,11 @@
     this.#operatorLoop()
     this.#callerLoop()
     this.#faultLoop()
-    await this.simulation.run({ events: FAULTY_EVENTS, until: FAULTY_MS })
-    this.#isCalm = true
-    this.simulation.heal()
+    await this.simulation.run({ events: FAULT_PHASE_EVENTS, until: FAULT_PHASE_MS })
+    this.#hasFaultsEnded = true
+    this.simulation.restoreLinks()
     for (const replica of this.#replicas.values()) if (!replica.isAlive) replica.restart()
-    await this.simulation.run({ events: this.simulation.executed + CALM_EVENTS, until: this.simulation.now() + CALM_MS })
+    await this.simulation.run({ events: this.simulation.executedEvents + FAULT_FREE_PHASE_EVENTS, until: this.simulation.now() + FAULT_FREE_PHASE_MS })
     this.#checkEnd()
   }
 
@@ -108,7 +108,7 @@
   #onApplied (replica: SimulatedReplica, entry: LogEntry): void {
     const digest = entry.kind === 'command' ? Buffer.from(entry.command).toString('base64') : `${entry.kind} of term ${entry.term}`
     const present = this.#committed.get(entry.index)
-    this.ledger.check('configuration-never-reverts', present === undefined || present === digest,
+    this.recorder.check('configuration-never-reverts', present === undefined || present === digest,
       () => `${replica.self.id} applied another entry at index ${entry.index}`)
     if (present === undefined) this.#committed.set(entry.index, digest)
     const view = replica.state.viewRevision
@@ -121,22 +121,22 @@
     const host: SimulatedHost = {
       name,
       follower: new ViewFollower(),
-      lease: new FreshnessLease(FRESHNESS_MS),
-      once: undefined as unknown as AtMostOnceExecutor,
+      lease: new FreshnessLease(FRESHNESS_LEASE_MS),
+      executor: undefined as unknown as AtMostOnceExecutor,
       incarnation: 0,
       frozenUntil: 0
     }
-    host.once = this.#keyedCalls.newOnce(host)
+    host.executor = this.#keyedCalls.createExecutor(host)
     return host
   }
 
   #hostLoop (host: SimulatedHost): void {
-    this.simulation.after(100 + this.simulation.random() * 100, () => {
+    this.simulation.schedule(100 + this.simulation.random() * 100, () => {
       this.#hostLoop(host)
       if (this.simulation.now() < host.frozenUntil) return
       this.#reportStatus(host)
       this.#fetchView(host)
-      this.#act(host)
+      this.#checkFreshness(host)
     })
   }
 
@@ -160,7 +160,7 @@
   /** From any replica, also one that lags. */
   #fetchView (host: SimulatedHost): void {
     const { incarnation } = host
-    const replica = this.simulation.oneOf([...this.#replicas.values()])
+    const replica = this.simulation.pickFrom([...this.#replicas.values()])
     const known = host.follower.viewRevision
     this.simulation.send(host.name, replica.self.id, () => {
       if (!replica.isAlive) return
@@ -177,23 +177,23 @@
   }
 
   /** A host that may act must have everything that was accepted before its lease could begin. */
-  #act (host: SimulatedHost): void {
+  #checkFreshness (host: SimulatedHost): void {
     const now = this.simulation.now()
     const { viewRevision } = host.follower
     if (viewRevision === 0 || !host.lease.isFresh(viewRevision, now)) return
     for (const [view, acceptedAt] of this.#acceptedAt) {
       if (view <= viewRevision) continue
-      this.ledger.check('configuration-never-reverts', acceptedAt > now - FRESHNESS_MS,
+      this.recorder.check('configuration-never-reverts', acceptedAt > now - FRESHNESS_LEASE_MS,
         () => `${host.name} acts on view ${viewRevision}, but ${view} was accepted ${(now - acceptedAt).toFixed(0)} ms ago`)
     }
-    this.ledger.check('configuration-never-reverts', true, () => '')
+    this.recorder.check('configuration-never-reverts', true, () => '')
   }
 
   // --- Operators ---
 
   #operatorLoop (): void {
-    this.simulation.after(50 + this.simulation.random() * 300, () => {
-      if (this.#isCalm) return
+    this.simulation.schedule(50 + this.simulation.random() * 300, () => {
+      if (this.#hasFaultsEnded) return
       this.#operatorLoop()
       this.#nextRequest += 1
       const requestId = `operator-${this.#nextRequest}`
@@ -214,23 +214,23 @@
     void this.#proposer.propose('operator', command, 3000, () => true).then(result => { this.#onChangeAnswer(command, result) })
     // A resend, as after a lost answer.
     if (this.simulation.chance(0.3)) {
-      this.simulation.after(this.simulation.random() * 2000, () => {
+      this.simulation.schedule(this.simulation.random() * 2000, () => {
         void this.#proposer.propose('operator', command, 3000, () => true).then(result => { this.#onChangeAnswer(command, result) })
       })
     }
   }
 
-  #onChangeAnswer (command: Extract<Command, { kind: 'change-configuration' }>, result: Proposed): void {
+  #onChangeAnswer (command: Extract<Command, { kind: 'change-configuration' }>, result: ProposalResult): void {
     if (!result.ok) return
     const answer = JSON.stringify(result.value)
     const earlier = this.#answers.get(command.requestId)
-    this.ledger.check('configuration-never-reverts', earlier === undefined || earlier === answer,
+    this.recorder.check('configuration-never-reverts', earlier === undefined || earlier === answer,
       () => `${command.requestId} was answered ${earlier ?? ''} and then ${answer}`)
     this.#answers.set(command.requestId, answer)
     if (result.value.kind !== 'accepted') return
     const { revision } = result.value
     const winner = this.#acceptedBy.get(revision)
-    this.ledger.check('configuration-never-reverts', winner === undefined || winner === command.requestId,
+    this.recorder.check('configuration-never-reverts', winner === undefined || winner === command.requestId,
       () => `revision ${revision} was accepted for ${winner ?? ''} and for ${command.requestId}`)
     this.#acceptedBy.set(revision, command.requestId)
   }
@@ -238,10 +238,10 @@
   // --- Keyed calls ---
 
   #callerLoop (): void {
-    this.simulation.after(20 + this.simulation.random() * 150, () => {
-      if (this.#isCalm) return
+    this.simulation.schedule(20 + this.simulation.random() * 150, () => {
+      if (this.#hasFaultsEnded) return
       this.#callerLoop()
-      const host = this.simulation.oneOf(this.#hosts)
+      const host = this.simulation.pickFrom(this.#hosts)
       if (this.simulation.now() < host.frozenUntil) return
       this.#nextRequest += 1
       void this.#keyedCalls.call(host, `request-${this.#nextRequest}`)
@@ -251,101 +251,101 @@
   // --- Faults ---
 
   #faultLoop (): void {
-    this.simulation.after(100 + this.simulation.random() * 500, () => {
-      if (this.#isCalm) return
+    this.simulation.schedule(100 + this.simulation.random() * 500, () => {
+      if (this.#hasFaultsEnded) return
       this.#faultLoop()
-      const replica = this.simulation.oneOf([...this.#replicas.values()])
-      const host = this.simulation.oneOf(this.#hosts)
-      if (this.simulation.fault('kill', 0.25)) this.#kill(replica)
+      const replica = this.simulation.pickFrom([...this.#replicas.values()])
+      const host = this.simulation.pickFrom(this.#hosts)
+      if (this.simulation.drawFault('kill', 0.25)) this.#kill(replica)
       // Power loss: whatever was not synced is gone everywhere at once.
-      if (this.simulation.fault('kill', 0.06)) for (const each of this.#replicas.values()) this.#kill(each)
-      if (this.simulation.fault('freeze', 0.2)) replica.freeze(this.simulation.random() * 1500)
-      if (this.simulation.fault('freeze', 0.2)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 2500
-      if (this.simulation.fault('kill', 0.2)) this.#killHost(host)
-      if (this.simulation.fault('cut', 0.3)) this.#cut()
-      if (this.simulation.fault('lost-disk', 0.1)) this.#loseDisk(replica)
+      if (this.simulation.drawFault('kill', 0.06)) for (const each of this.#replicas.values()) this.#kill(each)
+      if (this.simulation.drawFault('freeze', 0.2)) replica.freeze(this.simulation.random() * 1500)
+      if (this.simulation.drawFault('freeze', 0.2)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 2500
+      if (this.simulation.drawFault('kill', 0.2)) this.#killHost(host)
+      if (this.simulation.drawFault('cut', 0.3)) this.#cutLinks()
+      if (this.simulation.drawFault('lost-disk', 0.1)) this.#loseDisk(replica)
     })
   }
 
   #kill (replica: SimulatedReplica): void {
     if (!replica.isAlive) return
-    this.simulation.note(`kill ${replica.self.id}, ${replica.core.role} of term ${replica.core.term}`)
+    this.simulation.log(`kill ${replica.self.id}, ${replica.core.role} of term ${replica.core.term}`)
     replica.kill()
-    this.simulation.after(this.simulation.random() * RESTART_MS, () => {
+    this.simulation.schedule(this.simulation.random() * MAX_RESTART_DELAY_MS, () => {
       if (!replica.isAlive && this.#replicas.has(replica.self.id)) replica.restart()
     })
   }
 
   #killHost (host: SimulatedHost): void {
-    this.simulation.note(`kill ${host.name}`)
+    this.simulation.log(`kill ${host.name}`)
     host.incarnation += 1
     host.frozenUntil = 0
     host.follower = new ViewFollower()
-    host.lease = new FreshnessLease(FRESHNESS_MS)
-    host.once = this.#keyedCalls.newOnce(host)
+    host.lease = new FreshnessLease(FRESHNESS_LEASE_MS)
+    host.executor = this.#keyedCalls.createExecutor(host)
   }
 
   /** Silent, one way or both ways; from one process to another, or to all. */
-  #cut (): void {
+  #cutLinks (): void {
     const names = [...this.#replicas.keys(), ...this.#hosts.map(host => host.name)]
-    const from = this.simulation.oneOf(names)
+    const from = this.simulation.pickFrom(names)
     const duration = this.simulation.random() * 3000
-    const targets = this.simulation.chance(0.4) ? names : [this.simulation.oneOf(names)]
+    const targets = this.simulation.chance(0.4) ? names : [this.simulation.pickFrom(names)]
     const bothWays = this.simulation.chance(0.5)
-    this.simulation.note(`cut ${from} from ${targets.length} processes ${bothWays ? 'both ways' : 'one way'} for ${duration.toFixed(0)} ms`)
+    this.simulation.log(`cut ${from} from ${targets.length} processes ${bothWays ? 'both ways' : 'one way'} for ${duration.toFixed(0)} ms`)
     for (const target of targets) {
-      this.simulation.cut(from, target, duration)
-      if (bothWays) this.simulation.cut(target, from, duration)
+      this.simulation.cutLink(from, target, duration)
+      if (bothWays) this.simulation.cutLink(target, from, duration)
     }
   }
 
   /** One disk at a time; the next may be lost right after the repair. */
   #loseDisk (replica: SimulatedReplica): void {
     const isVoter = [...this.#replicas.values()].some(other => other.core.membership.voters.some(voter => voter.id === replica.self.id))
-    if (this.#repairing || !isVoter) return
-    this.#repairing = true
+    if (this.#isRepairing || !isVoter) return
+    this.#isRepairing = true
     replica.kill()
     this.#replicas.delete(replica.self.id)
     const self = this.#newReplicaName()
-    this.simulation.note(`${replica.self.id} lost its disk and comes back as ${self.id}`)
-    const fresh = this.#addReplica(self, { term: 0, votedFor: undefined, snapshot: undefined, entries: [] })
-    this.#join(fresh, replica.self.id)
+    this.simulation.log(`${replica.self.id} lost its disk and comes back as ${self.id}`)
+    const replacement = this.#addReplica(self, { term: 0, votedFor: undefined, snapshot: undefined, entries: [] })
+    this.#join(replacement, replica.self.id)
   }
 
-  #join (fresh: SimulatedReplica, formerId: string): void {
-    this.simulation.after(60, () => {
+  #join (replacement: SimulatedReplica, formerId: string): void {
+    this.simulation.schedule(60, () => {
       const leader = [...this.#replicas.values()].find(replica => replica.isAlive && replica.core.holdsLease(this.simulation.now()))
       const { voters, learners } = leader?.core.committedMembership ?? { voters: [], learners: [] }
-      if (voters.some(voter => voter.id === fresh.self.id)) {
-        this.#repairing = false
-        this.simulation.note(`${fresh.self.id} votes`)
+      if (voters.some(voter => voter.id === replacement.self.id)) {
+        this.#isRepairing = false
+        this.simulation.log(`${replacement.self.id} votes`)
         return
       }
-      this.#join(fresh, formerId)
+      this.#join(replacement, formerId)
       if (leader === undefined) return
-      if (!learners.some(learner => learner.id === fresh.self.id)) leader.change((core, now) => core.addLearner(fresh.self, now))
+      if (!learners.some(learner => learner.id === replacement.self.id)) leader.change((core, now) => core.addLearner(replacement.self, now))
       else if (voters.some(voter => voter.id === formerId)) {
-        const isCaughtUp = fresh.core.membership.learners.some(learner => learner.id === fresh.self.id)
+        const isCaughtUp = replacement.core.membership.learners.some(learner => learner.id === replacement.self.id)
         if (isCaughtUp) leader.change((core, now) => core.remove(formerId, now))
-      } else leader.change((core, now) => core.promote(fresh.self.id, now))
+      } else leader.change((core, now) => core.promote(replacement.self.id, now))
     })
   }
 
   #checkEnd (): void {
     const leader = [...this.#replicas.values()].find(replica => replica.core.canRead(this.simulation.now()))
-    this.ledger.check('configuration-never-reverts', leader !== undefined, () => 'no leader after the faults ended')
+    this.recorder.check('configuration-never-reverts', leader !== undefined, () => 'no leader after the faults ended')
     if (leader === undefined) return
     for (const [revision, requestId] of this.#acceptedBy) {
-      this.ledger.check('configuration-never-reverts', leader.state.revision >= revision,
+      this.recorder.check('configuration-never-reverts', leader.state.revision >= revision,
         () => `revision ${revision} of ${requestId} was accepted and is lost; the newest is ${leader.state.revision}`)
     }
     const newest = this.#acceptedBy.get(leader.state.revision)
     const model = leader.state.configuration.documents[0]
     const version = model?.kind === 'model' ? model.version : undefined
-    this.ledger.check('configuration-never-reverts', newest === undefined || version === newest,
+    this.recorder.check('configuration-never-reverts', newest === undefined || version === newest,
       () => `revision ${leader.state.revision} holds ${version ?? ''}, accepted was ${newest ?? ''}`)
     for (const host of this.#hosts) {
-      this.ledger.check('configuration-never-reverts', host.follower.viewRevision === leader.state.viewRevision,
+      this.recorder.check('configuration-never-reverts', host.follower.viewRevision === leader.state.viewRevision,
         () => `${host.name} stays at view ${host.follower.viewRevision} of ${leader.state.viewRevision}`)
     }
   }
--- a/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
@@ -5,23 +5,23 @@
 import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
 import { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 
-const HOSTS = [8, 24, 81]
+const HOST_COUNTS = [8, 24, 81]
 const ENDPOINTS = 6
-const EVENTS = 40_000
+const MAX_EVENTS = 40_000
 const DURATION_MS = 5000
 
 /** What an endpoint takes while it is cold, in requests a second, and what ends it. */
-const RATE = 18
-const MOST_IN_A_SECOND = RATE * 1.5 + 5
+const COLD_REQUESTS_PER_SECOND = 18
+const MAX_REQUESTS_IN_A_SECOND = COLD_REQUESTS_PER_SECOND * 1.5 + 5
 
 const SECOND_MS = 1000
 
 /** Longest way of a request to an endpoint, in milliseconds. */
-const LONGEST_WAY_MS = 60
+const MAX_LATENCY_MS = 60
 
 interface SimulatedHost {
   readonly name: string
@@ -38,50 +38,50 @@
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    */
-  constructor (private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined) {
-    const count = simulation.oneOf(HOSTS)
-    this.#hosts = Array.from({ length: count }, (_, index) => ({ name: `host-${index}`, endpoints: coldEndpoints(), knownHosts: count, frozenUntil: 0 }))
+  constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
+    const count = simulation.pickFrom(HOST_COUNTS)
+    this.#hosts = Array.from({ length: count }, (_, index) => ({ name: `host-${index}`, endpoints: createColdEndpoints(), knownHosts: count, frozenUntil: 0 }))
   }
 
   async run (): Promise<void> {
-    for (const host of this.#hosts) this.#placeLoop(host, this.#allowanceOf(host))
+    for (const host of this.#hosts) this.#dispatchLoop(host, this.#createLimiter(host))
     this.#faultLoop()
-    await this.simulation.run({ events: EVENTS, until: DURATION_MS })
+    await this.simulation.run({ events: MAX_EVENTS, until: DURATION_MS })
     for (const arrivals of this.#arrivals) this.#check(arrivals)
   }
 
-  #allowanceOf (host: SimulatedHost): ColdEndpointLimiter {
+  #createLimiter (host: SimulatedHost): ColdEndpointLimiter {
     const knownHosts = (): number => this.broken === 'cold-endpoints-are-spared' ? 1 : host.knownHosts
     return new ColdEndpointLimiter(host.name, knownHosts)
   }
 
   /** Requests come faster than the endpoints take them, and each host would send all of them there. */
-  #placeLoop (host: SimulatedHost, allowance: ColdEndpointLimiter): void {
-    this.simulation.after(this.simulation.random() * 60, () => {
-      this.#placeLoop(host, allowance)
+  #dispatchLoop (host: SimulatedHost, limiter: ColdEndpointLimiter): void {
+    this.simulation.schedule(this.simulation.random() * 60, () => {
+      this.#dispatchLoop(host, limiter)
       const now = this.simulation.now()
       if (now < host.frozenUntil) return
       const index = this.simulation.pick(ENDPOINTS)
       const endpoint = host.endpoints[index]
-      if (endpoint === undefined || !allowance.admits(endpoint, RATE, now)) return
+      if (endpoint === undefined || !limiter.admits(endpoint, COLD_REQUESTS_PER_SECOND, now)) return
       endpoint.beginRequest(0, 0, now)
-      this.simulation.after(this.simulation.random() * LONGEST_WAY_MS, () => {
+      this.simulation.schedule(this.simulation.random() * MAX_LATENCY_MS, () => {
         this.#arrivals[index]?.push({ sentAt: now, at: this.simulation.now() })
       })
     })
   }
 
   #faultLoop (): void {
-    this.simulation.after(100 + this.simulation.random() * 300, () => {
+    this.simulation.schedule(100 + this.simulation.random() * 300, () => {
       this.#faultLoop()
-      const host = this.simulation.oneOf(this.#hosts)
-      if (this.simulation.fault('freeze', 0.4)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 1500
-      if (!this.simulation.fault('kill', 0.4)) return
+      const host = this.simulation.pickFrom(this.#hosts)
+      if (this.simulation.drawFault('freeze', 0.4)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 1500
+      if (!this.simulation.drawFault('kill', 0.4)) return
       // A host that has just started knows neither what it has sent nor all of the others.
-      host.endpoints = coldEndpoints()
+      host.endpoints = createColdEndpoints()
       host.knownHosts = Math.ceil(this.#hosts.length / 2)
     })
   }
@@ -89,15 +89,15 @@
   #check (arrivals: ReadonlyArray<{ readonly sentAt: number, readonly at: number }>): void {
     for (const { sentAt: from } of arrivals) {
       const count = arrivals.filter(({ sentAt, at }) => sentAt >= from && at <= from + SECOND_MS).length
-      this.ledger.check('cold-endpoints-are-spared', count <= MOST_IN_A_SECOND, () => `a cold endpoint got ${count} requests in a second from ${this.#hosts.length} hosts`)
+      this.recorder.check('cold-endpoints-are-spared', count <= MAX_REQUESTS_IN_A_SECOND, () => `a cold endpoint got ${count} requests in a second from ${this.#hosts.length} hosts`)
     }
   }
 }
 
-function coldEndpoints (): EndpointState[] {
-  return Array.from({ length: ENDPOINTS }, (_, index) => new EndpointState(listed(`endpoint-${index}`)))
+function createColdEndpoints (): EndpointState[] {
+  return Array.from({ length: ENDPOINTS }, (_, index) => new EndpointState(listedEndpoint(`endpoint-${index}`)))
 }
 
-function listed (id: string): ListedEndpoint {
+function listedEndpoint (id: string): ListedEndpoint {
   return { id, service: 'engines', address: '10.0.0.1:80', dataCentre: 'north', slots: 48, isLeaving: false, isBusy: false, models: [], isCold: true }
 }
--- a/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
@@ -16,11 +16,11 @@
 import { LinkTable } from '@eelgrassmux/policy/health/LinkTable'
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 
-const EVENTS = 12_000
+const MAX_EVENTS = 12_000
 const DURATION_MS = 60_000
 const STORES = ['store-0', 'store-1']
 const DIRECTORIES = 2
@@ -30,7 +30,7 @@
 const CAPACITY_BYTES = 2500
 const SETTINGS = { readLeaseMs: 600, writeReservationMs: 900, ownershipMs: 500, deletionMs: 400, customerShare: 0.5, blocksPerObject: 3 }
 
-interface HeldObject {
+interface StoredObject {
   readonly name: string
   readonly customer: string
   readonly keys: readonly string[]
@@ -56,7 +56,7 @@
 
 /** A store with reused memory. */
 class SimulatedStore implements StoreBackend {
-  objects = new Map<string, HeldObject>()
+  objects = new Map<string, StoredObject>()
   incarnation = 1
   isUp = true
 
@@ -95,7 +95,7 @@
   async close (): Promise<void> {}
 
   async #latency (): Promise<void> {
-    await this.simulation.sleep(0.5 + this.simulation.random() * 3 + (this.simulation.fault('delay', 0.05) ? this.simulation.random() * 300 : 0))
+    await this.simulation.sleep(0.5 + this.simulation.random() * 3 + (this.simulation.drawFault('delay', 0.05) ? this.simulation.random() * 300 : 0))
   }
 }
 
@@ -103,17 +103,17 @@
 export class DirectoryWorld implements World {
   readonly #stores = new Map<string, SimulatedStore>()
   readonly #directories: SimulatedDirectory[] = []
-  readonly #garbageImports = new Set<string>()
+  readonly #corruptImports = new Set<string>()
   readonly #importCustomers = new Map<string, string>()
   readonly #configuration: ConfigurationIndex
   #assignment: Assignment
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    */
-  constructor (private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined) {
+  constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     for (const name of STORES) this.#stores.set(name, new SimulatedStore(simulation, name))
     this.#configuration = new ConfigurationIndex(1, {
       documents: STORES.map(name => ({ kind: 'store', name, address: name, dataCentre: 'hall', linkBytesPerSecond: 1_000_000 }))
@@ -127,7 +127,7 @@
     this.#readerLoop()
     this.#writerLoop()
     this.#faultLoop()
-    await this.simulation.run({ events: EVENTS, until: DURATION_MS })
+    await this.simulation.run({ events: MAX_EVENTS, until: DURATION_MS })
   }
 
   // --- Directories ---
@@ -153,16 +153,16 @@
   #directoryLoop (index: number): void {
     const directory = this.#directories[index]
     if (directory === undefined) return
-    this.simulation.after(60 + this.simulation.random() * 60, () => {
+    this.simulation.schedule(60 + this.simulation.random() * 60, () => {
       this.#directoryLoop(index)
       if (this.simulation.now() < directory.frozenUntil) return
-      this.#learn(index, directory)
+      this.#followAssignment(index, directory)
       for (const watcher of directory.watchers) void watcher.look()
       if (this.broken === 'no-freed-or-partial-block') this.#deleteWithoutWaiting(directory)
     })
   }
 
-  #learn (index: number, directory: SimulatedDirectory): void {
+  #followAssignment (index: number, directory: SimulatedDirectory): void {
     const { epoch, directory: owner } = this.#assignment
     if (directory.knownEpoch === epoch) return
     directory.knownEpoch = epoch
@@ -180,13 +180,13 @@
     }
   }
 
-  async #atOwner<Answer> (call: (shard: DirectoryShard) => Answer): Promise<Result<Answer, DirectoryError>> {
+  async #callOwner<Answer> (call: (shard: DirectoryShard) => Answer): Promise<Result<Answer, DirectoryError>> {
     const target = this.simulation.pick(DIRECTORIES)
-    await this.simulation.sleep(0.3 + this.simulation.random() + (this.simulation.fault('delay', 0.05) ? this.simulation.random() * 400 : 0))
+    await this.simulation.sleep(0.3 + this.simulation.random() + (this.simulation.drawFault('delay', 0.05) ? this.simulation.random() * 400 : 0))
     const shard = this.#directories[target]?.shard
     if (shard === undefined || !this.#mayAct(target)) return fail({ kind: 'wrong-owner' })
     const answer = call(shard)
-    await this.simulation.sleep(0.3 + this.simulation.random() + (this.simulation.fault('delay', 0.05) ? this.simulation.random() * 400 : 0))
+    await this.simulation.sleep(0.3 + this.simulation.random() + (this.simulation.drawFault('delay', 0.05) ? this.simulation.random() * 400 : 0))
     return succeed(answer)
   }
 
@@ -202,48 +202,48 @@
   // --- Writers ---
 
   #writerLoop (): void {
-    this.simulation.after(10 + this.simulation.random() * 80, () => {
+    this.simulation.schedule(10 + this.simulation.random() * 80, () => {
       this.#writerLoop()
-      void this.#write(this.simulation.oneOf(CUSTOMERS), this.simulation.pick(PROMPTS))
+      void this.#write(this.simulation.pickFrom(CUSTOMERS), this.simulation.pick(PROMPTS))
     })
   }
 
   async #write (customer: string, prompt: number): Promise<void> {
-    const store = this.#stores.get(this.simulation.oneOf(STORES))
+    const store = this.#stores.get(this.simulation.pickFrom(STORES))
     const keys = this.#keys(customer, prompt)
     if (store === undefined) return
-    const reserved = await this.#atOwner(shard =>
+    const reserved = await this.#callOwner(shard =>
       shard.reserve({ customer, store: store.name, keys, tokensPerBlock: TOKENS_PER_BLOCK }, this.simulation.now()))
     if (!reserved.ok || reserved.value === undefined || !store.isUp) return
     const { name, keys: written, firstBlock } = reserved.value
     const { incarnation } = store
-    const object: HeldObject = { name, customer, keys: written, firstBlock, isComplete: false, isFreed: false }
+    const object: StoredObject = { name, customer, keys: written, firstBlock, isComplete: false, isFreed: false }
     if (store.usedBytes + written.length * BLOCK_BYTES > CAPACITY_BYTES) return
     store.objects.set(name, object)
     const isPublishedEarly = this.broken === 'no-freed-or-partial-block' && this.simulation.chance(0.5)
     if (isPublishedEarly) await this.#publish(name, written)
-    await this.simulation.sleep(5 + this.simulation.random() * 60 + (this.simulation.fault('delay', 0.1) ? this.simulation.random() * 1500 : 0))
+    await this.simulation.sleep(5 + this.simulation.random() * 60 + (this.simulation.drawFault('delay', 0.1) ? this.simulation.random() * 1500 : 0))
     if (!store.isUp || store.incarnation !== incarnation || object.isFreed) return
     object.isComplete = true
     await this.#publish(name, written)
   }
 
   async #publish (name: string, keys: readonly string[]): Promise<void> {
-    await this.#atOwner(shard => shard.publish(name, { bytes: keys.length * BLOCK_BYTES, sha256: '', tier: 'memory' }, this.simulation.now()))
+    await this.#callOwner(shard => shard.publish(name, { bytes: keys.length * BLOCK_BYTES, sha256: '', tier: 'memory' }, this.simulation.now()))
   }
 
   // --- Readers ---
 
   #readerLoop (): void {
-    this.simulation.after(5 + this.simulation.random() * 40, () => {
+    this.simulation.schedule(5 + this.simulation.random() * 40, () => {
       this.#readerLoop()
-      void this.#read(this.simulation.oneOf(CUSTOMERS), this.simulation.pick(PROMPTS))
+      void this.#read(this.simulation.pickFrom(CUSTOMERS), this.simulation.pick(PROMPTS))
     })
   }
 
   async #read (customer: string, prompt: number): Promise<void> {
     const keys = this.#keys(customer, prompt)
-    const found = await this.#atOwner(shard => shard.coverage(keys))
+    const found = await this.#callOwner(shard => shard.coverage(keys))
     if (!found.ok || found.value.length === 0) return
     const stored = found.value.map(({ object, coversTo }) => ({ object: { ...object, keys: [...object.keys] }, coversTo }))
     const reusedBlocks = stored.at(-1)?.coversTo ?? 0
@@ -252,15 +252,15 @@
     const placed = { placement: { imports, engine, reusedBlocks, importMs: 400 }, keys, stored, salt: '' } as unknown as PlacedRun
     const importer = new Importer(this.simulation, {
       lease: async (chain, fromBlock) => {
-        const leased = await this.#atOwner(shard => shard.lease(chain, fromBlock, () => 'lease', this.simulation.now()))
+        const leased = await this.#callOwner(shard => shard.lease(chain, fromBlock, () => 'lease', this.simulation.now()))
         if (!leased.ok) return leased
         return succeed({ kind: 'leased', leases: leased.value.map(lease => ({ ...lease, object: { ...lease.object, keys: [...lease.object.keys] } })) } satisfies LeasesGranted)
       }
-    }, new LinkTable(), () => this.#configuration, SILENT, SILENT)
+    }, new LinkTable(), () => this.#configuration, NO_COUNTER, NO_COUNTER)
     const importId = await importer.stage(this.#engine(), placed, new AbortController().signal)
     if (importId === undefined) return
-    this.ledger.check('no-freed-or-partial-block', !this.#garbageImports.has(importId), () => `a run of ${customer} would use freed or partial blocks`)
-    this.ledger.check('customers-apart', this.#importCustomers.get(importId) === customer,
+    this.recorder.check('no-freed-or-partial-block', !this.#corruptImports.has(importId), () => `a run of ${customer} would use freed or partial blocks`)
+    this.recorder.check('customers-apart', this.#importCustomers.get(importId) === customer,
       () => `a run of ${customer} would use blocks of ${this.#importCustomers.get(importId) ?? 'nobody'}`)
   }
 
@@ -273,14 +273,14 @@
           if (object === undefined) return fail({ kind: 'rejected', status: 409, detail: 'object-missing' })
           const wasComplete = object.isComplete
           const incarnation = this.#stores.get(storeAddress)?.incarnation
-          await this.simulation.sleep(1 + this.simulation.random() * 40 + (this.simulation.fault('delay', 0.1) ? this.simulation.random() * 1200 : 0))
+          await this.simulation.sleep(1 + this.simulation.random() * 40 + (this.simulation.drawFault('delay', 0.1) ? this.simulation.random() * 1200 : 0))
           // A store that died breaks the connection: the read fails, it does not bring garbage.
           const { isUp, incarnation: present } = this.#stores.get(storeAddress) ?? { isUp: false, incarnation: 0 }
           if (!isUp || present !== incarnation) return fail({ kind: 'lost', detail: 'the store died' })
-          if (!wasComplete || object.isFreed) this.#garbageImports.add(request.importId)
+          if (!wasComplete || object.isFreed) this.#corruptImports.add(request.importId)
           this.#importCustomers.set(request.importId, object.customer)
         }
-        if (this.simulation.fault('freeze', 0.05)) await this.simulation.sleep(this.simulation.random() * 1500)
+        if (this.simulation.drawFault('freeze', 0.05)) await this.simulation.sleep(this.simulation.random() * 1500)
         return succeed({ bytes: 0 })
       },
       discardImport: async () => {}
@@ -290,35 +290,35 @@
   // --- Faults ---
 
   #faultLoop (): void {
-    this.simulation.after(200 + this.simulation.random() * 600, () => {
+    this.simulation.schedule(200 + this.simulation.random() * 600, () => {
       this.#faultLoop()
-      if (this.simulation.fault('kill', 0.25)) this.#reassign()
+      if (this.simulation.drawFault('kill', 0.25)) this.#reassign()
       const directory = this.#directories[this.simulation.pick(DIRECTORIES)]
-      if (directory !== undefined && this.simulation.fault('freeze', 0.25)) {
+      if (directory !== undefined && this.simulation.drawFault('freeze', 0.25)) {
         directory.frozenUntil = this.simulation.now() + this.simulation.random() * 1500
       }
-      const store = this.#stores.get(this.simulation.oneOf(STORES))
-      if (store !== undefined && this.simulation.fault('lost-disk', 0.1)) this.#killStore(store)
-      for (const each of this.#directories) each.shard?.evict(this.simulation.oneOf(STORES), 300, this.simulation.now())
+      const store = this.#stores.get(this.simulation.pickFrom(STORES))
+      if (store !== undefined && this.simulation.drawFault('lost-disk', 0.1)) this.#killStore(store)
+      for (const each of this.#directories) each.shard?.evict(this.simulation.pickFrom(STORES), 300, this.simulation.now())
     })
   }
 
   #reassign (): void {
     const { directory, epoch } = this.#assignment
     this.#assignment = { directory: (directory + 1) % DIRECTORIES, epoch: epoch + 1, acceptedAt: this.simulation.now() }
-    this.simulation.note(`the shard moves to directory ${this.#assignment.directory} under epoch ${epoch + 1}`)
+    this.simulation.log(`the shard moves to directory ${this.#assignment.directory} under epoch ${epoch + 1}`)
   }
 
   #killStore (store: SimulatedStore): void {
-    this.simulation.note(`${store.name} dies`)
+    this.simulation.log(`${store.name} dies`)
     for (const object of store.objects.values()) object.isFreed = true
     store.objects = new Map()
     store.isUp = false
-    this.simulation.after(this.simulation.random() * 1000, () => {
+    this.simulation.schedule(this.simulation.random() * 1000, () => {
       store.isUp = true
       store.incarnation += 1
     })
   }
 }
 
-const SILENT = { count: (): void => {} }
+const NO_COUNTER = { count: (): void => {} }
--- a/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
@@ -1,15 +1,15 @@
 /** Endpoints that leave, restart and fall silent behind a membership list that lags or stops. */
 import { DEFAULT_ENDPOINT_SETTINGS, EndpointTable, type ListedMember } from '@eelgrassmux/policy/health/EndpointTable'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 
 const ENDPOINTS = 6
-const EVENTS = 20_000
+const MAX_EVENTS = 20_000
 const DURATION_MS = 120_000
 
 /** "A few seconds", in milliseconds. */
-const GRACE_MS = 3000
+const MAX_DISPATCH_AFTER_LEAVING_MS = 3000
 
 interface SimulatedEndpoint {
   readonly name: string
@@ -23,15 +23,15 @@
 export class EndpointWorld implements World {
   readonly #endpoints: SimulatedEndpoint[] = []
   readonly #table: EndpointTable
-  #list: ListedMember[] = []
-  #isListStopped = false
+  #memberList: ListedMember[] = []
+  #isListStale = false
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    */
-  constructor (private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined) {
+  constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     const reportLifetimeMs = broken === 'leaving-gets-no-work' ? Number.POSITIVE_INFINITY : DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
     this.#table = new EndpointTable({ ...DEFAULT_ENDPOINT_SETTINGS, reportLifetimeMs })
     for (let index = 0; index < ENDPOINTS; index += 1) {
@@ -45,11 +45,11 @@
     this.#listLoop()
     this.#dispatchLoop()
     this.#faultLoop()
-    await this.simulation.run({ events: EVENTS, until: DURATION_MS })
+    await this.simulation.run({ events: MAX_EVENTS, until: DURATION_MS })
   }
 
   #reportLoop (endpoint: SimulatedEndpoint): void {
-    this.simulation.after(250, () => {
+    this.simulation.schedule(250, () => {
       this.#reportLoop(endpoint)
       const report = { leaving: endpoint.leavingSince !== undefined, incarnation: endpoint.incarnation }
       if (endpoint.isCutOff) return
@@ -58,44 +58,44 @@
   }
 
   #listLoop (): void {
-    this.simulation.after(500, () => {
+    this.simulation.schedule(500, () => {
       this.#listLoop()
       const snapshot = this.#endpoints.map(({ name, incarnation, leavingSince }): ListedMember =>
         ({ name, incarnation, state: leavingSince === undefined ? 'live' : 'leaving' }))
       // The platform's list lags by seconds, and may stop for good.
-      this.simulation.after(1000 + this.simulation.random() * 4000, () => { if (!this.#isListStopped) this.#list = snapshot })
-      this.#table.observeMemberList(this.#list)
+      this.simulation.schedule(1000 + this.simulation.random() * 4000, () => { if (!this.#isListStale) this.#memberList = snapshot })
+      this.#table.observeMemberList(this.#memberList)
     })
   }
 
   #dispatchLoop (): void {
-    this.simulation.after(10 + this.simulation.random() * 30, () => {
+    this.simulation.schedule(10 + this.simulation.random() * 30, () => {
       this.#dispatchLoop()
       const now = this.simulation.now()
       const eligible = this.#table.eligible(now)
       if (eligible.length === 0) return
-      const name = this.simulation.oneOf(eligible)
+      const name = this.simulation.pickFrom(eligible)
       const endpoint = this.#endpoints.find(candidate => candidate.name === name)
       const leavingFor = now - (endpoint?.leavingSince ?? now)
-      this.ledger.check('leaving-gets-no-work', leavingFor < GRACE_MS, () => `${name} got new work ${leavingFor.toFixed(0)} ms after it began to leave`)
+      this.recorder.check('leaving-gets-no-work', leavingFor < MAX_DISPATCH_AFTER_LEAVING_MS, () => `${name} got new work ${leavingFor.toFixed(0)} ms after it began to leave`)
     })
   }
 
   #faultLoop (): void {
-    this.simulation.after(200 + this.simulation.random() * 800, () => {
+    this.simulation.schedule(200 + this.simulation.random() * 800, () => {
       this.#faultLoop()
-      const endpoint = this.simulation.oneOf(this.#endpoints)
-      if (this.simulation.fault('kill', 0.4) && endpoint.leavingSince === undefined) {
+      const endpoint = this.simulation.pickFrom(this.#endpoints)
+      if (this.simulation.drawFault('kill', 0.4) && endpoint.leavingSince === undefined) {
         endpoint.leavingSince = this.simulation.now()
-        this.simulation.after(4000 + this.simulation.random() * 8000, () => {
+        this.simulation.schedule(4000 + this.simulation.random() * 8000, () => {
           endpoint.incarnation += 1
           endpoint.leavingSince = undefined
           endpoint.isCutOff = false
         })
       }
-      if (this.simulation.fault('cut', 0.3)) endpoint.isCutOff = true
+      if (this.simulation.drawFault('cut', 0.3)) endpoint.isCutOff = true
       else if (endpoint.leavingSince === undefined) endpoint.isCutOff = false
-      if (this.simulation.fault('freeze', 0.05)) this.#isListStopped = !this.#isListStopped
+      if (this.simulation.drawFault('freeze', 0.05)) this.#isListStale = !this.#isListStale
     })
   }
 }
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.test.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { Ledger } from '../Ledger.js'
+import { CheckRecorder } from '../CheckRecorder.js'
 import { FAULT_KINDS, Simulation, type FaultKind } from '../Simulation.js'
 import { QuarantineWorld, SMALL_SHAPE, type QuarantineShape } from './QuarantineWorld.js'
 
@@ -8,33 +8,33 @@
 const TIMEOUT_MS = 120_000
 
 /** Runs without any network; the same seed gives the same run. */
-async function play (seed: number, shape: QuarantineShape, kinds: readonly FaultKind[] = FAULT_KINDS): Promise<Ledger> {
+async function runWorld (seed: number, shape: QuarantineShape, kinds: readonly FaultKind[] = FAULT_KINDS): Promise<CheckRecorder> {
   const simulation = new Simulation(seed, new Set(kinds))
-  const ledger = new Ledger(() => simulation.executed)
-  await new QuarantineWorld(simulation, ledger, undefined, shape).run()
-  return ledger
+  const recorder = new CheckRecorder(() => simulation.executedEvents)
+  await new QuarantineWorld(simulation, recorder, undefined, shape).run()
+  return recorder
 }
 
 describe('requests that crash endpoints', () => {
   describe.each([['8 hosts', SMALL_SHAPE], ['195 hosts', LARGE_SHAPE]])('before %s', (_name, shape) => {
     it.each([11, 12, 13])('are quarantined, and nobody else is (seed %i)', async seed => {
-      const ledger = await play(seed, shape)
-      expect(ledger.violations).toEqual([])
-      expect(ledger.checks.get('poison-requests-stop')).toBeGreaterThan(0)
-      expect(ledger.checks.get('bystanders-are-served')).toBeGreaterThan(1000)
+      const recorder = await runWorld(seed, shape)
+      expect(recorder.violations).toEqual([])
+      expect(recorder.checks.get('poison-requests-stop')).toBeGreaterThan(0)
+      expect(recorder.checks.get('bystanders-are-served')).toBeGreaterThan(1000)
     }, TIMEOUT_MS)
   })
 
   /** No other fault, so that every run that is not allowed counts. */
   it.each([21, 22, 23])('stay quarantined when the leading control host is lost for good and all entry hosts start anew (seed %i)', async seed => {
-    const ledger = await play(seed, { ...SMALL_SHAPE, leaderLostAtMs: 8000, hostsRestartAtMs: 14_000 }, ['loss', 'delay', 'duplicate'])
-    expect(ledger.violations).toEqual([])
-    expect(ledger.checks.get('poison-requests-stop')).toBeGreaterThan(50)
+    const recorder = await runWorld(seed, { ...SMALL_SHAPE, leaderLostAtMs: 8000, hostsRestartAtMs: 14_000 }, ['loss', 'delay', 'duplicate'])
+    expect(recorder.violations).toEqual([])
+    expect(recorder.checks.get('poison-requests-stop')).toBeGreaterThan(50)
   }, TIMEOUT_MS)
 
   it('are found after the loss of the leader that held the first reports', async () => {
-    const ledger = await play(31, { ...SMALL_SHAPE, leaderLostAtMs: 1500 }, ['loss', 'delay', 'duplicate'])
-    expect(ledger.violations).toEqual([])
-    expect(ledger.checks.get('poison-requests-stop')).toBeGreaterThan(50)
+    const recorder = await runWorld(31, { ...SMALL_SHAPE, leaderLostAtMs: 1500 }, ['loss', 'delay', 'duplicate'])
+    expect(recorder.violations).toEqual([])
+    expect(recorder.checks.get('poison-requests-stop')).toBeGreaterThan(50)
   }, TIMEOUT_MS)
 })
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
@@ -10,7 +10,7 @@
 import type { CrashReport } from '@eelgrassmux/routing/quarantine/crashReport'
 import type { QuarantineDecision } from '@eelgrassmux/schema/quarantineEntry'
 import { ViewFollower } from '@eelgrassmux/view/ViewFollower'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 import { ALL_MECHANISMS, SimulatedReplica } from './SimulatedReplica.js'
@@ -35,28 +35,28 @@
 const REPLICAS = 3
 
 /** Most events of a run, as a bound only. */
-const EVENTS = 2_000_000
+const MAX_EVENTS = 2_000_000
 
 /** Ends after which a request must be known, time for all to hear of it, and runs that may still begin then. */
-const KNOWN_AFTER_ENDS = 3
-const HEARD_MS = 3000
-const MOST_LATE_RUNS = 3
+const DETECTION_CRASHES = 3
+const PROPAGATION_MS = 3000
+const MAX_LATE_RUNS = 3
 
 /** Intervals of reports, views, and the leader's looks, in milliseconds. */
-const REPORT_MS = 200
-const VIEW_MS = 200
-const LOOK_MS = 100
+const REPORT_INTERVAL_MS = 200
+const MEAN_VIEW_INTERVAL_MS = 200
+const DECISION_INTERVAL_MS = 100
 
 /** Pause between two faults, and time until a process is back, in milliseconds. */
-const LEAST_FAULT_GAP_MS = 1500
-const MOST_FAULT_GAP_MS = 6000
-const RESTART_MS = 1000
+const MIN_FAULT_INTERVAL_MS = 1500
+const MAX_FAULT_INTERVAL_MS = 6000
+const MAX_RESTART_DELAY_MS = 1000
 
 /** Endpoints of a rack. */
-const RACK = 3
+const RACK_SIZE = 3
 
 /** How often a request that was lost is sent again by its caller. */
-const REPEATS = 2
+const MAX_REPEATS = 2
 
 interface SimulatedHost {
   readonly name: string
@@ -80,19 +80,19 @@
   readonly #replicas: SimulatedLeader[]
   readonly #hosts: SimulatedHost[]
   readonly #pool: SimulatedPool
-  readonly #ends = new Map<string, number[]>()
+  readonly #crashes = new Map<string, number[]>()
   readonly #lateRuns = new Map<string, number>()
   #controlDisturbedAt = Number.NEGATIVE_INFINITY
   #nextRequest = 0
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    * @param shape - how large it is
    */
   constructor (
-    private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined, private readonly shape = SMALL_SHAPE
+    private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined, private readonly shape = SMALL_SHAPE
   ) {
     const voters = Array.from({ length: REPLICAS }, (_, index): Replica => ({ id: `control-${index}`, address: `control-${index}` }))
     const disk: PersistentState = { term: 1, votedFor: undefined, snapshot: undefined, entries: [{ kind: 'membership', index: 1, term: 1, membership: { voters, learners: [] } }] }
@@ -106,96 +106,96 @@
       this.#reportLoop(host)
       this.#viewLoop(host)
     }
-    for (const leader of this.#replicas) this.#lookLoop(leader)
+    for (const leader of this.#replicas) this.#decisionLoop(leader)
     this.#trafficLoop()
     // One that is at most endpoints at any time.
     this.#repeatLoop(this.#newRequest(false, 100, 400), 5, 20)
     for (let index = 0; index < this.shape.poison; index += 1) this.#repeatLoop(this.#newRequest(true, 20, 200), 200, 1500)
     this.#faultLoop()
     this.#scheduleLosses()
-    await this.simulation.run({ events: EVENTS, until: this.shape.durationMs })
+    await this.simulation.run({ events: MAX_EVENTS, until: this.shape.durationMs })
   }
 
   // --- Requests ---
 
   #newRequest (isPoison: boolean, leastMs: number, mostMs: number): PoolRequest {
     this.#nextRequest += 1
-    return { fingerprint: this.#nextRequest.toString(16).padStart(32, '0'), isPoison, durationMs: () => this.#between(leastMs, mostMs) }
+    return { fingerprint: this.#nextRequest.toString(16).padStart(32, '0'), isPoison, durationMs: () => this.#randomBetween(leastMs, mostMs) }
   }
 
-  #between (least: number, most: number): number {
-    return least + this.simulation.random() * (most - least)
+  #randomBetween (min: number, max: number): number {
+    return min + this.simulation.random() * (max - min)
   }
 
   /** Requests that come once, but for what their callers repeat. */
   #trafficLoop (): void {
-    this.simulation.after(-Math.log(1 - this.simulation.random()) * 1000 / this.shape.requestsPerSecond, () => {
+    this.simulation.schedule(-Math.log(1 - this.simulation.random()) * 1000 / this.shape.requestsPerSecond, () => {
       this.#trafficLoop()
-      this.#send(this.#newRequest(false, 50, 3000), REPEATS)
+      this.#send(this.#newRequest(false, 50, 3000), MAX_REPEATS)
     })
   }
 
   #repeatLoop (request: PoolRequest, leastMs: number, mostMs: number): void {
-    this.simulation.after(this.#between(leastMs, mostMs), () => {
+    this.simulation.schedule(this.#randomBetween(leastMs, mostMs), () => {
       this.#repeatLoop(request, leastMs, mostMs)
       this.#send(request, 0)
     })
   }
 
   #send (request: PoolRequest, repeats: number): void {
-    const host = this.simulation.oneOf(this.#hosts)
+    const host = this.simulation.pickFrom(this.#hosts)
     // A host that knows no site yet serves nobody.
     if (host.follower.viewRevision === 0) return
     if (host.follower.quarantine.find(request.fingerprint)?.state === 'quarantined') {
-      if (request.isPoison) this.ledger.check('poison-requests-stop', true, () => '')
-      this.ledger.check('bystanders-are-served', request.isPoison, () => `${request.fingerprint} ended no endpoint and is quarantined at ${host.name}`)
+      if (request.isPoison) this.recorder.check('poison-requests-stop', true, () => '')
+      this.recorder.check('bystanders-are-served', request.isPoison, () => `${request.fingerprint} ended no endpoint and is quarantined at ${host.name}`)
       return
     }
     if (request.isPoison) this.#checkPoison(host, request)
     const { incarnation } = host
     this.#pool.run(request, {
-      whole: run => { if (host.incarnation === incarnation) this.#noteWhole(host, run) },
-      lost: run => {
-        if (request.isPoison) this.#noteEnd(request, run)
-        if (host.incarnation === incarnation) this.#noteLost(host, run)
-        if (repeats > 0) this.simulation.after(this.#between(0, 300), () => { this.#send(request, repeats - 1) })
+      onCompleted: run => { if (host.incarnation === incarnation) this.#recordCompletion(host, run) },
+      onLost: run => {
+        if (request.isPoison) this.#recordCrash(request, run)
+        if (host.incarnation === incarnation) this.#recordLoss(host, run)
+        if (repeats > 0) this.simulation.schedule(this.#randomBetween(0, 300), () => { this.#send(request, repeats - 1) })
       }
     })
   }
 
-  #noteWhole (host: SimulatedHost, { request }: PoolRun): void {
-    this.ledger.check('bystanders-are-served', true, () => '')
+  #recordCompletion (host: SimulatedHost, { request }: PoolRun): void {
+    this.recorder.check('bystanders-are-served', true, () => '')
     if (host.follower.quarantine.find(request.fingerprint) === undefined) return
     host.completed.add(request.fingerprint)
     host.evidence.forget(request.fingerprint)
     host.hasUnreported = true
   }
 
-  #noteLost (host: SimulatedHost, { request, endpoint, startedAt }: PoolRun): void {
+  #recordLoss (host: SimulatedHost, { request, endpoint, startedAt }: PoolRun): void {
     const now = this.simulation.now()
     host.evidence.record({ fingerprint: request.fingerprint, service: 'pool', endpoint, ranMs: now - startedAt }, now)
     host.hasUnreported = true
   }
 
-  #noteEnd ({ fingerprint }: PoolRequest, { endpoint }: PoolRun): void {
+  #recordCrash ({ fingerprint }: PoolRequest, { endpoint }: PoolRun): void {
     if (!this.#pool.hasCrashed(endpoint)) return
-    this.#ends.set(fingerprint, [...this.#ends.get(fingerprint) ?? [], this.simulation.now()])
+    this.#crashes.set(fingerprint, [...this.#crashes.get(fingerprint) ?? [], this.simulation.now()])
   }
 
   /** As after any start or disturbance, a host that was just started and control hosts that were just disturbed have a moment. */
   #checkPoison (host: SimulatedHost, { fingerprint }: PoolRequest): void {
     const now = this.simulation.now()
-    const knownAt = this.#ends.get(fingerprint)?.[KNOWN_AFTER_ENDS - 1]
-    if (knownAt === undefined || now - knownAt <= HEARD_MS || now - host.startedAt <= HEARD_MS || now - this.#controlDisturbedAt <= HEARD_MS) return
+    const detectedAt = this.#crashes.get(fingerprint)?.[DETECTION_CRASHES - 1]
+    if (detectedAt === undefined || now - detectedAt <= PROPAGATION_MS || now - host.startedAt <= PROPAGATION_MS || now - this.#controlDisturbedAt <= PROPAGATION_MS) return
     const lateRuns = (this.#lateRuns.get(fingerprint) ?? 0) + 1
     this.#lateRuns.set(fingerprint, lateRuns)
-    this.ledger.check('poison-requests-stop', lateRuns <= MOST_LATE_RUNS, () => `${fingerprint} is sent by ${host.name} for the ${lateRuns}. time, ${Math.round(now - knownAt)} ms after it had ended ${KNOWN_AFTER_ENDS} endpoints`)
+    this.recorder.check('poison-requests-stop', lateRuns <= MAX_LATE_RUNS, () => `${fingerprint} is sent by ${host.name} for the ${lateRuns}. time, ${Math.round(now - detectedAt)} ms after it had ended ${DETECTION_CRASHES} endpoints`)
   }
 
   // --- What hosts tell, and hear ---
 
   #reportLoop (host: SimulatedHost): void {
-    this.simulation.after(REPORT_MS, () => {
+    this.simulation.schedule(REPORT_INTERVAL_MS, () => {
       this.#reportLoop(host)
       const leader = this.#leader()
       if (leader === undefined) return
@@ -220,7 +220,7 @@
       })
     })
     // A report that got no answer is made again.
-    this.simulation.after(REPORT_MS, () => { if (host.incarnation === incarnation && host.reportedTo !== leader) host.hasUnreported = true })
+    this.simulation.schedule(REPORT_INTERVAL_MS, () => { if (host.incarnation === incarnation && host.reportedTo !== leader) host.hasUnreported = true })
     host.reportedTo = undefined
   }
 
@@ -236,9 +236,9 @@
   }
 
   #viewLoop (host: SimulatedHost): void {
-    this.simulation.after(this.simulation.random() * 2 * VIEW_MS, () => {
+    this.simulation.schedule(this.simulation.random() * 2 * MEAN_VIEW_INTERVAL_MS, () => {
       this.#viewLoop(host)
-      const { replica } = this.simulation.oneOf(this.#replicas)
+      const { replica } = this.simulation.pickFrom(this.#replicas)
       const { incarnation } = host
       this.simulation.send(host.name, replica.self.id, () => {
         if (!replica.isAlive || host.incarnation !== incarnation) return
@@ -276,9 +276,9 @@
     return this.#replicas.find(({ replica }) => replica.isAlive && replica.core.role === 'leader')
   }
 
-  #lookLoop (leader: SimulatedLeader): void {
-    this.simulation.after(LOOK_MS, () => {
-      this.#lookLoop(leader)
+  #decisionLoop (leader: SimulatedLeader): void {
+    this.simulation.schedule(DECISION_INTERVAL_MS, () => {
+      this.#decisionLoop(leader)
       const { replica, correlator } = leader
       if (!replica.isAlive) return
       if (replica.core.role !== 'leader') {
@@ -293,18 +293,18 @@
 
   #decide (leader: SimulatedLeader): void {
     const { replica: { state: { quarantine } }, correlator } = leader
-    for (const endpoint of correlator.unconfirmedCrashes(quarantine)) this.#check(correlator, endpoint)
+    for (const endpoint of correlator.unconfirmedCrashes(quarantine)) this.#checkCrash(correlator, endpoint)
     if (leader.isProposing) return
     const decisions = correlator.decide(quarantine, this.simulation.now())
     if (decisions.length === 0) return
     leader.isProposing = true
-    for (const { fingerprint, decision } of decisions) this.simulation.note(`${leader.replica.self.id}: ${decision} ${fingerprint}`)
+    for (const { fingerprint, decision } of decisions) this.simulation.log(`${leader.replica.self.id}: ${decision} ${fingerprint}`)
     leader.replica.propose({ kind: 'change-quarantine', decisions }, () => { leader.isProposing = false })
   }
 
   /** Asks the endpoint, which takes a moment. */
-  #check (correlator: CrashCorrelator, endpoint: string): void {
-    this.simulation.after(this.#between(1, 300), () => {
+  #checkCrash (correlator: CrashCorrelator, endpoint: string): void {
+    this.simulation.schedule(this.#randomBetween(1, 300), () => {
       correlator.recordCrashCheck(endpoint, this.broken === 'bystanders-are-served' || this.#pool.hasCrashed(endpoint), this.simulation.now())
     })
   }
@@ -312,20 +312,20 @@
   // --- Faults ---
 
   #faultLoop (): void {
-    this.simulation.after(this.#between(LEAST_FAULT_GAP_MS, MOST_FAULT_GAP_MS), () => {
+    this.simulation.schedule(this.#randomBetween(MIN_FAULT_INTERVAL_MS, MAX_FAULT_INTERVAL_MS), () => {
       this.#faultLoop()
-      if (this.simulation.fault('kill', 0.25)) this.#killControl()
-      if (this.simulation.fault('freeze', 0.15)) this.#freezeControl()
-      if (this.simulation.fault('swap', 0.3)) this.#restartHost(this.simulation.oneOf(this.#hosts))
-      if (this.simulation.fault('lost-disk', 0.3)) this.#pool.endTogether(RACK)
-      if (this.simulation.fault('cut', 0.6)) this.#pool.breakConnections()
+      if (this.simulation.drawFault('kill', 0.25)) this.#killControl()
+      if (this.simulation.drawFault('freeze', 0.15)) this.#freezeControl()
+      if (this.simulation.drawFault('swap', 0.3)) this.#restartHost(this.simulation.pickFrom(this.#hosts))
+      if (this.simulation.drawFault('lost-disk', 0.3)) this.#pool.crashTogether(RACK_SIZE)
+      if (this.simulation.drawFault('cut', 0.6)) this.#pool.breakConnections()
     })
   }
 
   #scheduleLosses (): void {
     const { leaderLostAtMs, hostsRestartAtMs } = this.shape
-    if (leaderLostAtMs !== undefined) this.simulation.after(leaderLostAtMs, () => { this.#killLeader() })
-    if (hostsRestartAtMs !== undefined) this.simulation.after(hostsRestartAtMs, () => { for (const host of this.#hosts) this.#restartHost(host) })
+    if (leaderLostAtMs !== undefined) this.simulation.schedule(leaderLostAtMs, () => { this.#killLeader() })
+    if (hostsRestartAtMs !== undefined) this.simulation.schedule(hostsRestartAtMs, () => { for (const host of this.#hosts) this.#restartHost(host) })
   }
 
   /** @returns the one that was killed, if the others are enough */
@@ -342,14 +342,14 @@
   #killControl (): void {
     const leader = this.#killLeader()
     if (leader === undefined) return
-    this.simulation.after(this.simulation.random() * RESTART_MS, () => {
+    this.simulation.schedule(this.simulation.random() * MAX_RESTART_DELAY_MS, () => {
       this.#controlDisturbedAt = this.simulation.now()
       leader.replica.restart()
     })
   }
 
   #freezeControl (): void {
-    const frozenMs = this.simulation.random() * RESTART_MS
+    const frozenMs = this.simulation.random() * MAX_RESTART_DELAY_MS
     this.#controlDisturbedAt = this.simulation.now() + frozenMs
     this.#leader()?.replica.freeze(frozenMs)
   }
--- a/apps/bench/src/lib/prove/worlds/RunWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/RunWorld.ts
@@ -20,11 +20,11 @@
 import type { Customer, Profile } from '@eelgrassmux/schema/configuration'
 import { ConfigurationIndex } from '@eelgrassmux/schema/ConfigurationIndex'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { World } from '../World.js'
 
-const EVENTS = 25_000
+const MAX_EVENTS = 25_000
 const DURATION_MS = 60_000
 const ENGINES = 3
 const PROMPTS = 4
@@ -72,7 +72,7 @@
   constructor (
     private readonly simulation: Simulation,
     readonly name: string,
-    private readonly ledger: Ledger,
+    private readonly recorder: CheckRecorder,
     private readonly broken: PromiseName | undefined,
     private readonly customerOf: (run: string) => string,
     private readonly onStarted: (run: string) => void
@@ -82,12 +82,12 @@
     await this.simulation.sleep(0.5 + this.simulation.random() * 5)
     if (!this.isUp) return fail({ kind: 'connect-failed' })
     if (request.expectedVersion !== this.version) return fail({ kind: 'not-started', reason: 'version-mismatch' })
-    if (this.simulation.fault('loss', 0.05)) return fail({ kind: 'not-started', reason: 'full' })
+    if (this.simulation.drawFault('loss', 0.05)) return fail({ kind: 'not-started', reason: 'full' })
     const run: EngineRun = { request, version: this.version, incarnation: this.incarnation, isCancelled: false }
     this.runs.set(request.run, run)
     this.onStarted(request.run)
     this.#useCache(request)
-    if (this.simulation.fault('loss', 0.05)) return fail({ kind: 'lost', detail: 'the answer to the start was lost' })
+    if (this.simulation.drawFault('loss', 0.05)) return fail({ kind: 'lost', detail: 'the answer to the start was lost' })
     return succeed(this.#stream(run, request.produced.length))
   }
 
@@ -109,7 +109,7 @@
     this.incarnation += 1
     this.cache.clear()
     this.runs.clear()
-    this.simulation.after(this.simulation.random() * 400, () => { this.isUp = true })
+    this.simulation.schedule(this.simulation.random() * 400, () => { this.isUp = true })
   }
 
   #useCache (request: RunRequest): void {
@@ -120,8 +120,8 @@
         this.cache.set(key, { customer, version: this.version })
         continue
       }
-      this.ledger.check('customers-apart', block.customer === customer, () => `a run of ${customer} read a block of ${block.customer}`)
-      this.ledger.check('one-weight-version', block.version === this.version, () => `a run of ${this.version} read a block of ${block.version}`)
+      this.recorder.check('customers-apart', block.customer === customer, () => `a run of ${customer} read a block of ${block.customer}`)
+      this.recorder.check('one-weight-version', block.version === this.version, () => `a run of ${this.version} read a block of ${block.version}`)
     }
   }
 
@@ -135,10 +135,10 @@
   }
 
   async * #stream (run: EngineRun, from: number): AsyncGenerator<RunStreamItem> {
-    const messages = this.#disorder(this.#messages(run, from))
+    const messages = this.#perturb(this.#messages(run, from))
     for (const message of messages) {
-      await this.simulation.sleep(1 + this.simulation.random() * 8 + (this.simulation.fault('delay', 0.03) ? this.simulation.random() * 300 : 0))
-      if (!this.isUp || run.incarnation !== this.incarnation || run.isCancelled || this.simulation.fault('loss', 0.02)) {
+      await this.simulation.sleep(1 + this.simulation.random() * 8 + (this.simulation.drawFault('delay', 0.03) ? this.simulation.random() * 300 : 0))
+      if (!this.isUp || run.incarnation !== this.incarnation || run.isCancelled || this.simulation.drawFault('loss', 0.02)) {
         yield fail({ kind: 'lost', detail: 'the stream broke' })
         return
       }
@@ -156,13 +156,13 @@
   }
 
   /** Loses, repeats and reorders chunks; with the promise broken, offsets say nothing. */
-  #disorder (messages: RunMessage[]): RunMessage[] {
+  #perturb (messages: RunMessage[]): RunMessage[] {
     const result: RunMessage[] = []
     for (const message of messages) {
-      if (message.kind === 'tokens' && this.simulation.fault('disorder', 0.03)) continue
-      if (this.simulation.fault('disorder', 0.05)) result.splice(Math.max(0, result.length - 2), 0, message)
+      if (message.kind === 'tokens' && this.simulation.drawFault('disorder', 0.03)) continue
+      if (this.simulation.drawFault('disorder', 0.05)) result.splice(Math.max(0, result.length - 2), 0, message)
       else result.push(message)
-      if (message.kind === 'tokens' && this.simulation.fault('disorder', 0.05)) result.push(message)
+      if (message.kind === 'tokens' && this.simulation.drawFault('disorder', 0.05)) result.push(message)
     }
     if (this.broken !== 'whole-answers') return result
     const first = messages[0]?.kind === 'tokens' ? messages[0].offset : 0
@@ -196,38 +196,38 @@
   readonly #configuration: ConfigurationIndex
   readonly #placer: Placer
   #gate = new WorkGate()
-  #open = new Set<string>()
+  #unfinishedRuns = new Set<string>()
   #nextVersion = 2
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    */
-  constructor (private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined) {
+  constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     const names = Array.from({ length: ENGINES }, (_, index) => `engine-${index}`)
     for (const name of names) {
-      this.#engines.set(name, new SimulatedEngine(simulation, name, ledger, broken,
-        run => this.#customerOfRun.get(runOf(run)) ?? '',
-        run => { this.#started.set(runOf(run), (this.#started.get(runOf(run)) ?? 0) + 1) }))
+      this.#engines.set(name, new SimulatedEngine(simulation, name, recorder, broken,
+        run => this.#customerOfRun.get(runIdOf(run)) ?? '',
+        run => { this.#started.set(runIdOf(run), (this.#started.get(runIdOf(run)) ?? 0) + 1) }))
     }
     this.#configuration = new ConfigurationIndex(1, {
       documents: names.map(name => ({ kind: 'endpoint', type: 'engine', name, address: name, dataCentre: 'hall', model: 'base', honoursFencing: true }))
     })
     this.#fleet.engineTable.retain(new Set(names))
-    const nothing = { kind: 'found' as const, resident: [], stored: [] }
-    this.#placer = new Placer(simulation, this.#fleet, { lookup: async () => succeed(nothing) }, () => this.#configuration, 'eelgrassmux', SILENT)
+    const emptyLookup = { kind: 'found' as const, resident: [], stored: [] }
+    this.#placer = new Placer(simulation, this.#fleet, { lookup: async () => succeed(emptyLookup) }, () => this.#configuration, 'eelgrassmux', NO_COUNTER)
   }
 
   async run (): Promise<void> {
     this.#reportLoop()
     this.#callerLoop()
     this.#faultLoop()
-    await this.simulation.run({ events: EVENTS, until: DURATION_MS })
+    await this.simulation.run({ events: MAX_EVENTS, until: DURATION_MS })
   }
 
   #reportLoop (): void {
-    this.simulation.after(100, () => {
+    this.simulation.schedule(100, () => {
       this.#reportLoop()
       const now = this.simulation.now()
       for (const engine of this.#engines.values()) {
@@ -241,16 +241,16 @@
   }
 
   #callerLoop (): void {
-    this.simulation.after(5 + this.simulation.random() * 60, () => {
+    this.simulation.schedule(5 + this.simulation.random() * 60, () => {
       this.#callerLoop()
       const ticket = this.#gate.tryBegin()
       if (ticket === undefined) return
-      const customer = this.simulation.oneOf(CUSTOMERS)
+      const customer = this.simulation.pickFrom(CUSTOMERS)
       const prompt = `prompt ${this.simulation.pick(PROMPTS)} ${'x'.repeat(BLOCKS * 256)}`
       const run = new Run(createRunId('entry'), customer.name, this.simulation)
       this.#registry.add(run.id, run)
       this.#customerOfRun.set(run.id, customer.name)
-      this.#open.add(run.id)
+      this.#unfinishedRuns.add(run.id)
       const task = new RunTask(run, { customer, model: 'base', profile: PROFILE, prompt, maxTokens: ANSWER_TOKENS }, {
         clock: this.simulation,
         fleet: this.#fleet,
@@ -260,39 +260,39 @@
         announceDispatch: () => {},
         budget: new RetryBudget(),
         guard: NO_QUARANTINE,
-        retries: SILENT,
-        promptTokens: SILENT
+        retries: NO_COUNTER,
+        promptTokens: NO_COUNTER
       })
       void task.execute()
-      void this.#readWhole(run, prompt).then(() => {
-        this.#open.delete(run.id)
+      void this.#readToEnd(run, prompt).then(() => {
+        this.#unfinishedRuns.delete(run.id)
         ticket.end()
       })
     })
   }
 
   /** A caller that may lose its connection and comes back for the rest. */
-  async #readWhole (run: Run, prompt: string): Promise<void> {
+  async #readToEnd (run: Run, prompt: string): Promise<void> {
     const tokens: string[] = []
     for (;;) {
       const found = this.#registry.find(run.id, run.customer)
-      const stranger = this.#registry.find(run.id, 'somebody-else')
-      this.ledger.check('customers-apart', stranger === undefined, () => `${run.id} was given to another customer`)
+      const foundByOther = this.#registry.find(run.id, 'somebody-else')
+      this.recorder.check('customers-apart', foundByOther === undefined, () => `${run.id} was given to another customer`)
       if (found === undefined) return
-      const isCut = this.simulation.fault('cut', 0.2)
-      const breakAt = isCut ? tokens.length + this.simulation.pick(ANSWER_TOKENS) : Number.POSITIVE_INFINITY
-      const gone = new AbortController()
-      for await (const piece of found.read(tokens.length, gone.signal)) {
+      const losesConnection = this.simulation.drawFault('cut', 0.2)
+      const disconnectAt = losesConnection ? tokens.length + this.simulation.pick(ANSWER_TOKENS) : Number.POSITIVE_INFINITY
+      const connection = new AbortController()
+      for await (const piece of found.read(tokens.length, connection.signal)) {
         if (piece.kind === 'tokens') {
-          this.ledger.check('whole-answers', piece.offset === tokens.length, () => `offset ${piece.offset} after ${tokens.length} tokens`)
+          this.recorder.check('whole-answers', piece.offset === tokens.length, () => `offset ${piece.offset} after ${tokens.length} tokens`)
           tokens.push(...piece.tokens)
-          if (tokens.length >= breakAt) break
+          if (tokens.length >= disconnectAt) break
         } else if (piece.kind === 'complete') {
           this.#checkAnswer(run, prompt, tokens)
           return
         } else {
           const { refusal } = piece
-          this.ledger.check('not-run-is-true', refusal.run !== 'not-run' || (this.#started.get(run.id) ?? 0) === 0, () => `${run.id} is said not to have run, but did`)
+          this.recorder.check('not-run-is-true', refusal.run !== 'not-run' || (this.#started.get(run.id) ?? 0) === 0, () => `${run.id} is said not to have run, but did`)
           return
         }
       }
@@ -304,22 +304,22 @@
     const version = run.version ?? ''
     const expected = Array.from({ length: ANSWER_TOKENS }, (_, offset) => tokenOf(prompt, version, offset))
     const versions = new Set(tokens.map(token => token.split('/')[1]))
-    this.ledger.check('one-weight-version', versions.size <= 1, () => `an answer mixes ${[...versions].join(' and ')}`)
-    this.ledger.check('whole-answers', tokens.join() === expected.join(), () => `an answer is ${tokens.join('')}`)
+    this.recorder.check('one-weight-version', versions.size <= 1, () => `an answer mixes ${[...versions].join(' and ')}`)
+    this.recorder.check('whole-answers', tokens.join() === expected.join(), () => `an answer is ${tokens.join('')}`)
   }
 
   #faultLoop (): void {
-    this.simulation.after(50 + this.simulation.random() * 250, () => {
+    this.simulation.schedule(50 + this.simulation.random() * 250, () => {
       this.#faultLoop()
-      const engine = this.simulation.oneOf([...this.#engines.values()])
-      if (this.simulation.fault('kill', 0.15)) engine.kill()
-      if (this.simulation.fault('swap', 0.15)) {
+      const engine = this.simulation.pickFrom([...this.#engines.values()])
+      if (this.simulation.drawFault('kill', 0.15)) engine.kill()
+      if (this.simulation.drawFault('swap', 0.15)) {
         // Half of the fleet may stay behind for a while.
         engine.version = `v${this.simulation.chance(0.5) ? this.#nextVersion : Math.max(1, this.#nextVersion - 1)}`
         if (this.simulation.chance(0.3)) this.#nextVersion += 1
-        this.simulation.note(`${engine.name} runs ${engine.version}`)
+        this.simulation.log(`${engine.name} runs ${engine.version}`)
       }
-      if (this.simulation.fault('kill', 0.03)) void this.#plannedStop()
+      if (this.simulation.drawFault('kill', 0.03)) void this.#plannedStop()
     })
   }
 
@@ -327,19 +327,19 @@
   async #plannedStop (): Promise<void> {
     if (this.#gate.isClosed) return
     const gate = this.#gate
-    const underWay = new Set(this.#open)
+    const runsAtStop = new Set(this.#unfinishedRuns)
     gate.close()
-    this.ledger.check('graceful-stop', gate.tryBegin() === undefined, () => 'new work was taken while stopping')
+    this.recorder.check('graceful-stop', gate.tryBegin() === undefined, () => 'new work was taken while stopping')
     if (this.broken !== 'graceful-stop') await gate.whenIdle()
-    const cut = [...underWay].filter(run => this.#open.has(run))
-    this.ledger.check('graceful-stop', cut.length === 0, () => `the process ended with ${cut.length} answers unfinished`)
+    const interrupted = [...runsAtStop].filter(run => this.#unfinishedRuns.has(run))
+    this.recorder.check('graceful-stop', interrupted.length === 0, () => `the process ended with ${interrupted.length} answers unfinished`)
     this.#gate = new WorkGate()
   }
 }
 
-const SILENT = { count: (): void => {} }
+const NO_COUNTER = { count: (): void => {} }
 
 /** Engines know a run under its id and the attempt. */
-function runOf (engineRun: string): string {
+function runIdOf (engineRun: string): string {
   return engineRun.replace(/-a\d+$/, '')
 }
--- a/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
@@ -4,7 +4,7 @@
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { AtMostOnceExecutor } from '@eelgrassmux/entry/plain/AtMostOnceExecutor'
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
-import type { Ledger, PromiseName } from '../Ledger.js'
+import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
 import type { SimulatedProposer } from './SimulatedProposer.js'
 
@@ -13,17 +13,17 @@
   readonly name: string
   readonly incarnation: number
   readonly frozenUntil: number
-  readonly once: AtMostOnceExecutor
+  readonly executor: AtMostOnceExecutor
 }
 
 /** Keys in use at the same time, and how long, in milliseconds. */
-const KEYS = 8
-const KEYS_MS = 5000
+const CONCURRENT_KEYS = 8
+const KEY_LIFETIME_MS = 5000
 
 const CUSTOMERS = ['ward', 'clinic']
 
 /** Longest wait for an endpoint, in milliseconds. */
-const CALL_MS = 400
+const CALL_TIMEOUT_MS = 400
 
 /** Makes calls and checks that each key runs once and each customer gets its own answer. */
 export class SimulatedKeyedCalls {
@@ -32,19 +32,19 @@
 
   /**
    * @param simulation - schedule
-   * @param ledger - checks
+   * @param recorder - checks
    * @param broken - promise whose mechanism is taken away
    * @param proposer - the way to the control hosts
    */
   constructor (
-    private readonly simulation: Simulation, private readonly ledger: Ledger, private readonly broken: PromiseName | undefined, private readonly proposer: SimulatedProposer
+    private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined, private readonly proposer: SimulatedProposer
   ) {}
 
   /**
    * @param host - that runs calls
    * @returns what it runs them with in its present incarnation
    */
-  newOnce (host: KeyedHost): AtMostOnceExecutor {
+  createExecutor (host: KeyedHost): AtMostOnceExecutor {
     const { incarnation } = host
     const isAlive = (): boolean => host.incarnation === incarnation
     return new AtMostOnceExecutor({
@@ -54,7 +54,7 @@
       propose: async (command, deadlineMs) => {
         if (this.broken === 'at-most-once' && command.kind === 'claim') return succeed({ kind: 'claim', result: { kind: 'claimed' } })
         const result = await this.proposer.propose(host.name, command, deadlineMs, isAlive)
-        await this.#thaw(host)
+        await this.#waitWhileFrozen(host)
         return isAlive() ? result : await new Promise<never>(() => {})
       }
     })
@@ -65,41 +65,41 @@
    * @param request - name of this call, unique
    */
   async call (host: KeyedHost, request: string): Promise<void> {
-    const customer = this.simulation.oneOf(CUSTOMERS)
-    const key = `key-${this.simulation.pick(KEYS) + Math.floor(this.simulation.now() / KEYS_MS) * KEYS}`
+    const customer = this.simulation.pickFrom(CUSTOMERS)
+    const key = `key-${this.simulation.pick(CONCURRENT_KEYS) + Math.floor(this.simulation.now() / KEY_LIFETIME_MS) * CONCURRENT_KEYS}`
     const name = `${customer}/${key}`
     const { incarnation } = host
-    const result = await host.once.run({
+    const result = await host.executor.run({
       record: { customer, service: 'accounts', idempotencyKey: key },
       fingerprint: Buffer.from(name),
-      timeoutMs: CALL_MS,
+      timeoutMs: CALL_TIMEOUT_MS,
       dispatch: async timeoutMs => {
-        await this.#thaw(host)
+        await this.#waitWhileFrozen(host)
         if (incarnation !== host.incarnation) return await new Promise<never>(() => {})
         return await this.#dispatch(request, name, timeoutMs)
       }
     })
     if (!result.ok) {
-      this.ledger.check('not-run-is-true', result.error.run !== 'not-run' || !this.#executedRequests.has(request),
+      this.recorder.check('not-run-is-true', result.error.run !== 'not-run' || !this.#executedRequests.has(request),
         () => `${request} was refused as not run, but ran`)
       return
     }
     const body = Buffer.from(result.value.answer.body).toString()
-    this.ledger.check('customers-apart', body.startsWith(`${name}#`), () => `${name} was answered ${body}`)
+    this.recorder.check('customers-apart', body.startsWith(`${name}#`), () => `${name} was answered ${body}`)
   }
 
-  async #thaw (host: KeyedHost): Promise<void> {
+  async #waitWhileFrozen (host: KeyedHost): Promise<void> {
     while (this.simulation.now() < host.frozenUntil) await this.simulation.sleep(host.frozenUntil - this.simulation.now())
   }
 
   async #dispatch (request: string, name: string, timeoutMs: number): Promise<Result<ServiceAnswer, BackendError>> {
-    if (this.simulation.fault('loss', 0.1)) return fail({ kind: 'connect-failed' })
+    if (this.simulation.drawFault('loss', 0.1)) return fail({ kind: 'connect-failed' })
     await this.simulation.sleep(this.simulation.random() * 50)
     const runs = (this.#executions.get(name) ?? 0) + 1
     this.#executions.set(name, runs)
     this.#executedRequests.add(request)
-    this.ledger.check('at-most-once', runs === 1, () => `${name} ran ${runs} times`)
-    if (this.simulation.fault('loss', 0.15)) {
+    this.recorder.check('at-most-once', runs === 1, () => `${name} ran ${runs} times`)
+    if (this.simulation.drawFault('loss', 0.15)) {
       await this.simulation.sleep(timeoutMs)
       return this.broken === 'not-run-is-true' ? fail({ kind: 'connect-failed' }) : fail({ kind: 'timeout' })
     }
--- a/apps/bench/src/lib/prove/worlds/SimulatedPool.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedPool.ts
@@ -19,8 +19,8 @@
 
 /** Told of what becomes of a run, once. */
 export interface RunListener {
-  whole (run: PoolRun): void
-  lost (run: PoolRun): void
+  onCompleted (run: PoolRun): void
+  onLost (run: PoolRun): void
 }
 
 interface SimulatedEndpoint {
@@ -31,8 +31,8 @@
 }
 
 /** Bounds of the time until an endpoint that ended is back, in milliseconds. */
-const LEAST_DOWN_MS = 500
-const MOST_DOWN_MS = 3000
+const MIN_RESTART_MS = 500
+const MAX_RESTART_MS = 3000
 
 /** All endpoints of one service. */
 export class SimulatedPool {
@@ -54,56 +54,56 @@
   run (request: PoolRequest, listener: RunListener): PoolRun | undefined {
     const up = this.#endpoints.filter(({ isUp }) => isUp)
     if (up.length === 0) return undefined
-    const endpoint = this.simulation.oneOf(up)
-    const run: PoolRun = { request, endpoint: nameOf(endpoint), startedAt: this.simulation.now() }
+    const endpoint = this.simulation.pickFrom(up)
+    const run: PoolRun = { request, endpoint: incarnationName(endpoint), startedAt: this.simulation.now() }
     endpoint.runs.set(run, listener)
-    this.simulation.after(request.durationMs(), () => {
+    this.simulation.schedule(request.durationMs(), () => {
       if (!endpoint.runs.has(run)) return
       if (request.isPoison) {
-        this.#end(endpoint)
+        this.#crash(endpoint)
         return
       }
       endpoint.runs.delete(run)
-      listener.whole(run)
+      listener.onCompleted(run)
     })
     return run
   }
 
   /** @returns whether that incarnation has ended */
   hasCrashed (incarnation: string): boolean {
-    return !this.#endpoints.some(endpoint => endpoint.isUp && nameOf(endpoint) === incarnation)
+    return !this.#endpoints.some(endpoint => endpoint.isUp && incarnationName(endpoint) === incarnation)
   }
 
   /** Ends some in the same moment, as a rack does. */
-  endTogether (count: number): void {
+  crashTogether (count: number): void {
     const first = this.simulation.pick(this.#endpoints.length)
     for (let index = 0; index < count; index += 1) {
       const endpoint = this.#endpoints[(first + index) % this.#endpoints.length]
-      if (endpoint?.isUp === true) this.#end(endpoint)
+      if (endpoint?.isUp === true) this.#crash(endpoint)
     }
   }
 
   /** Breaks the connections of one that lives on. */
   breakConnections (): void {
-    this.#lose(this.simulation.oneOf(this.#endpoints))
+    this.#loseRuns(this.simulation.pickFrom(this.#endpoints))
   }
 
-  #end (endpoint: SimulatedEndpoint): void {
+  #crash (endpoint: SimulatedEndpoint): void {
     endpoint.isUp = false
-    this.#lose(endpoint)
-    this.simulation.after(LEAST_DOWN_MS + this.simulation.random() * (MOST_DOWN_MS - LEAST_DOWN_MS), () => {
+    this.#loseRuns(endpoint)
+    this.simulation.schedule(MIN_RESTART_MS + this.simulation.random() * (MAX_RESTART_MS - MIN_RESTART_MS), () => {
       endpoint.incarnation += 1
       endpoint.isUp = true
     })
   }
 
-  #lose (endpoint: SimulatedEndpoint): void {
+  #loseRuns (endpoint: SimulatedEndpoint): void {
     const lost = [...endpoint.runs]
     endpoint.runs.clear()
-    for (const [run, listener] of lost) listener.lost(run)
+    for (const [run, listener] of lost) listener.onLost(run)
   }
 }
 
-function nameOf ({ name, incarnation }: SimulatedEndpoint): string {
+function incarnationName ({ name, incarnation }: SimulatedEndpoint): string {
   return `${name}#${incarnation}`
 }
--- a/apps/bench/src/lib/prove/worlds/SimulatedProposer.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedProposer.ts
@@ -6,11 +6,11 @@
 import type { SimulatedOutcome, SimulatedReplica } from './SimulatedReplica.js'
 
 /** What a host or operator learns of one proposal. */
-export type Proposed = Result<CommandResult, ProposeError>
+export type ProposalResult = Result<CommandResult, ProposeError>
 
 /** Pause before another replica is asked, and time after which an answer is not waited for any more, in milliseconds. */
-const RETRY_MS = 30
-const ANSWER_MS = 800
+const RETRY_DELAY_MS = 30
+const ANSWER_TIMEOUT_MS = 800
 
 /** Tries replicas until one has applied the command. */
 export class SimulatedProposer {
@@ -26,24 +26,24 @@
    * @param deadlineMs - how long to try
    * @param isAlive - whether the proposer still is the same process
    */
-  async propose (from: string, command: Command, deadlineMs: number, isAlive: () => boolean): Promise<Proposed> {
+  async propose (from: string, command: Command, deadlineMs: number, isAlive: () => boolean): Promise<ProposalResult> {
     const deadline = this.simulation.now() + deadlineMs
-    let mayApply = false
+    let mayHaveApplied = false
     let hint: string | undefined
     while (this.simulation.now() < deadline && isAlive()) {
-      const target = hint ?? this.simulation.oneOf([...this.replicas.keys()])
+      const target = hint ?? this.simulation.pickFrom([...this.replicas.keys()])
       const outcome = await this.#proposeOnce(from, target, command)
       if (outcome.kind === 'applied') return succeed(outcome.result)
-      if (outcome.kind === 'uncertain') mayApply = true
+      if (outcome.kind === 'uncertain') mayHaveApplied = true
       hint = outcome.kind === 'not-leader' ? outcome.leader : undefined
-      await this.simulation.sleep(RETRY_MS)
+      await this.simulation.sleep(RETRY_DELAY_MS)
     }
-    return fail({ kind: mayApply ? 'uncertain' : 'not-proposed' })
+    return fail({ kind: mayHaveApplied ? 'uncertain' : 'not-proposed' })
   }
 
   async #proposeOnce (from: string, target: string, command: Command): Promise<SimulatedOutcome> {
     return await new Promise(resolve => {
-      this.simulation.after(ANSWER_MS, () => { resolve({ kind: 'uncertain' }) })
+      this.simulation.schedule(ANSWER_TIMEOUT_MS, () => { resolve({ kind: 'uncertain' }) })
       this.simulation.send(from, target, () => {
         const replica = this.replicas.get(target)
         if (replica?.isAlive !== true) return
--- a/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
@@ -24,14 +24,14 @@
 /** Mechanisms of a replica that a world can take away to see that its checks find it. */
 export interface ReplicaMechanisms {
   /** Effects wait for the sync of their writes. */
-  readonly syncs: boolean
+  readonly syncsBeforeEffects: boolean
   /** Committed voters that its group needs before it takes a command. */
   readonly minimumVoters: number
   /** Whether the group is formed is asked in the step that appends, and not when the command arrives. */
-  readonly asksInStep: boolean
+  readonly checksVotersOnAppend: boolean
 }
 
-export const ALL_MECHANISMS: ReplicaMechanisms = { syncs: true, minimumVoters: 1, asksInStep: true }
+export const ALL_MECHANISMS: ReplicaMechanisms = { syncsBeforeEffects: true, minimumVoters: 1, checksVotersOnAppend: true }
 
 /** What a replica needs from its world. */
 export interface ReplicaPorts {
@@ -39,10 +39,10 @@
   applied (replica: SimulatedReplica, entry: LogEntry): void
 }
 
-const TICK_MS = 20
+const TICK_INTERVAL_MS = 20
 
 /** Log entries after which a snapshot is taken. */
-const SNAPSHOT_EVERY = 40
+const SNAPSHOT_THRESHOLD_ENTRIES = 40
 
 type Input = (now: number) => RaftEffects | undefined
 
@@ -53,7 +53,7 @@
   isAlive = true
   readonly #disk: PersistentImage
   #inputs: Input[] = []
-  #syncing = false
+  #isBusy = false
   #incarnation = 0
   #frozenUntil = 0
   #appliedIndex: number
@@ -88,7 +88,7 @@
 
   /** @param message - from another replica */
   receive (message: RaftMessage): void {
-    this.#post(now => this.core.receive(message, now))
+    this.#enqueue(now => this.core.receive(message, now))
   }
 
   /**
@@ -96,11 +96,11 @@
    * @param resolve - told what became of it
    */
   propose (command: Command, resolve: (outcome: SimulatedOutcome) => void): void {
-    if (!this.mechanisms.asksInStep && this.#isKnownToForm()) {
+    if (!this.mechanisms.checksVotersOnAppend && this.#isKnownIncomplete()) {
       resolve({ kind: 'not-leader', leader: undefined })
       return
     }
-    this.#post(now => {
+    this.#enqueue(now => {
       const proposed = this.core.propose(encodeCommand({ stampedAt: this.simulation.wallClock(), command }), now)
       if (!proposed.ok) {
         const leader = proposed.error.kind === 'not-leader' ? proposed.error.leader?.id : undefined
@@ -115,7 +115,7 @@
 
   /** @param change - a membership change of the core */
   change (change: (core: RaftCore, now: number) => Result<RaftEffects, RaftError>): void {
-    this.#post(now => {
+    this.#enqueue(now => {
       const changed = change(this.core, now)
       return changed.ok ? changed.value : undefined
     })
@@ -132,7 +132,7 @@
     this.#incarnation += 1
     this.#inputs = []
     this.#pending.clear()
-    this.#syncing = false
+    this.#isBusy = false
   }
 
   /** Starts the process again from its disk. */
@@ -145,68 +145,68 @@
   }
 
   #newCore (): RaftCore {
-    const minimumVoters = this.mechanisms.asksInStep ? this.mechanisms.minimumVoters : 1
+    const minimumVoters = this.mechanisms.checksVotersOnAppend ? this.mechanisms.minimumVoters : 1
     const core = new RaftCore(this.self, this.#disk.state(), { ...SIMULATED_RAFT, minimumVoters }, this.simulation.random, this.simulation.now())
     if (core.snapshot !== undefined) this.state.restore(stateImageSchema.parse(decode(core.snapshot.state)))
     return core
   }
 
   /** Only a leader knows; what it knows may be outdated by the time it appends. */
-  #isKnownToForm (): boolean {
+  #isKnownIncomplete (): boolean {
     return this.core.role === 'leader' && this.core.committedMembership.voters.length < this.mechanisms.minimumVoters
   }
 
   #tick (): void {
     const incarnation = this.#incarnation
-    this.simulation.after(TICK_MS, () => {
+    this.simulation.schedule(TICK_INTERVAL_MS, () => {
       if (incarnation !== this.#incarnation) return
-      this.#post(now => this.core.tick(now))
+      this.#enqueue(now => this.core.tick(now))
       this.#tick()
     })
   }
 
-  #post (input: Input): void {
+  #enqueue (input: Input): void {
     if (!this.isAlive) return
     this.#inputs.push(input)
-    this.#work()
+    this.#processInputs()
   }
 
-  #work (): void {
-    if (this.#syncing || this.#inputs.length === 0) return
+  #processInputs (): void {
+    if (this.#isBusy || this.#inputs.length === 0) return
     const now = this.simulation.now()
     if (now < this.#frozenUntil) {
       const incarnation = this.#incarnation
-      this.#syncing = true
-      this.simulation.after(this.#frozenUntil - now, () => {
+      this.#isBusy = true
+      this.simulation.schedule(this.#frozenUntil - now, () => {
         if (incarnation !== this.#incarnation) return
-        this.#syncing = false
-        this.#work()
+        this.#isBusy = false
+        this.#processInputs()
       })
       return
     }
     const inputs = this.#inputs
     this.#inputs = []
     const effects = inputs.map(input => input(now)).filter(effect => effect !== undefined)
-    this.#syncThen(effects)
+    this.#syncAndApply(effects)
   }
 
-  #syncThen (effects: readonly RaftEffects[]): void {
+  #syncAndApply (effects: readonly RaftEffects[]): void {
     const writes = effects.flatMap(effect => effect.writes)
     const incarnation = this.#incarnation
-    this.#syncing = true
-    if (!this.mechanisms.syncs) for (const effect of effects) this.#carryOut(effect)
-    const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncs ? 4 : 200)
-    this.simulation.after(syncMs, () => {
+    this.#isBusy = true
+    if (!this.mechanisms.syncsBeforeEffects) for (const effect of effects) this.#applyEffects(effect)
+    const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncsBeforeEffects ? 4 : 200)
+    this.simulation.schedule(syncMs, () => {
       if (incarnation !== this.#incarnation) return
       for (const write of writes) this.#disk.take(write)
-      this.#syncing = false
-      if (this.mechanisms.syncs) for (const effect of effects) this.#carryOut(effect)
+      this.#isBusy = false
+      if (this.mechanisms.syncsBeforeEffects) for (const effect of effects) this.#applyEffects(effect)
       this.#maybeSnapshot()
-      this.#work()
+      this.#processInputs()
     })
   }
 
-  #carryOut (effects: RaftEffects): void {
+  #applyEffects (effects: RaftEffects): void {
     for (const { to, message } of effects.messages) this.ports.send(this.self, to, message)
     if (effects.installed !== undefined) {
       this.state.restore(stateImageSchema.parse(decode(effects.installed.state)))
@@ -230,8 +230,8 @@
   }
 
   #maybeSnapshot (): void {
-    if (this.core.logLength < SNAPSHOT_EVERY || this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
+    if (this.core.logLength < SNAPSHOT_THRESHOLD_ENTRIES || this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
     const effects = this.core.compact(this.#appliedIndex, encode(this.state.image(), { ignoreUndefined: true }))
-    this.#syncThen([effects])
+    this.#syncAndApply([effects])
   }
 }
--- a/apps/bench/src/lib/prove/worlds/worlds.ts
+++ b/apps/bench/src/lib/prove/worlds/worlds.ts
@@ -13,41 +13,41 @@
   {
     name: 'agreement',
     promises: ['configuration-never-reverts', 'at-most-once', 'not-run-is-true', 'customers-apart'],
-    create: (simulation, ledger, broken) => new AgreementWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new AgreementWorld(simulation, recorder, broken)
   },
   {
     name: 'directory',
     promises: ['no-freed-or-partial-block', 'customers-apart'],
-    create: (simulation, ledger, broken) => new DirectoryWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new DirectoryWorld(simulation, recorder, broken)
   },
   {
     name: 'runs',
     promises: ['whole-answers', 'one-weight-version', 'customers-apart', 'not-run-is-true', 'graceful-stop'],
-    create: (simulation, ledger, broken) => new RunWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new RunWorld(simulation, recorder, broken)
   },
   {
     name: 'endpoints',
     promises: ['leaving-gets-no-work'],
-    create: (simulation, ledger, broken) => new EndpointWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new EndpointWorld(simulation, recorder, broken)
   },
   {
     name: 'formation',
     promises: ['complete-before-commands'],
-    create: (simulation, ledger, broken) => new FormationWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new FormationWorld(simulation, recorder, broken)
   },
   {
     name: 'quarantine',
     promises: ['poison-requests-stop', 'bystanders-are-served'],
-    create: (simulation, ledger, broken) => new QuarantineWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new QuarantineWorld(simulation, recorder, broken)
   },
   {
     name: 'evacuation',
     promises: ['evacuations-hold'],
-    create: (simulation, ledger, broken) => new EvacuationWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new EvacuationWorld(simulation, recorder, broken)
   },
   {
     name: 'cold-endpoints',
     promises: ['cold-endpoints-are-spared'],
-    create: (simulation, ledger, broken) => new ColdEndpointWorld(simulation, ledger, broken)
+    create: (simulation, recorder, broken) => new ColdEndpointWorld(simulation, recorder, broken)
   }
 ]
--- a/apps/bench/src/prove.ts
+++ b/apps/bench/src/prove.ts
@@ -1,6 +1,6 @@
 /** `npm run prove`: randomised runs over the cores; see docs/PROOFS.md. */
 import { Cli, Command, Option, Builtins } from 'clipanion'
-import { PROMISES, type PromiseName } from './lib/prove/Ledger.js'
+import { PROMISES, type PromiseName } from './lib/prove/CheckRecorder.js'
 import { proveAll } from './lib/prove/proveAll.js'
 
 class ProveCommand extends Command {
