--- a/apps/bench/src/lib/prove/CheckRecorder.ts
+++ b/apps/bench/src/lib/prove/CheckRecorder.ts
@@ -1,6 +1,6 @@
-/** What randomised runs found about each promise. */
+/** Records the checks of each promise in randomised runs. */
 
-/** The promises of the product. */
+/** The guarantees that the product gives. */
 export const PROMISES = [
   'no-freed-or-partial-block', 'customers-apart', 'one-weight-version', 'whole-answers', 'not-run-is-true', 'at-most-once',
   'leaving-gets-no-work', 'graceful-stop', 'configuration-never-reverts', 'complete-before-commands', 'poison-requests-stop',
@@ -10,28 +10,28 @@
 /** @public */
 export type PromiseName = typeof PROMISES[number]
 
-/** A promise that did not hold. */
+/** A check that failed. */
 export interface Violation {
   readonly promise: PromiseName
   readonly detail: string
-  /** Number of the event at which it was seen. */
+  /** Number of the event at which the check failed. */
   readonly event: number
 }
 
-/** Counts of one run. */
+/** Counts the checks and collects the violations of one run. */
 export class CheckRecorder {
   readonly checks = new Map<PromiseName, number>()
   readonly violations: Violation[] = []
 
-  /** @param events - number of the present event */
+  /** @param events - returns the number of the current event */
   constructor (private readonly events: () => number) {}
 
   /**
-   * Checks a promise once.
+   * Records one check of a promise.
    *
-   * @param promise - which one
+   * @param promise - promise that was checked
    * @param holds - whether it held
-   * @param detail - what was seen if it did not
+   * @param detail - describes the violation; called only if the check failed
    */
   check (promise: PromiseName, holds: boolean, detail: () => string): void {
     this.checks.set(promise, (this.checks.get(promise) ?? 0) + 1)
--- a/apps/bench/src/lib/prove/Simulation.ts
+++ b/apps/bench/src/lib/prove/Simulation.ts
@@ -1,9 +1,9 @@
-/** Virtual time, a seeded schedule and a lossy network for randomised runs over the cores. */
+/** Virtual time, a seeded schedule and a lossy network for randomised runs of the core classes. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 
-/** Kinds of faults; a run may switch some off to find which are needed. */
+/** Kinds of faults. A run can disable some of them to find out which ones a violation needs. */
 export const FAULT_KINDS = ['loss', 'delay', 'duplicate', 'cut', 'freeze', 'kill', 'lost-disk', 'swap', 'disorder'] as const
 
 /** @public */
@@ -15,10 +15,10 @@
   readonly run: () => void
 }
 
-/** Lines of the trace that are kept for a report. */
+/** Number of trace lines kept for the report. */
 const MAX_TRACE_LINES = 40
 
-/** One seeded run: same seed, same run. */
+/** A deterministic discrete-event simulation: the same seed gives the same run. */
 export class Simulation implements Clock {
   #now = 0
   #sequence = 0
@@ -30,8 +30,8 @@
   readonly #cutLinks = new Set<string>()
 
   /**
-   * @param seed - decides everything
-   * @param enabledFaults - faults that may happen
+   * @param seed - seed of the random numbers, which determines the whole run
+   * @param enabledFaults - faults that may be injected
    */
   constructor (readonly seed: number, private readonly enabledFaults: ReadonlySet<FaultKind>) {
     this.#generator = xoroshiro128plus(seed)
@@ -42,7 +42,7 @@
   get trace (): readonly string[] { return this.#trace }
 
   now (): number { return this.#now }
-  /** Hosts' wall clocks agree here; their slack is a setting of the product. */
+  /** All simulated hosts share one wall clock; the clock skew that the product tolerates is one of its settings. */
   wallClock (): number { return this.#now }
 
   async sleep (milliseconds: number, signal?: AbortSignal): Promise<void> {
@@ -56,48 +56,48 @@
   random = (): number => uniformFloat64(this.#generator)
 
   /**
-   * @param below - bound, not included
-   * @returns a whole number from 0
+   * @param below - exclusive upper bound
+   * @returns a random integer from 0
    */
   pick (below: number): number {
     return Math.floor(this.random() * below)
   }
 
   /**
-   * @param items - at least one
-   * @returns one of them
+   * @param items - non-empty list
+   * @returns a random item
    */
   pickFrom<Item> (items: readonly Item[]): Item {
     const item = items[this.pick(items.length)]
-    if (item === undefined) throw new Error('nothing to choose from')
+    if (item === undefined) throw new Error('cannot pick from an empty list')
     return item
   }
 
   /**
    * @param probability - from 0 to 1
-   * @returns true that often
+   * @returns true with that probability
    */
   chance (probability: number): boolean {
     return this.random() < probability
   }
 
   /**
-   * Decides whether a fault happens now, and counts it.
+   * Decides whether to inject a fault now, and counts it.
    *
    * @param fault - which fault
    * @param probability - how often, if this kind is on
    */
   drawFault (fault: FaultKind, probability: number): boolean {
-    // The random number is drawn in any case, so that switching a kind off keeps the rest of the schedule.
+    // Draws the random number in any case, so that disabling a kind leaves the rest of the schedule unchanged.
     const isInjected = this.chance(probability) && this.enabledFaults.has(fault)
     if (isInjected) this.#faultCount += 1
     return isInjected
   }
 
   /**
-   * Notes a line for the report.
+   * Adds a line to the trace, which is printed with a violation.
    *
-   * @param line - what happened
+   * @param line - description of the event
    */
   log (line: string): void {
     this.#trace.push(`${this.#now.toFixed(1)} ms, event ${this.#executedEvents}: ${line}`)
@@ -105,10 +105,10 @@
   }
 
   /**
-   * Schedules something.
+   * Schedules a callback.
    *
-   * @param milliseconds - from now
-   * @param run - what to do
+   * @param milliseconds - delay from now
+   * @param run - callback
    */
   schedule (milliseconds: number, run: () => void): void {
     this.#sequence += 1
@@ -116,11 +116,11 @@
   }
 
   /**
-   * Sends a message over the network, which may lose, delay, repeat or reorder it.
+   * Sends a message over the network, which may lose, delay, duplicate or reorder it.
    *
    * @param from - sender
    * @param to - receiver
-   * @param deliver - called on arrival
+   * @param deliver - called when a copy of the message arrives
    */
   send (from: string, to: string, deliver: () => void): void {
     const copies = this.drawFault('duplicate', 0.02) ? 2 : 1
@@ -134,26 +134,26 @@
   }
 
   /**
-   * Cuts one direction for a while.
+   * Drops all messages in one direction of a link for a limited time.
    *
    * @param from - sender
    * @param to - receiver
-   * @param milliseconds - how long
+   * @param milliseconds - duration
    */
   cutLink (from: string, to: string, milliseconds: number): void {
     this.#cutLinks.add(`${from}>${to}`)
     this.schedule(milliseconds, () => { this.#cutLinks.delete(`${from}>${to}`) })
   }
 
-  /** Mends all cuts. */
+  /** Restores all links that are cut. */
   restoreLinks (): void {
     this.#cutLinks.clear()
   }
 
   /**
-   * Executes events until a number of them, or a time, is reached.
+   * Executes events until the total number of events or the virtual time reaches its limit.
    *
-   * @param limits - most events in total, latest virtual time
+   * @param limits - maximum total number of events and latest virtual time
    */
   async run (limits: { readonly events: number, readonly until: number }): Promise<void> {
     while (this.#executedEvents < limits.events) {
@@ -162,12 +162,12 @@
       this.#now = next.at
       this.#executedEvents += 1
       next.run()
-      // Let everything that waits for this event go on before the next one.
+      // Lets all promise continuations of this event run before the next event.
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
 
-  // --- Binary heap by time ---
+  // --- Binary heap, ordered by time ---
 
   #push (event: ScheduledEvent): void {
     const queue = this.#queue
--- a/apps/bench/src/lib/prove/World.ts
+++ b/apps/bench/src/lib/prove/World.ts
@@ -1,21 +1,21 @@
 import type { CheckRecorder, PromiseName } from './CheckRecorder.js'
 import type { Simulation } from './Simulation.js'
 
-/** A system of cores under a seeded schedule. */
+/** A simulated system that runs under a seeded schedule of events and faults. */
 export interface World {
-  /** Runs it to its end; breaks of promises go to the recorder, broken invariants are thrown. */
+  /** Runs the system to its end. Violated promises go to the recorder; violated invariants are thrown. */
   run (): Promise<void>
 }
 
-/** Builds a world. */
+/** Describes a world and creates instances of it. */
 export interface WorldFactory {
   readonly name: string
-  /** Promises that the world exercises. */
+  /** Promises that the world checks. */
   readonly promises: readonly PromiseName[]
   /**
-   * @param simulation - schedule
-   * @param recorder - where checks are counted
-   * @param broken - promise whose mechanism is taken away, to see that the run finds it
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled, to verify that the checks detect the violation
    */
   create (simulation: Simulation, recorder: CheckRecorder, broken: PromiseName | undefined): World
 }
--- a/apps/bench/src/lib/prove/proveAll.test.ts
+++ b/apps/bench/src/lib/prove/proveAll.test.ts
@@ -10,7 +10,7 @@
 
 describe('proveAll', () => {
   describe('with all mechanisms', () => {
-    it('finds no violation and exercises every promise', async () => {
+    it('finds no violation and checks every promise', async () => {
       const { code, lines } = await prove({ runs: 4, seed: 1 })
       expect(lines.filter(line => !line.includes('violations 0') || line.includes('not proved'))).toEqual([])
       expect(lines).toHaveLength(PROMISES.length)
@@ -18,9 +18,9 @@
     })
 
     it.each([
-      ['a deletion sent by an old owner arrives under the new one', 'no-freed-or-partial-block', 1043],
-      ['a second disk is lost right after the repair of the first', 'configuration-never-reverts', 9057],
-      ['a snapshot replaces a log that disagreed with it, and the process restarts', 'configuration-never-reverts', 1061]
+      ['a deletion sent by a former owner arrives after the reassignment', 'no-freed-or-partial-block', 1043],
+      ['a second disk is lost right after the first one is replaced', 'configuration-never-reverts', 9057],
+      ['a snapshot replaces a conflicting log and the process restarts', 'configuration-never-reverts', 1061]
     ] as const)('holds when %s', async (_case, promise, seed) => {
       const { lines } = await prove({ runs: 1, seed, promise })
       expect(lines).toHaveLength(1)
@@ -34,15 +34,15 @@
     })
   })
 
-  describe('with a mechanism taken away', () => {
-    it.each(PROMISES)('finds that %s breaks', async promise => {
+  describe('with a disabled mechanism', () => {
+    it.each(PROMISES)('detects that %s is violated', async promise => {
       const { code, lines } = await prove({ runs: 10, seed: 1, promise, broken: promise, untilFound: true })
       expect(lines.some(line => line.startsWith(`violation of ${promise}`))).toBe(true)
       expect(code).toBe(1)
     })
   })
 
-  it('says so when a promise was not exercised', async () => {
+  it('reports a promise that was not checked', async () => {
     const { code, lines } = await prove({ runs: 0, seed: 1, promise: 'whole-answers' })
     expect(lines).toEqual(['promise whole-answers: runs 0 events 0 faults 0 violations 0 not proved: no events'])
     expect(code).toBe(1)
--- a/apps/bench/src/lib/prove/proveAll.ts
+++ b/apps/bench/src/lib/prove/proveAll.ts
@@ -1,23 +1,23 @@
-/** Runs worlds over many seeds, reports on each promise, and narrows down what broke one. */
+/** Runs the worlds with many seeds, reports on each promise, and reduces each violation to the faults it needs. */
 import { InvariantViolation } from '@eelgrassmux/schema/invariant'
 import { CheckRecorder, PROMISES, type PromiseName, type Violation } from './CheckRecorder.js'
 import { FAULT_KINDS, Simulation, type FaultKind } from './Simulation.js'
 import type { WorldFactory } from './World.js'
 import { WORLDS } from './worlds/worlds.js'
 
-/** What to run. */
+/** Options of a series of randomised runs. */
 export interface ProveOptions {
   readonly seconds: number
-  /** Exact number of runs of each world; otherwise the time decides. */
+  /** Number of runs of each world; if undefined, runs are started for `seconds`. */
   readonly runs: number | undefined
   readonly seed: number
   readonly promise: PromiseName | undefined
   readonly broken: PromiseName | undefined
-  /** Ends at the first violation, without looking for the fewest faults. */
+  /** Stops at the first violation and does not search for the minimal set of faults. */
   readonly stopAtFirstViolation?: boolean
 }
 
-/** What one seeded run of one world brought. */
+/** Result of one seeded run of one world. */
 interface RunOutcome {
   readonly recorder: CheckRecorder
   readonly simulation: Simulation
@@ -30,15 +30,15 @@
   violations: number
 }
 
-/** Violations shown in full; more of the same help nobody. */
+/** Number of violations reported in full; further ones usually have the same cause. */
 const MAX_SHOWN_VIOLATIONS = 3
 
 /**
- * Runs all worlds.
+ * Runs all worlds that check the selected promises.
  *
- * @param options - what to run
- * @param print - takes each line of the report
- * @returns exit code: 0 if every promise that was asked for held and was exercised
+ * @param options - which worlds to run and for how long
+ * @param print - prints a line of the report
+ * @returns exit code: 0 if every selected promise was checked and held
  */
 export async function proveAll (options: ProveOptions, print: (line: string) => void): Promise<number> {
   const selectedPromises = PROMISES.filter(promise => options.promise === undefined || promise === options.promise)
@@ -71,11 +71,11 @@
   const recorder = new CheckRecorder(() => simulation.executedEvents)
   const onFailure = (error: unknown): void => {
     if (!(error instanceof InvariantViolation)) throw error
-    // The invariant inside the program came first; it names the promise or a step towards it.
+    // An invariant inside the product failed before a check did. Its name is that of a promise, or of an intermediate condition that the first promise of the world depends on.
     const promise = PROMISES.find(name => name === error.invariant) ?? world.promises[0]
     if (promise !== undefined) recorder.check(promise, false, () => error.message)
   }
-  // Tasks run by themselves, so what they throw arrives here.
+  // Nothing awaits the background tasks, so their errors arrive as unhandled rejections.
   process.on('unhandledRejection', onFailure)
   try {
     await world.create(simulation, recorder, broken).run()
@@ -101,7 +101,7 @@
   }
 }
 
-/** Finds the fewest kinds of faults under which the same seed still breaks the promise, and prints the end of that schedule. */
+/** Removes fault kinds one by one while the same seed still violates the promise, and prints the last events before the violation. */
 async function reportMinimalViolation (world: WorldFactory, seed: number, first: Violation, broken: PromiseName | undefined, print: (line: string) => void): Promise<void> {
   let kinds = new Set<FaultKind>(FAULT_KINDS)
   let minimalOutcome = await runOnce(world, seed, kinds, broken)
--- a/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Control hosts, entry hosts and operators under kills, lost disks, cuts,
- * freezes and races. Checks that accepted configurations never revert and reach
- * hosts in time, and that keyed calls run at most once.
+ * Control hosts, entry hosts and operators under kills, lost disks, cut links,
+ * freezes and concurrent changes. Checks that accepted configurations never
+ * revert and reach hosts in time, and that keyed calls run at most once.
  */
 import type { LogEntry, PersistentState, RaftMessage, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { AtMostOnceExecutor } from '@eelgrassmux/entry/plain/AtMostOnceExecutor'
@@ -17,16 +17,16 @@
 
 const HOSTS = 3
 
-/** Lease of the hosts, in milliseconds. */
+/** Duration of the freshness lease of the hosts, in milliseconds. */
 const FRESHNESS_LEASE_MS = 1000
 
-/** Events of the part with faults, and time for the part without. */
+/** Limits of the events and the virtual time of the phases with and without faults. */
 const FAULT_PHASE_EVENTS = 30_000
 const FAULT_PHASE_MS = 40_000
 const FAULT_FREE_PHASE_EVENTS = 60_000
 const FAULT_FREE_PHASE_MS = 20_000
 
-/** Restarted processes come back within this time, in milliseconds. */
+/** Maximum downtime of a killed process, in milliseconds. */
 const MAX_RESTART_DELAY_MS = 1500
 
 interface SimulatedHost {
@@ -38,11 +38,11 @@
   frozenUntil: number
 }
 
-/** The world. */
+/** Checks the agreement of control hosts on configurations and idempotency keys. */
 export class AgreementWorld implements World {
   readonly #replicas = new Map<string, SimulatedReplica>()
   readonly #hosts: SimulatedHost[] = []
-  /** Digest of the entry committed at each index, as the first replica applied it. */
+  /** Contents of the entry at each log index, as the first replica applied it. */
   readonly #committed = new Map<number, string>()
   readonly #acceptedAt = new Map<number, number>()
   readonly #acceptedBy = new Map<number, string>()
@@ -55,9 +55,9 @@
   #hasFaultsEnded = false
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     this.#proposer = new SimulatedProposer(simulation, this.#replicas)
@@ -157,7 +157,7 @@
     }
   }
 
-  /** From any replica, also one that lags. */
+  /** Fetches the view from a random replica, which may lag. */
   #fetchView (host: SimulatedHost): void {
     const { incarnation } = host
     const replica = this.simulation.pickFrom([...this.#replicas.values()])
@@ -176,7 +176,7 @@
     })
   }
 
-  /** A host that may act must have everything that was accepted before its lease could begin. */
+  /** Checks that a host with a fresh lease has every view that was accepted more than the lease duration ago. */
   #checkFreshness (host: SimulatedHost): void {
     const now = this.simulation.now()
     const { viewRevision } = host.follower
@@ -212,7 +212,7 @@
       removes: []
     }
     void this.#proposer.propose('operator', command, 3000, () => true).then(result => { this.#onChangeAnswer(command, result) })
-    // A resend, as after a lost answer.
+    // Sends the command again, as after a lost answer.
     if (this.simulation.chance(0.3)) {
       this.simulation.schedule(this.simulation.random() * 2000, () => {
         void this.#proposer.propose('operator', command, 3000, () => true).then(result => { this.#onChangeAnswer(command, result) })
@@ -257,7 +257,7 @@
       const replica = this.simulation.pickFrom([...this.#replicas.values()])
       const host = this.simulation.pickFrom(this.#hosts)
       if (this.simulation.drawFault('kill', 0.25)) this.#kill(replica)
-      // Power loss: whatever was not synced is gone everywhere at once.
+      // Simulates a power loss: all replicas lose their unsynced writes at once.
       if (this.simulation.drawFault('kill', 0.06)) for (const each of this.#replicas.values()) this.#kill(each)
       if (this.simulation.drawFault('freeze', 0.2)) replica.freeze(this.simulation.random() * 1500)
       if (this.simulation.drawFault('freeze', 0.2)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 2500
@@ -285,7 +285,7 @@
     host.executor = this.#keyedCalls.createExecutor(host)
   }
 
-  /** Silent, one way or both ways; from one process to another, or to all. */
+  /** Cuts the links between a process and one or all processes, in one direction or both. */
   #cutLinks (): void {
     const names = [...this.#replicas.keys(), ...this.#hosts.map(host => host.name)]
     const from = this.simulation.pickFrom(names)
@@ -299,7 +299,7 @@
     }
   }
 
-  /** One disk at a time; the next may be lost right after the repair. */
+  /** Loses one disk at a time; the next one may be lost as soon as the replacement has joined. */
   #loseDisk (replica: SimulatedReplica): void {
     const isVoter = [...this.#replicas.values()].some(other => other.core.membership.voters.some(voter => voter.id === replica.self.id))
     if (this.#isRepairing || !isVoter) return
--- a/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/ColdEndpointWorld.ts
@@ -1,6 +1,7 @@
 /**
- * Endpoints that come back cold before many entry hosts, some of which stand still, start anew or know too few of
- * the others. Checks that all of them together send a cold endpoint no more in any second than it takes.
+ * Many entry hosts send requests to endpoints that have just restarted with cold caches. Some hosts freeze, restart
+ * or know only some of the other hosts. Checks that all hosts together send a cold endpoint no more requests in any
+ * second than it can take.
  */
 import { ColdEndpointLimiter } from '@eelgrassmux/routing/endpoints/ColdEndpointLimiter'
 import { EndpointState } from '@eelgrassmux/routing/endpoints/EndpointState'
@@ -14,13 +15,13 @@
 const MAX_EVENTS = 40_000
 const DURATION_MS = 5000
 
-/** What an endpoint takes while it is cold, in requests a second, and what ends it. */
+/** Requests per second that a cold endpoint takes, and the most requests in one second that it survives. */
 const COLD_REQUESTS_PER_SECOND = 18
 const MAX_REQUESTS_IN_A_SECOND = COLD_REQUESTS_PER_SECOND * 1.5 + 5
 
 const SECOND_MS = 1000
 
-/** Longest way of a request to an endpoint, in milliseconds. */
+/** Maximum network latency of a request, in milliseconds. */
 const MAX_LATENCY_MS = 60
 
 interface SimulatedHost {
@@ -30,16 +31,16 @@
   frozenUntil: number
 }
 
-/** The world. */
+/** Checks the rate limit of cold endpoints. */
 export class ColdEndpointWorld implements World {
   readonly #hosts: SimulatedHost[]
-  /** Times at which requests were sent and arrived, by endpoint. */
+  /** Send and arrival times of the requests to each endpoint. */
   readonly #arrivals: Array<Array<{ readonly sentAt: number, readonly at: number }>> = Array.from({ length: ENDPOINTS }, () => [])
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     const count = simulation.pickFrom(HOST_COUNTS)
@@ -58,7 +59,7 @@
     return new ColdEndpointLimiter(host.name, knownHosts)
   }
 
-  /** Requests come faster than the endpoints take them, and each host would send all of them there. */
+  /** Requests arrive faster than the cold endpoints can take them, and each host tries to send all of its requests. */
   #dispatchLoop (host: SimulatedHost, limiter: ColdEndpointLimiter): void {
     this.simulation.schedule(this.simulation.random() * 60, () => {
       this.#dispatchLoop(host, limiter)
@@ -80,7 +81,7 @@
       const host = this.simulation.pickFrom(this.#hosts)
       if (this.simulation.drawFault('freeze', 0.4)) host.frozenUntil = this.simulation.now() + this.simulation.random() * 1500
       if (!this.simulation.drawFault('kill', 0.4)) return
-      // A host that has just started knows neither what it has sent nor all of the others.
+      // A restarted host remembers none of its earlier requests and knows only half of the hosts.
       host.endpoints = createColdEndpoints()
       host.knownHosts = Math.ceil(this.#hosts.length / 2)
     })
--- a/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Directories, stores, readers and writers while shards change owners, stores
- * die, and readers freeze. Freed memory is reused at once, so that a read that
- * overlaps a deletion brings garbage.
+ * Readers and writers use directories and stores while shards change owners,
+ * stores crash and readers freeze. Stores reuse freed memory at once, so that a
+ * read that overlaps a deletion returns corrupt data.
  */
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
 import type { EngineBackend } from '@eelgrassmux/backends/EngineClient'
@@ -35,7 +35,7 @@
   readonly customer: string
   readonly keys: readonly string[]
   readonly firstBlock: number
-  /** True once the last byte was written and acknowledged. */
+  /** True once the last byte has been written and acknowledged. */
   isComplete: boolean
   isFreed: boolean
 }
@@ -46,7 +46,7 @@
   readonly acceptedAt: number
 }
 
-/** A directory's belief about its ownership. */
+/** A directory with the assignment it knows. */
 interface SimulatedDirectory {
   shard: DirectoryShard | undefined
   knownEpoch: number
@@ -54,7 +54,7 @@
   readonly watchers: StoreWatcher[]
 }
 
-/** A store with reused memory. */
+/** A store that reuses freed memory at once. */
 class SimulatedStore implements StoreBackend {
   objects = new Map<string, StoredObject>()
   incarnation = 1
@@ -99,7 +99,7 @@
   }
 }
 
-/** The world. */
+/** Checks that runs use only complete, unfreed blocks of their own customer. */
 export class DirectoryWorld implements World {
   readonly #stores = new Map<string, SimulatedStore>()
   readonly #directories: SimulatedDirectory[] = []
@@ -109,9 +109,9 @@
   #assignment: Assignment
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     for (const name of STORES) this.#stores.set(name, new SimulatedStore(simulation, name))
@@ -142,7 +142,7 @@
     return directory
   }
 
-  /** Ownership is confirmed at most `ownershipMs` ago, as the freshness lease guarantees. */
+  /** A former owner may act for up to `ownershipMs` after a reassignment, which is the bound that the freshness lease guarantees. */
   #mayAct (index: number): boolean {
     const directory = this.#directories[index]
     if (directory?.shard === undefined || this.simulation.now() < directory.frozenUntil) return false
@@ -171,7 +171,7 @@
     for (const watcher of directory.watchers) watcher.requestListing()
   }
 
-  /** What the wait for leases prevents. */
+  /** Deletes objects that readers may still lease; the disabled mechanism would wait for these leases. */
   #deleteWithoutWaiting (directory: SimulatedDirectory): void {
     const { shard } = directory
     if (shard === undefined) return
@@ -264,7 +264,7 @@
       () => `a run of ${customer} would use blocks of ${this.#importCustomers.get(importId) ?? 'nobody'}`)
   }
 
-  /** An engine without checksums, so that only leases and publication protect it. */
+  /** An engine that verifies no checksums, so that only leases and the order of publication protect it. */
   #engine (): EngineBackend {
     return {
       stageImport: async (request: ImportRequest) => {
@@ -274,7 +274,7 @@
           const wasComplete = object.isComplete
           const incarnation = this.#stores.get(storeAddress)?.incarnation
           await this.simulation.sleep(1 + this.simulation.random() * 40 + (this.simulation.drawFault('delay', 0.1) ? this.simulation.random() * 1200 : 0))
-          // A store that died breaks the connection: the read fails, it does not bring garbage.
+          // A crashed store breaks the connection, so the read fails instead of returning corrupt data.
           const { isUp, incarnation: present } = this.#stores.get(storeAddress) ?? { isUp: false, incarnation: 0 }
           if (!isUp || present !== incarnation) return fail({ kind: 'lost', detail: 'the store died' })
           if (!wasComplete || object.isFreed) this.#corruptImports.add(request.importId)
--- a/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/EndpointWorld.ts
@@ -1,4 +1,4 @@
-/** Endpoints that leave, restart and fall silent behind a membership list that lags or stops. */
+/** Endpoints leave, restart and stop reporting while the membership list lags or is no longer updated. Checks that leaving endpoints get no new work. */
 import { DEFAULT_ENDPOINT_SETTINGS, EndpointTable, type ListedMember } from '@eelgrassmux/policy/health/EndpointTable'
 import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
 import type { Simulation } from '../Simulation.js'
@@ -8,18 +8,18 @@
 const MAX_EVENTS = 20_000
 const DURATION_MS = 120_000
 
-/** "A few seconds", in milliseconds. */
+/** Time after which a leaving endpoint must get no new work, in milliseconds. The promise says "a few seconds". */
 const MAX_DISPATCH_AFTER_LEAVING_MS = 3000
 
 interface SimulatedEndpoint {
   readonly name: string
   incarnation: number
   leavingSince: number | undefined
-  /** Its own reports and answers do not arrive. */
+  /** Whether the reports of the endpoint are lost. */
   isCutOff: boolean
 }
 
-/** The world. */
+/** Checks that leaving endpoints get no new work. */
 export class EndpointWorld implements World {
   readonly #endpoints: SimulatedEndpoint[] = []
   readonly #table: EndpointTable
@@ -27,9 +27,9 @@
   #isListStale = false
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     const reportLifetimeMs = broken === 'leaving-gets-no-work' ? Number.POSITIVE_INFINITY : DEFAULT_ENDPOINT_SETTINGS.reportLifetimeMs
@@ -62,7 +62,7 @@
       this.#listLoop()
       const snapshot = this.#endpoints.map(({ name, incarnation, leavingSince }): ListedMember =>
         ({ name, incarnation, state: leavingSince === undefined ? 'live' : 'leaving' }))
-      // The platform's list lags by seconds, and may stop for good.
+      // The platform's list lags by seconds and may stop being updated at all.
       this.simulation.schedule(1000 + this.simulation.random() * 4000, () => { if (!this.#isListStale) this.#memberList = snapshot })
       this.#table.observeMemberList(this.#memberList)
     })
--- a/apps/bench/src/lib/prove/worlds/EvacuationWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/EvacuationWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Control hosts and an operator that has data centres evacuated, under kills, losses of power, cuts and
- * freezes, with orders that are sent again and copies that arrive seconds late. Checks that what was
- * acknowledged stays in force until a newer order about the same data centre is given.
+ * An operator evacuates data centres under kills, power losses, cut links and freezes of the control hosts.
+ * Orders are retried, and copies of them arrive seconds late. Checks that an acknowledged order stays in force
+ * until the operator gives a newer one for the same data centre.
  */
 import type { PersistentState, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { Command } from '@eelgrassmux/state/commands'
@@ -14,28 +14,28 @@
 const REPLICAS = 3
 const DATA_CENTRES = ['north', 'central', 'south']
 
-/** Events of the part with faults, and time for the part without. */
+/** Limits of the events and the virtual time of the phases with and without faults. */
 const FAULT_PHASE_EVENTS = 20_000
 const FAULT_PHASE_MS = 30_000
 const FAULT_FREE_PHASE_EVENTS = 40_000
 const FAULT_FREE_PHASE_MS = 15_000
 
-/** Restarted processes come back within this time, in milliseconds. */
+/** Maximum downtime of a killed process, in milliseconds. */
 const MAX_RESTART_DELAY_MS = 1500
 
-/** Time for which an operator tries an order, and up to which a copy of it may be late, in milliseconds. */
+/** Timeout of an order, and maximum delay of a late copy of it, in milliseconds. */
 const ORDER_TIMEOUT_MS = 3000
 const MAX_COPY_DELAY_MS = 5000
 
-/** The newest order about one data centre. */
+/** The newest order for a data centre. */
 interface NewestOrder {
   readonly number: number
   readonly isEvacuated: boolean
-  /** Index in the log by which it was applied; undefined until it is acknowledged. */
+  /** Upper bound of the log index of the order; undefined until the order is acknowledged. */
   appliedBy: number | undefined
 }
 
-/** The world. */
+/** Checks that acknowledged evacuation orders stay in force. */
 export class EvacuationWorld implements World {
   readonly #replicas = new Map<string, SimulatedReplica>()
   readonly #proposer: SimulatedProposer
@@ -44,9 +44,9 @@
   #hasFaultsEnded = false
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     this.#proposer = new SimulatedProposer(simulation, this.#replicas)
@@ -73,7 +73,7 @@
     this.#checkEnd()
   }
 
-  /** Starts and ends by turns; the next order is given when the one before is acknowledged or was given up. */
+  /** Alternates between starting and ending an evacuation; the next order follows once the previous one is acknowledged or has timed out. */
   #operatorLoop (dataCentre: string, isEvacuated: boolean): void {
     this.simulation.schedule(100 + this.simulation.random() * 1500, () => {
       if (this.#hasFaultsEnded) return
@@ -100,7 +100,7 @@
     }
   }
 
-  /** What a host that stood still, or a link that was cut, delivers long after the order was acknowledged through others. */
+  /** Delivers a copy of the order late, like a frozen host or a cut link that delivers it after another path has had it acknowledged. */
   #sendLateCopy (command: Command): void {
     if (!this.simulation.chance(0.4)) return
     this.simulation.schedule(this.simulation.random() * MAX_COPY_DELAY_MS, () => {
--- a/apps/bench/src/lib/prove/worlds/FormationWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/FormationWorld.ts
@@ -1,7 +1,7 @@
 /**
- * A group of control hosts that is founded and joined under kills, cuts and
- * freezes while operators already call. Then the founder and one more host lose
- * their disks. Checks that whatever was acknowledged before is still there.
+ * Control hosts form a group under kills, cut links and freezes while operators
+ * already send commands. Afterwards the founder and one more host lose their
+ * disks. Checks that every command acknowledged before is still in force.
  */
 import type { PersistentState, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { CheckRecorder, PromiseName } from '../CheckRecorder.js'
@@ -9,48 +9,48 @@
 import type { World } from '../World.js'
 import { ALL_MECHANISMS, SimulatedReplica } from './SimulatedReplica.js'
 
-/** Five hosts bear the loss of two. */
+/** A group of five hosts tolerates the loss of two. */
 const HOSTS = 5
 const EMPTY_DISK: PersistentState = { term: 0, votedFor: undefined, snapshot: undefined, entries: [] }
 
-/** Groups formed one after another in a run; the formation is short, so one alone would seldom meet a fault. */
+/** Number of groups formed one after another in a run; a formation is so short that a single one rarely meets a fault. */
 const GROUPS = 20
 
-/** Virtual time of each part of a formation, in milliseconds: with faults, without, and after the loss of two disks. */
+/** Virtual duration of the phases with and without faults, and timeout of the read after the loss of two disks, in milliseconds. */
 const FAULT_PHASE_MS = 1500
 const FAULT_FREE_PHASE_MS = 4000
 const READ_TIMEOUT_MS = 8000
 
-/** Interval between reads after the loss, in milliseconds: the network still loses messages, and all three hosts are needed now. */
+/** Interval between reads after the loss of the disks, in milliseconds. Reads are repeated because the network still loses messages and a quorum now needs all three remaining hosts. */
 const READ_INTERVAL_MS = 20
 
-/** Longest wait from the first acknowledgement to the loss of the disks, in milliseconds. */
+/** Maximum delay from the first acknowledgement to the loss of the disks, in milliseconds. */
 const MAX_LOSS_DELAY_MS = 300
 
-/** Events of one part, as a bound only. */
+/** Safety limit for the number of events in one phase. */
 const MAX_PHASE_EVENTS = 100_000
 
-/** Restarted processes come back within this time, in milliseconds. */
+/** Maximum downtime of a killed process, in milliseconds. */
 const MAX_RESTART_DELAY_MS = 300
 
-/** One group from its formation to its end. */
+/** State of one group of control hosts. */
 interface Formation {
   readonly replicas: Map<string, SimulatedReplica>
   readonly founder: string
-  /** Versions that operators were told are in force. */
+  /** Versions that were acknowledged to operators. */
   readonly acknowledged: number[]
   hasFaultsEnded: boolean
   hasLostDisks: boolean
 }
 
-/** The world. */
+/** Checks that a group accepts commands only once it is complete. */
 export class FormationWorld implements World {
   #nextVersion = 0
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {}
 
@@ -74,7 +74,7 @@
     await this.simulation.run({ events: this.simulation.executedEvents + MAX_PHASE_EVENTS, until: this.simulation.now() + milliseconds })
   }
 
-  // --- Founding and joining ---
+  // --- Formation ---
 
   #startGroup (group: number): Formation {
     const names = Array.from({ length: HOSTS }, (_, host) => `group-${group}-host-${host}`)
@@ -95,12 +95,12 @@
     }))
   }
 
-  /** Also after a restart that found the disk still empty. */
+  /** Bootstraps the founder, again after each restart with an empty disk. */
   #bootstrap (formation: Formation): void {
     const founder = formation.replicas.get(formation.founder)
     if (founder?.core.lastIndex !== 0) return
     founder.change((core, now) => ({ ok: true, value: core.bootstrap(now) }))
-    // As by a slow disk: what arrives before the first election waits together with it.
+    // Simulates a slow disk: commands that arrive before the first election are processed together with it.
     if (this.simulation.drawFault('freeze', 0.5)) founder.freeze(this.simulation.random() * 100)
   }
 
@@ -192,7 +192,7 @@
     for (const replica of formation.replicas.values()) this.#restart(formation, replica)
   }
 
-  /** The founder is the one whose loss a group that took commands too early would not bear. */
+  /** The founder is among the lost hosts because a group that accepted commands too early may have stored them on the founder only. */
   #loseDisks (formation: Formation): void {
     if (formation.hasLostDisks) return
     formation.hasLostDisks = true
@@ -204,7 +204,7 @@
     }
   }
 
-  /** As an operator: reads until a host is sure. */
+  /** Repeats a read until a leader can answer it. */
   async #readVersion (formation: Formation): Promise<number> {
     for (const deadline = this.simulation.now() + READ_TIMEOUT_MS; this.simulation.now() < deadline;) {
       await this.#advance(READ_INTERVAL_MS)
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Entry hosts before endpoints, among whose requests some end each endpoint that runs them and come again
- * at any host, under kills and freezes of control hosts, restarts of entry hosts, racks that fail and
- * connections that break. Checks that such a request stops being sent, and that no other is quarantined.
+ * Entry hosts send requests to endpoints. Some requests crash every endpoint that runs them and are repeated
+ * through any host. Control hosts are killed and frozen, entry hosts restart, racks fail and connections break.
+ * Checks that poison requests stop being sent and that no other request is quarantined.
  */
 import type { PersistentState, Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import { quarantineMessage } from '@eelgrassmux/control/quarantine/quarantineMessage'
@@ -16,17 +16,17 @@
 import { ALL_MECHANISMS, SimulatedReplica } from './SimulatedReplica.js'
 import { SimulatedPool, type PoolRequest, type PoolRun } from './SimulatedPool.js'
 
-/** How large the world is. */
+/** Size, load and scheduled losses of the world. */
 export interface QuarantineShape {
   readonly hosts: number
   readonly endpoints: number
   readonly requestsPerSecond: number
   readonly poison: number
-  /** Virtual time, in milliseconds. */
+  /** Virtual duration of the run, in milliseconds. */
   readonly durationMs: number
-  /** When the leading control host is lost for good, in milliseconds; never if absent. */
+  /** Time at which the leading control host is killed and not restarted, in milliseconds; never if absent. */
   readonly leaderLostAtMs?: number
-  /** When all entry hosts start anew at once, in milliseconds; never if absent. */
+  /** Time at which all entry hosts restart at once, in milliseconds; never if absent. */
   readonly hostsRestartAtMs?: number
 }
 
@@ -34,28 +34,28 @@
 
 const REPLICAS = 3
 
-/** Most events of a run, as a bound only. */
+/** Safety limit for the number of events in a run. */
 const MAX_EVENTS = 2_000_000
 
-/** Ends after which a request must be known, time for all to hear of it, and runs that may still begin then. */
+/** Crashes after which a request must be quarantined, time in milliseconds for the decision to reach all hosts, and number of runs that may still start later. */
 const DETECTION_CRASHES = 3
 const PROPAGATION_MS = 3000
 const MAX_LATE_RUNS = 3
 
-/** Intervals of reports, views, and the leader's looks, in milliseconds. */
+/** Interval of reports, mean interval of view requests, and interval of the decisions of the leader, in milliseconds. */
 const REPORT_INTERVAL_MS = 200
 const MEAN_VIEW_INTERVAL_MS = 200
 const DECISION_INTERVAL_MS = 100
 
-/** Pause between two faults, and time until a process is back, in milliseconds. */
+/** Bounds of the interval between faults, and maximum downtime or freeze of a control host, in milliseconds. */
 const MIN_FAULT_INTERVAL_MS = 1500
 const MAX_FAULT_INTERVAL_MS = 6000
 const MAX_RESTART_DELAY_MS = 1000
 
-/** Endpoints of a rack. */
+/** Number of endpoints in a rack. */
 const RACK_SIZE = 3
 
-/** How often a request that was lost is sent again by its caller. */
+/** Number of times that a caller repeats a lost request. */
 const MAX_REPEATS = 2
 
 interface SimulatedHost {
@@ -75,7 +75,7 @@
   isProposing: boolean
 }
 
-/** The world. */
+/** Checks that poison requests are quarantined and that other requests are served. */
 export class QuarantineWorld implements World {
   readonly #replicas: SimulatedLeader[]
   readonly #hosts: SimulatedHost[]
@@ -86,10 +86,10 @@
   #nextRequest = 0
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
-   * @param shape - how large it is
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
+   * @param shape - size, load and scheduled losses
    */
   constructor (
     private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined, private readonly shape = SMALL_SHAPE
@@ -108,7 +108,7 @@
     }
     for (const leader of this.#replicas) this.#decisionLoop(leader)
     this.#trafficLoop()
-    // One that is at most endpoints at any time.
+    // This request runs on most endpoints at any time, so that it takes part in most crashes without causing them.
     this.#repeatLoop(this.#newRequest(false, 100, 400), 5, 20)
     for (let index = 0; index < this.shape.poison; index += 1) this.#repeatLoop(this.#newRequest(true, 20, 200), 200, 1500)
     this.#faultLoop()
@@ -127,7 +127,7 @@
     return min + this.simulation.random() * (max - min)
   }
 
-  /** Requests that come once, but for what their callers repeat. */
+  /** Sends distinct requests, each of which callers repeat only when it is lost. */
   #trafficLoop (): void {
     this.simulation.schedule(-Math.log(1 - this.simulation.random()) * 1000 / this.shape.requestsPerSecond, () => {
       this.#trafficLoop()
@@ -144,7 +144,7 @@
 
   #send (request: PoolRequest, repeats: number): void {
     const host = this.simulation.pickFrom(this.#hosts)
-    // A host that knows no site yet serves nobody.
+    // A host without a view serves no requests.
     if (host.follower.viewRevision === 0) return
     if (host.follower.quarantine.find(request.fingerprint)?.state === 'quarantined') {
       if (request.isPoison) this.recorder.check('poison-requests-stop', true, () => '')
@@ -182,7 +182,7 @@
     this.#crashes.set(fingerprint, [...this.#crashes.get(fingerprint) ?? [], this.simulation.now()])
   }
 
-  /** As after any start or disturbance, a host that was just started and control hosts that were just disturbed have a moment. */
+  /** Counts late runs of a poison request. Runs shortly after a restart of the host or a fault of the control hosts are not counted, because the decision needs time to propagate. */
   #checkPoison (host: SimulatedHost, { fingerprint }: PoolRequest): void {
     const now = this.simulation.now()
     const detectedAt = this.#crashes.get(fingerprint)?.[DETECTION_CRASHES - 1]
@@ -192,7 +192,7 @@
     this.recorder.check('poison-requests-stop', lateRuns <= MAX_LATE_RUNS, () => `${fingerprint} is sent by ${host.name} for the ${lateRuns}. time, ${Math.round(now - detectedAt)} ms after it had ended ${DETECTION_CRASHES} endpoints`)
   }
 
-  // --- What hosts tell, and hear ---
+  // --- Reports and views ---
 
   #reportLoop (host: SimulatedHost): void {
     this.simulation.schedule(REPORT_INTERVAL_MS, () => {
@@ -219,7 +219,7 @@
         for (const fingerprint of completed) host.completed.delete(fingerprint)
       })
     })
-    // A report that got no answer is made again.
+    // Repeats a report that was not acknowledged.
     this.simulation.schedule(REPORT_INTERVAL_MS, () => { if (host.incarnation === incarnation && host.reportedTo !== leader) host.hasUnreported = true })
     host.reportedTo = undefined
   }
@@ -285,7 +285,7 @@
         correlator.reset()
         return
       }
-      // Hosts serve once there is a view.
+      // Hosts serve requests only once there is a view, so this command creates the first one.
       if (replica.state.viewRevision === 0) replica.propose({ kind: 'assign-shards', owners: [] }, () => {})
       this.#decide(leader)
     })
@@ -302,7 +302,7 @@
     leader.replica.propose({ kind: 'change-quarantine', decisions }, () => { leader.isProposing = false })
   }
 
-  /** Asks the endpoint, which takes a moment. */
+  /** Checks, after a delay, whether the endpoint has crashed. */
   #checkCrash (correlator: CrashCorrelator, endpoint: string): void {
     this.simulation.schedule(this.#randomBetween(1, 300), () => {
       correlator.recordCrashCheck(endpoint, this.broken === 'bystanders-are-served' || this.#pool.hasCrashed(endpoint), this.simulation.now())
@@ -328,7 +328,7 @@
     if (hostsRestartAtMs !== undefined) this.simulation.schedule(hostsRestartAtMs, () => { for (const host of this.#hosts) this.#restartHost(host) })
   }
 
-  /** @returns the one that was killed, if the others are enough */
+  /** @returns the killed leader, or undefined if there is none or the others would not form a majority */
   #killLeader (): SimulatedLeader | undefined {
     const leader = this.#leader()
     if (leader === undefined || this.#replicas.some(({ replica }) => !replica.isAlive)) return undefined
--- a/apps/bench/src/lib/prove/worlds/RunWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/RunWorld.ts
@@ -1,7 +1,7 @@
 /**
- * Runs on engines that lose, repeat and reorder chunks, die, refuse, and change
- * weight versions, with callers that lose their connection and come back, and
- * planned stops of the entry host in between.
+ * Runs on engines that lose, duplicate and reorder chunks, crash, reject runs
+ * and change weight versions. Callers lose their connections and resume, and the
+ * entry host goes through planned stops.
  */
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
 import type { EngineBackend, RunStreamItem } from '@eelgrassmux/backends/EngineClient'
@@ -61,7 +61,7 @@
   isCancelled: boolean
 }
 
-/** An engine whose blocks remember whose they are and which version made them. */
+/** An engine that records the customer and the weight version of each cached block. */
 class SimulatedEngine implements EngineBackend {
   version = 'v1'
   incarnation = 1
@@ -103,7 +103,7 @@
     if (run !== undefined) run.isCancelled = true
   }
 
-  /** Ends the process; the cache and all runs are gone. */
+  /** Kills the process; the cache and all runs are lost. */
   kill (): void {
     this.isUp = false
     this.incarnation += 1
@@ -125,7 +125,7 @@
     }
   }
 
-  /** The salt is what keeps customers and versions apart; a broken run leaves a part of it out. */
+  /** The salt separates customers and versions; with a broken promise, the salt lacks the customer or the version. */
   #keys (request: RunRequest): string[] {
     switch (this.broken) {
       case 'customers-apart': return blockKeys(`salt of ${this.version}`, request.prompt)
@@ -155,7 +155,7 @@
     return messages
   }
 
-  /** Loses, repeats and reorders chunks; with the promise broken, offsets say nothing. */
+  /** Loses, duplicates and reorders chunks. If whole answers are broken, offsets are renumbered so that they hide this. */
   #perturb (messages: RunMessage[]): RunMessage[] {
     const result: RunMessage[] = []
     for (const message of messages) {
@@ -179,14 +179,14 @@
 }
 
 async function unsupported (): Promise<never> {
-  throw new Error('not part of this world')
+  throw new Error('not supported by the simulated engine')
 }
 
 function tokenOf (prompt: string, version: string, offset: number): string {
   return ` ${prompt.slice(0, 12)}/${version}/${offset}`
 }
 
-/** The world. */
+/** Checks answers, weight versions, the separation of customers and planned stops. */
 export class RunWorld implements World {
   readonly #engines = new Map<string, SimulatedEngine>()
   readonly #fleet = { engineTable: new EndpointTable(), loads: new EngineLoadTable(), links: new LinkTable(), engine: (name: string) => this.#engines.get(name) }
@@ -200,9 +200,9 @@
   #nextVersion = 2
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
    */
   constructor (private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined) {
     const names = Array.from({ length: ENGINES }, (_, index) => `engine-${index}`)
@@ -271,7 +271,7 @@
     })
   }
 
-  /** A caller that may lose its connection and comes back for the rest. */
+  /** Reads a whole answer as a caller that may lose its connection and resumes where it stopped. */
   async #readToEnd (run: Run, prompt: string): Promise<void> {
     const tokens: string[] = []
     for (;;) {
@@ -314,7 +314,7 @@
       const engine = this.simulation.pickFrom([...this.#engines.values()])
       if (this.simulation.drawFault('kill', 0.15)) engine.kill()
       if (this.simulation.drawFault('swap', 0.15)) {
-        // Half of the fleet may stay behind for a while.
+        // Engines may stay on the previous version for a while, as in the middle of a rollout.
         engine.version = `v${this.simulation.chance(0.5) ? this.#nextVersion : Math.max(1, this.#nextVersion - 1)}`
         if (this.simulation.chance(0.3)) this.#nextVersion += 1
         this.simulation.log(`${engine.name} runs ${engine.version}`)
@@ -323,7 +323,7 @@
     })
   }
 
-  /** Stops and starts again, as a rolling restart does. */
+  /** Stops and restarts the entry host, as a rolling restart does. */
   async #plannedStop (): Promise<void> {
     if (this.#gate.isClosed) return
     const gate = this.#gate
@@ -339,7 +339,7 @@
 
 const NO_COUNTER = { count: (): void => {} }
 
-/** Engines know a run under its id and the attempt. */
+/** Removes the attempt number that engines see as a suffix of the run id. */
 function runIdOf (engineRun: string): string {
   return engineRun.replace(/-a\d+$/, '')
 }
--- a/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedKeyedCalls.ts
@@ -1,4 +1,4 @@
-/** Calls under idempotency keys, through hosts that freeze and restart, to endpoints that may lose answers. */
+/** Calls with idempotency keys, through hosts that freeze and restart, to endpoints whose answers may be lost. */
 import type { BackendError } from '@eelgrassmux/backends/BackendError'
 import type { ServiceAnswer } from '@eelgrassmux/backends/ServiceClient'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
@@ -8,7 +8,7 @@
 import type { Simulation } from '../Simulation.js'
 import type { SimulatedProposer } from './SimulatedProposer.js'
 
-/** A host as far as keyed calls go. */
+/** The part of a host that keyed calls need. */
 export interface KeyedHost {
   readonly name: string
   readonly incarnation: number
@@ -16,33 +16,33 @@
   readonly executor: AtMostOnceExecutor
 }
 
-/** Keys in use at the same time, and how long, in milliseconds. */
+/** Number of keys in use at the same time, and the time in milliseconds after which new keys replace them. */
 const CONCURRENT_KEYS = 8
 const KEY_LIFETIME_MS = 5000
 
 const CUSTOMERS = ['ward', 'clinic']
 
-/** Longest wait for an endpoint, in milliseconds. */
+/** Timeout of a call to an endpoint, in milliseconds. */
 const CALL_TIMEOUT_MS = 400
 
-/** Makes calls and checks that each key runs once and each customer gets its own answer. */
+/** Makes calls and checks that each key runs at most once and that each customer gets its own answer. */
 export class SimulatedKeyedCalls {
   readonly #executions = new Map<string, number>()
   readonly #executedRequests = new Set<string>()
 
   /**
-   * @param simulation - schedule
-   * @param recorder - checks
-   * @param broken - promise whose mechanism is taken away
-   * @param proposer - the way to the control hosts
+   * @param simulation - the seeded schedule
+   * @param recorder - counts the checks
+   * @param broken - promise whose mechanism is disabled
+   * @param proposer - sends commands to the control hosts
    */
   constructor (
     private readonly simulation: Simulation, private readonly recorder: CheckRecorder, private readonly broken: PromiseName | undefined, private readonly proposer: SimulatedProposer
   ) {}
 
   /**
-   * @param host - that runs calls
-   * @returns what it runs them with in its present incarnation
+   * @param host - host that runs the calls
+   * @returns the executor for the current incarnation of the host
    */
   createExecutor (host: KeyedHost): AtMostOnceExecutor {
     const { incarnation } = host
@@ -61,8 +61,8 @@
   }
 
   /**
-   * @param host - that is called
-   * @param request - name of this call, unique
+   * @param host - host that receives the call
+   * @param request - unique name of the call
    */
   async call (host: KeyedHost, request: string): Promise<void> {
     const customer = this.simulation.pickFrom(CUSTOMERS)
--- a/apps/bench/src/lib/prove/worlds/SimulatedPool.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedPool.ts
@@ -1,23 +1,23 @@
-/** Endpoints that run requests in virtual time, and end, break connections and start again. */
+/** Endpoints that run requests in virtual time, crash, break connections and restart. */
 import type { Simulation } from '../Simulation.js'
 
-/** What is asked; the same object each time that it comes again. */
+/** A request; repeats of it use the same object. */
 export interface PoolRequest {
   readonly fingerprint: string
   readonly isPoison: boolean
-  /** How long an endpoint needs for it or, if it is poison, lives on with it, in milliseconds. */
+  /** Time until the request completes or, if it is poison, crashes the endpoint, in milliseconds. */
   durationMs (): number
 }
 
-/** A request at an endpoint. */
+/** A request that runs on an endpoint. */
 export interface PoolRun {
   readonly request: PoolRequest
-  /** Incarnation of the endpoint. */
+  /** Name and incarnation of the endpoint. */
   readonly endpoint: string
   readonly startedAt: number
 }
 
-/** Told of what becomes of a run, once. */
+/** Called exactly once for each run, with its outcome. */
 export interface RunListener {
   onCompleted (run: PoolRun): void
   onLost (run: PoolRun): void
@@ -30,16 +30,16 @@
   readonly runs: Map<PoolRun, RunListener>
 }
 
-/** Bounds of the time until an endpoint that ended is back, in milliseconds. */
+/** Bounds of the downtime of a crashed endpoint, in milliseconds. */
 const MIN_RESTART_MS = 500
 const MAX_RESTART_MS = 3000
 
-/** All endpoints of one service. */
+/** The endpoints of one service. */
 export class SimulatedPool {
   readonly #endpoints: SimulatedEndpoint[]
 
   /**
-   * @param simulation - schedule
+   * @param simulation - the seeded schedule
    * @param size - number of endpoints
    */
   constructor (private readonly simulation: Simulation, size: number) {
@@ -47,8 +47,8 @@
   }
 
   /**
-   * @param request - to run at any endpoint that is up
-   * @param listener - told of the end
+   * @param request - request to run on any endpoint that is up
+   * @param listener - called with the outcome
    * @returns the run, or undefined if no endpoint is up
    */
   run (request: PoolRequest, listener: RunListener): PoolRun | undefined {
@@ -69,12 +69,12 @@
     return run
   }
 
-  /** @returns whether that incarnation has ended */
+  /** @returns whether that incarnation has crashed */
   hasCrashed (incarnation: string): boolean {
     return !this.#endpoints.some(endpoint => endpoint.isUp && incarnationName(endpoint) === incarnation)
   }
 
-  /** Ends some in the same moment, as a rack does. */
+  /** Crashes several endpoints at the same moment, like the failure of a rack. */
   crashTogether (count: number): void {
     const first = this.simulation.pick(this.#endpoints.length)
     for (let index = 0; index < count; index += 1) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Breaks the connections of one that lives on. */
+  /** Breaks all connections of one endpoint, which keeps running. */
   breakConnections (): void {
     this.#loseRuns(this.simulation.pickFrom(this.#endpoints))
   }
--- a/apps/bench/src/lib/prove/worlds/SimulatedProposer.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedProposer.ts
@@ -1,30 +1,30 @@
-/** Proposes commands to simulated control hosts as hosts and the command line do it. */
+/** Proposes commands to simulated control hosts in the same way as hosts and the command line do. */
 import { fail, succeed, type Result } from '@eelgrassmux/schema/Result'
 import type { Command, CommandResult } from '@eelgrassmux/state/commands'
 import type { ProposeError } from '@eelgrassmux/view/ControlLink'
 import type { Simulation } from '../Simulation.js'
 import type { SimulatedOutcome, SimulatedReplica } from './SimulatedReplica.js'
 
-/** What a host or operator learns of one proposal. */
+/** Result of a proposal as its proposer sees it. */
 export type ProposalResult = Result<CommandResult, ProposeError>
 
-/** Pause before another replica is asked, and time after which an answer is not waited for any more, in milliseconds. */
+/** Delay before the next attempt, and timeout of one attempt, in milliseconds. */
 const RETRY_DELAY_MS = 30
 const ANSWER_TIMEOUT_MS = 800
 
-/** Tries replicas until one has applied the command. */
+/** Retries a proposal on different replicas until one of them has applied the command. */
 export class SimulatedProposer {
   /**
-   * @param simulation - schedule
-   * @param replicas - by name, as of now
+   * @param simulation - the seeded schedule
+   * @param replicas - current replicas by name
    */
   constructor (private readonly simulation: Simulation, private readonly replicas: ReadonlyMap<string, SimulatedReplica>) {}
 
   /**
-   * @param from - who proposes
-   * @param command - what to apply
-   * @param deadlineMs - how long to try
-   * @param isAlive - whether the proposer still is the same process
+   * @param from - name of the proposer
+   * @param command - command to apply
+   * @param deadlineMs - how long to retry
+   * @param isAlive - whether the proposing process still runs
    */
   async propose (from: string, command: Command, deadlineMs: number, isAlive: () => boolean): Promise<ProposalResult> {
     const deadline = this.simulation.now() + deadlineMs
--- a/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
@@ -1,4 +1,4 @@
-/** A control replica in virtual time: real core, real state machine, a disk that forgets what was not synced. */
+/** A control replica in virtual time, with the real Raft core and state machine and a disk that loses unsynced writes. */
 import { membershipIndexOf, newestViewBound } from '@eelgrassmux/control/raft/logBounds'
 import { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import type { RaftError } from '@eelgrassmux/consensus/RaftError'
@@ -12,28 +12,28 @@
 import { stateImageSchema } from '@eelgrassmux/state/commands'
 import type { Simulation } from '../Simulation.js'
 
-/** Timing of the simulated replicas; short leases make faults bite often. */
+/** Raft settings of the simulated replicas; the lease is short so that faults often outlast it. */
 export const SIMULATED_RAFT = { heartbeatMs: 50, electionTimeoutMs: 300, leaseMs: 240, maxEntriesPerAppend: 16, maxBytesPerAppend: 1024 * 1024, promotionLag: 4, minimumVoters: 1 }
 
-/** What became of a proposed command. */
+/** Outcome of a proposed command. */
 export type SimulatedOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
   | { readonly kind: 'not-leader', readonly leader: string | undefined }
   | { readonly kind: 'uncertain' }
 
-/** Mechanisms of a replica that a world can take away to see that its checks find it. */
+/** Safety mechanisms of a replica that a world can disable to verify that its checks detect the violation. */
 export interface ReplicaMechanisms {
-  /** Effects wait for the sync of their writes. */
+  /** Whether effects are carried out only after their writes are synced. */
   readonly syncsBeforeEffects: boolean
-  /** Committed voters that its group needs before it takes a command. */
+  /** Number of committed voters that the group needs before it accepts commands. */
   readonly minimumVoters: number
-  /** Whether the group is formed is asked in the step that appends, and not when the command arrives. */
+  /** Whether the number of voters is checked in the step that appends the command instead of when the command arrives. */
   readonly checksVotersOnAppend: boolean
 }
 
 export const ALL_MECHANISMS: ReplicaMechanisms = { syncsBeforeEffects: true, minimumVoters: 1, checksVotersOnAppend: true }
 
-/** What a replica needs from its world. */
+/** Callbacks from a replica to its world. */
 export interface ReplicaPorts {
   send (from: Replica, to: Replica, message: RaftMessage): void
   applied (replica: SimulatedReplica, entry: LogEntry): void
@@ -41,12 +41,12 @@
 
 const TICK_INTERVAL_MS = 20
 
-/** Log entries after which a snapshot is taken. */
+/** Log length at which a snapshot is taken. */
 const SNAPSHOT_THRESHOLD_ENTRIES = 40
 
 type Input = (now: number) => RaftEffects | undefined
 
-/** One replica with its disk. */
+/** A replica with its disk. */
 export class SimulatedReplica {
   core: RaftCore
   state = new StateMachine()
@@ -60,11 +60,11 @@
   #pending = new Map<number, { term: number, resolve: (outcome: SimulatedOutcome) => void }>()
 
   /**
-   * @param simulation - schedule
+   * @param simulation - the seeded schedule
    * @param self - id and address
-   * @param disk - what the disk holds at first
-   * @param mechanisms - what holds its promises
-   * @param ports - surroundings
+   * @param disk - initial contents of the disk
+   * @param mechanisms - enabled safety mechanisms
+   * @param ports - callbacks to the world
    */
   constructor (
     private readonly simulation: Simulation,
@@ -81,19 +81,19 @@
 
   get appliedIndex (): number { return this.#appliedIndex }
 
-  /** Upper bound of any view in the log. */
+  /** Upper bound of the view revisions in the log. */
   get newestView (): number { return newestViewBound(this.core, this.#appliedIndex, this.state.viewRevision) }
-  /** Index of the entry that set the membership. */
+  /** Log index of the entry that set the current membership. */
   get membershipIndex (): number { return membershipIndexOf(this.core) }
 
-  /** @param message - from another replica */
+  /** @param message - message from another replica */
   receive (message: RaftMessage): void {
     this.#enqueue(now => this.core.receive(message, now))
   }
 
   /**
-   * @param command - what to apply
-   * @param resolve - told what became of it
+   * @param command - command to apply
+   * @param resolve - called with the outcome
    */
   propose (command: Command, resolve: (outcome: SimulatedOutcome) => void): void {
     if (!this.mechanisms.checksVotersOnAppend && this.#isKnownIncomplete()) {
@@ -113,7 +113,7 @@
     })
   }
 
-  /** @param change - a membership change of the core */
+  /** @param change - applies a membership change to the core */
   change (change: (core: RaftCore, now: number) => Result<RaftEffects, RaftError>): void {
     this.#enqueue(now => {
       const changed = change(this.core, now)
@@ -121,12 +121,12 @@
     })
   }
 
-  /** @param milliseconds - how long the process stands still */
+  /** @param milliseconds - how long the process is frozen */
   freeze (milliseconds: number): void {
     this.#frozenUntil = this.simulation.now() + milliseconds
   }
 
-  /** Ends the process; what was not synced is gone. */
+  /** Kills the process; unsynced writes are lost. */
   kill (): void {
     this.isAlive = false
     this.#incarnation += 1
@@ -135,7 +135,7 @@
     this.#isBusy = false
   }
 
-  /** Starts the process again from its disk. */
+  /** Restarts the process from its disk. */
   restart (): void {
     this.isAlive = true
     this.state = new StateMachine()
@@ -151,7 +151,7 @@
     return core
   }
 
-  /** Only a leader knows; what it knows may be outdated by the time it appends. */
+  /** Only the leader can answer this, and the answer may be outdated by the time it appends the command. */
   #isKnownIncomplete (): boolean {
     return this.core.role === 'leader' && this.core.committedMembership.voters.length < this.mechanisms.minimumVoters
   }
