--- a/apps/bench/src/demo.ts
+++ b/apps/bench/src/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The main job, end to end, in separate processes on loopback.
+ * Demonstrates the product end to end, with separate processes on loopback.
  *
- * Prints what each step shows; exits 0 if all are as stated, 1 otherwise.
+ * Prints the result of each step. Exits with 0 if all steps behave as stated, with 1 otherwise.
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
@@ -16,7 +16,7 @@
   { name: 'clinic-shuttles', credential: 'demo-credential-clinic-shuttles', share: 1 }
 ]
 
-/** Blocks each demo engine can hold: few, so that a prompt is soon evicted. */
+/** Cache size of each engine in blocks, small so that a prompt is soon evicted. */
 const ENGINE_BLOCKS = '96'
 
 const ANSWER_TOKENS = 24
@@ -28,7 +28,7 @@
   process.stdout.write(`${holds ? 'ok  ' : 'FAIL'} ${step}: ${detail}\n`)
 }
 
-/** A prompt of its own length and content for each name. */
+/** Returns a prompt of the given length whose content depends on the name. */
 function promptOf (name: string, characters: number): string {
   return `Trip history of ${name}. `.repeat(Math.ceil(characters / 20)).slice(0, characters)
 }
@@ -59,43 +59,43 @@
   const imports = await Promise.all(cluster.entries.map(async member => await cluster.metric(member, 'eelgrassmux_imports_total')))
   report('its blocks came from a store', imports.some(count => count > 0), `${imports.reduce((sum, count) => sum + count, 0)} imports`)
 
-  const stranger = await streamCompletion(call(cluster, prompt, 0, 1))
-  report('the same text from another customer shares nothing', stranger.cachedTokens === 0 && isWhole(stranger, prompt, ANSWER_TOKENS), recomputed(stranger))
+  const otherCustomer = await streamCompletion(call(cluster, prompt, 0, 1))
+  report('the same text from another customer shares nothing', otherCustomer.cachedTokens === 0 && isWhole(otherCustomer, prompt, ANSWER_TOKENS), recomputed(otherCustomer))
 
   const deposit = { account: 'T-204', cents: 5000 }
   const credential = CUSTOMERS[0]?.credential ?? ''
-  const paid = await postOnce(cluster.entryUrl(0), credential, 'accounts/deposits', deposit, 'deposit-1')
+  const firstDeposit = await postOnce(cluster.entryUrl(0), credential, 'accounts/deposits', deposit, 'deposit-1')
   const repeat = await postOnce(cluster.entryUrl(2), credential, 'accounts/deposits', deposit, 'deposit-1')
   const executions = await Promise.all(cluster.services.map(async member => {
     const counts = await (await request(`http://${member.addresses.http}/standin/executions`)).body.json() as Record<string, number>
     return counts[JSON.stringify(deposit)] ?? 0
   }))
   const runs = executions.reduce((sum, count) => sum + count, 0)
-  report('a deposit and its repeat', paid.status === 200 && repeat.isRepeat && repeat.body === paid.body && runs === 1, `${paid.body}, ran ${runs} time`)
+  report('a deposit and its repeat', firstDeposit.status === 200 && repeat.isRepeat && repeat.body === firstDeposit.body && runs === 1, `${firstDeposit.body}, ran ${runs} time`)
 
   await changeUnderTraffic(cluster)
 }
 
 async function changeUnderTraffic (cluster: Cluster): Promise<void> {
-  const ending = new AbortController()
-  let whole = 0
-  let broken = 0
+  const trafficAbort = new AbortController()
+  let wholeAnswers = 0
+  let brokenAnswers = 0
   const traffic = [0, 1, 2].map(async entry => {
-    for (let turn = 0; !ending.signal.aborted; turn += 1) {
+    for (let turn = 0; !trafficAbort.signal.aborted; turn += 1) {
       const prompt = promptOf(`traffic ${entry} ${turn}`, 2000)
       const answer = await streamCompletion(call(cluster, prompt, entry))
-      if (isWhole(answer, prompt, ANSWER_TOKENS)) whole += 1
-      else broken += 1
+      if (isWhole(answer, prompt, ANSWER_TOKENS)) wholeAnswers += 1
+      else brokenAnswers += 1
     }
   })
   await sleep(500)
   const output = await cluster.applyAll([{ ...LSCSA_PROFILE, name: 'tmts' }])
   await sleep(500)
-  ending.abort()
+  trafficAbort.abort()
   await Promise.all(traffic)
   const revisions = await Promise.all(cluster.entries.map(async member => await cluster.metric(member, 'eelgrassmux_configuration_revision')))
-  report('a profile changed while traffic flowed', broken === 0 && whole > 0 && revisions.every(revision => revision === revisions[0]),
-    `${output.stdout.trim().replaceAll('\n', ', ')}; ${whole} answers whole, ${broken} not`)
+  report('a profile changed while traffic flowed', brokenAnswers === 0 && wholeAnswers > 0 && revisions.every(revision => revision === revisions[0]),
+    `${output.stdout.trim().replaceAll('\n', ', ')}; ${wholeAnswers} answers whole, ${brokenAnswers} not`)
 }
 
 const cluster = await Cluster.start({
--- a/apps/bench/src/lib/Cluster.ts
+++ b/apps/bench/src/lib/Cluster.ts
@@ -1,4 +1,4 @@
-/** A whole system on loopback for scripts and tests: control hosts, directories, entry hosts and stand-ins. */
+/** Runs a whole system on loopback for scripts and tests: control hosts, directories, entry hosts and stand-ins. */
 import { createHash } from 'node:crypto'
 import { spawn } from 'node:child_process'
 import { once } from 'node:events'
@@ -11,14 +11,14 @@
 import type { ConfigurationDocument, Profile } from '@eelgrassmux/schema/configuration'
 import { ManagedProcess, programPath, type PrintedAddresses } from './ManagedProcess.js'
 
-/** A process with its addresses. */
+/** A process of the cluster with its addresses. */
 export interface ClusterMember {
   process: ManagedProcess
   addresses: PrintedAddresses
   readonly args: readonly string[]
 }
 
-/** Shape of a cluster. */
+/** Number of processes of each kind, and the configuration of the cluster. */
 export interface ClusterPlan {
   readonly dataCentres: readonly string[]
   readonly controls: number
@@ -29,7 +29,7 @@
   readonly services: number
   readonly customers: readonly CustomerPlan[]
   readonly profiles: readonly Profile[]
-  /** Profile that the model service runs under. */
+  /** Profile of the model service and the plain service. */
   readonly modelProfile: string
   readonly engineArgs?: readonly string[]
   readonly storeArgs?: readonly string[]
@@ -45,14 +45,14 @@
   readonly share: number
 }
 
-/** What the operators' command line printed. */
+/** Exit code and output of the operators' command line. */
 export interface CommandOutput {
   readonly code: number
   readonly stdout: string
   readonly stderr: string
 }
 
-/** Longest wait for a condition, in milliseconds. */
+/** Default timeout for a condition, in milliseconds. */
 const CONDITION_TIMEOUT_MS = 20_000
 
 /** Starts, drives and stops a cluster. */
@@ -71,7 +71,7 @@
   /**
    * Starts all processes and applies the configuration.
    *
-   * @param plan - shape of the cluster
+   * @param plan - plan of the cluster
    * @returns the running cluster
    */
   static async start (plan: ClusterPlan): Promise<Cluster> {
@@ -97,8 +97,8 @@
   }
 
   /**
-   * @param index - entry host
-   * @returns its URL for callers
+   * @param index - index of an entry host
+   * @returns the URL for its callers
    */
   entryUrl (index: number): string {
     return `http://${this.entries[index]?.addresses.http ?? ''}`
@@ -112,7 +112,7 @@
     return await start('entry', args)
   }
 
-  /** @returns all documents of the plan with the addresses in use */
+  /** @returns all configuration documents of the plan, with the addresses of the running processes */
   documents (): ConfigurationDocument[] {
     const { plan } = this
     return [
@@ -157,8 +157,8 @@
   /**
    * Applies documents through the operators' command line and waits until they are in force.
    *
-   * @param documents - what to apply; all of the plan's by default
-   * @returns what the command printed
+   * @param documents - documents to apply, by default all documents of the plan
+   * @returns the output of the command
    */
   async applyAll (documents: readonly ConfigurationDocument[] = this.documents()): Promise<CommandOutput> {
     const file = join(this.folder, `configuration-${performance.now()}.yaml`)
@@ -172,7 +172,7 @@
    * Runs the operators' command line.
    *
    * @param args - command and options
-   * @returns what it printed
+   * @returns the output of the command
    */
   async command (args: readonly string[]): Promise<CommandOutput> {
     const child = spawn(process.execPath, [programPath('eelgrassmux'), ...args], {
@@ -199,11 +199,11 @@
   }
 
   /**
-   * Reads one metric of a member, summed over its labels that match.
+   * Reads a metric of a member, summed over its labels.
    *
-   * @param member - which process
-   * @param name - metric name, optionally with the start of a label list
-   * @returns the sum, 0 if it is not there
+   * @param member - process to read from
+   * @param name - metric name
+   * @returns the sum; 0 if the metric does not exist
    */
   async metric (member: ClusterMember, name: string): Promise<number> {
     const response = await request(`http://${member.addresses.admin}/metrics`)
@@ -215,7 +215,7 @@
   /**
    * Reads the product's counters of several members, summed for each label value.
    *
-   * @param members - which processes
+   * @param members - processes to read from
    * @returns counts by metric and label
    */
   async counters (members: readonly ClusterMember[]): Promise<Map<string, number>> {
@@ -231,10 +231,10 @@
   }
 
   /**
-   * Restarts a member with its addresses.
+   * Restarts a member with the same addresses.
    *
-   * @param member - a stopped member
-   * @param extraArgs - arguments that differ from the first start
+   * @param member - stopped member
+   * @param extraArgs - additional arguments, used for stand-ins only
    */
   async restart (member: ClusterMember, extraArgs: readonly string[] = []): Promise<void> {
     const portFlags = Object.entries({ rpc: '--port', http: '--port', peer: '--peer-port', admin: '--admin-port' })
@@ -244,7 +244,7 @@
     member.addresses = started.addresses
   }
 
-  /** Ends every process and removes the folder. */
+  /** Kills all processes and removes the folder of the cluster. */
   async stop (): Promise<void> {
     const daemons = [...this.entries, ...this.directories, ...this.controls]
     const standins = [...this.engines, ...this.stores, ...this.services, this.weights, this.members]
@@ -271,9 +271,9 @@
   }
 
   /**
-   * Starts one more control host; the first founds the group, others join it.
+   * Starts another control host. The first one founds the group; the others join it.
    *
-   * @param index - decides data centre and data folder
+   * @param index - index that selects the data centre and the data folder
    */
   async addControl (index: number): Promise<void> {
     const founding = index === 0 ? ['--bootstrap', 'true'] : ['--join', this.controlAddresses]
@@ -286,7 +286,7 @@
   }
 }
 
-/** Directory shards of every cluster here. */
+/** Number of directory shards in each cluster. */
 const SHARDS = 8
 
 async function start (program: ManagedProcess['program'], args: readonly string[]): Promise<ClusterMember> {
@@ -300,8 +300,8 @@
 /**
  * Waits until a condition holds.
  *
- * @param condition - asked again and again; a rejection counts as no
- * @param timeoutMs - longest wait, in milliseconds
+ * @param condition - polled repeatedly; a rejection counts as false
+ * @param timeoutMs - timeout in milliseconds
  */
 export async function waitUntil (condition: () => Promise<boolean>, timeoutMs = CONDITION_TIMEOUT_MS): Promise<void> {
   const deadline = performance.now() + timeoutMs
--- a/apps/bench/src/lib/ManagedProcess.ts
+++ b/apps/bench/src/lib/ManagedProcess.ts
@@ -1,41 +1,41 @@
-/** A child process of a script: started, listened to, stopped. Only scripts start processes; daemons never do. */
+/** Starts, monitors and stops child processes of scripts. Only scripts start processes; daemons never do. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
 import { createWriteStream, type WriteStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { fileURLToPath } from 'node:url'
 
-/** Programs of the workspace. */
+/** Programs of the workspace that can be started. */
 export type ProgramName = 'entry' | 'directory' | 'control' | 'standin' | 'eelgrassmux' | 'load'
 
-/** What a script may want of a process beyond its addresses. */
+/** Options of a managed process. */
 export interface ProcessOptions {
-  /** Takes all that the process prints. */
+  /** File that receives all output of the process. */
   readonly logFile?: string
-  /** Told of each line on standard output. */
+  /** Called with each line of standard output. */
   readonly onLine?: (line: string) => void
-  /** Added to this script's environment. */
+  /** Variables added to the script's own environment. */
   readonly environment?: Readonly<Record<string, string>>
 }
 
-/** Addresses that a process printed, by what they serve. */
+/** Addresses that a process printed when it began to listen, by interface name. */
 export type PrintedAddresses = Readonly<Record<string, string>>
 
 /** Exit code of a script that was interrupted. */
 const EXIT_INTERRUPTED = 130
 
-/** Longest wait for the line that says where a process listens, in milliseconds. */
+/** Timeout for the line in which a process prints its addresses, in milliseconds. */
 const START_TIMEOUT_MS = 20_000
 
 /**
- * @param program - which program
+ * @param program - program name, or URL of a main module
  * @returns path of its main module
  */
 export function programPath (program: ProgramName | URL): string {
   return fileURLToPath(program instanceof URL ? program : new URL(`../../../${program}/dist/main.js`, import.meta.url))
 }
 
-/** Processes that must not outlive this script, however it ends. */
+/** Child processes that are killed when this script exits for any reason. */
 const runningChildren = new Set<ChildProcess>()
 
 process.once('exit', () => {
@@ -45,7 +45,7 @@
   process.once(signal, () => { process.exit(EXIT_INTERRUPTED) })
 }
 
-/** One running program. */
+/** A child process of a script. */
 export class ManagedProcess {
   readonly #child: ChildProcess
   readonly #exit: Promise<number | null>
@@ -70,9 +70,9 @@
   /**
    * Starts a program and waits until it listens.
    *
-   * @param program - which program
-   * @param args - its arguments
-   * @param options - what else to do with it
+   * @param program - program name, or URL of a main module
+   * @param args - command-line arguments
+   * @param options - log file, line listener and environment
    * @returns the process and its addresses
    */
   static async start (
@@ -85,30 +85,30 @@
 
   get pid (): number { return this.#child.pid ?? 0 }
   get isRunning (): boolean { return this.#child.exitCode === null && this.#child.signalCode === null }
-  /** Last lines of the error output. */
+  /** The last 4000 characters of standard error. */
   get stderrTail (): string { return this.#stderrTail }
 
   /**
-   * Sends a signal to this process.
+   * Sends a signal to the process.
    *
-   * @param signal - which one
+   * @param signal - signal to send
    */
   signal (signal: NodeJS.Signals): void {
     this.#child.kill(signal)
   }
 
-  /** @returns the exit code, once the process has ended; null if a signal ended it */
+  /** @returns the exit code once the process has exited; null if a signal ended it */
   async exited (): Promise<number | null> {
     return await this.#exit
   }
 
-  /** Asks the process to stop and waits for its end. */
+  /** Sends SIGTERM and waits until the process has exited. */
   async stop (): Promise<number | null> {
     if (this.isRunning) this.signal('SIGTERM')
     return await this.exited()
   }
 
-  /** Ends the process at once and waits for its end. */
+  /** Sends SIGKILL and waits until the process has exited. */
   async kill (): Promise<void> {
     if (this.isRunning) this.signal('SIGKILL')
     await this.exited()
@@ -116,10 +116,10 @@
 
   async #waitUntilListening (): Promise<PrintedAddresses> {
     const stdout = this.#child.stdout
-    if (stdout === null) throw new Error('no standard output')
+    if (stdout === null) throw new Error('the child process has no standard output')
     const lines = createInterface({ input: stdout })
     return await new Promise((resolve, reject) => {
-      const timer = setTimeout(() => { reject(new Error(`${String(this.program)} did not listen in time: ${this.#stderrTail}`)) }, START_TIMEOUT_MS)
+      const timer = setTimeout(() => { reject(new Error(`${String(this.program)} did not start listening in time: ${this.#stderrTail}`)) }, START_TIMEOUT_MS)
       lines.on('line', line => {
         this.#log?.write(`${line}\n`)
         this.options.onLine?.(line)
@@ -130,7 +130,7 @@
       })
       void this.#exit.then(code => {
         clearTimeout(timer)
-        reject(new Error(`${String(this.program)} ended with ${code ?? 'a signal'}: ${this.#stderrTail}`))
+        reject(new Error(`${String(this.program)} exited with ${code ?? 'a signal'}: ${this.#stderrTail}`))
       })
     })
   }
--- a/apps/bench/src/lib/measure/faults.ts
+++ b/apps/bench/src/lib/measure/faults.ts
@@ -1,22 +1,21 @@
-/** Faults brought about in a running cluster, and mended a while later. */
+/** Injects faults into a running cluster and repairs them after a while. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import type { Cluster, ClusterMember } from '../Cluster.js'
 
-/** Names of the faults. */
 export const FAULT_NAMES = ['store-dies', 'store-full', 'slow-link', 'engine-restarts', 'entry-killed', 'control-cut-off'] as const
 
 /** @public */
 export type FaultName = typeof FAULT_NAMES[number]
 
-/** How long a fault lasts where it has an end, in milliseconds. */
+/** Duration of faults that are repaired, in milliseconds. */
 const FAULT_DURATION_MS = 4000
 
 /**
- * Brings a fault about and mends it.
+ * Injects a fault and, if it is not permanent, repairs it.
  *
- * @param cluster - where
- * @param fault - which
+ * @param cluster - running cluster
+ * @param fault - fault to inject
  */
 export async function injectFault (cluster: Cluster, fault: FaultName): Promise<void> {
   switch (fault) {
--- a/apps/bench/src/lib/measure/fit.ts
+++ b/apps/bench/src/lib/measure/fit.ts
@@ -1,24 +1,23 @@
-/** Straight lines through measured points. */
+/** Least-squares fits and percentiles of measured values. */
 
-/** A measured point. */
 export interface Point {
   readonly size: number
   readonly value: number
 }
 
-/** A straight line and how well it fits. */
+/** A fitted line and the quality of the fit. */
 export interface Line {
   readonly intercept: number
   readonly slope: number
-  /** Share of the variance that the line explains, 0 to 1. */
+  /** Coefficient of determination, R², from 0 to 1. */
   readonly fit: number
 }
 
 /**
  * Fits a line by least squares.
  *
- * @param points - at least two sizes
- * @returns the line
+ * @param points - points with at least two different sizes
+ * @returns the fitted line
  */
 export function fitLine (points: readonly Point[]): Line {
   const count = points.length
@@ -34,8 +33,8 @@
 }
 
 /**
- * @param values - at least one
- * @returns the middle one
+ * @param values - non-empty list
+ * @returns the median; of an even number of values, the upper of the two middle ones
  */
 export function median (values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right)
@@ -43,9 +42,9 @@
 }
 
 /**
- * @param values - at least one
- * @param share - from 0 to 1
- * @returns the value below which that share lies
+ * @param values - non-empty list
+ * @param share - percentile as a share from 0 to 1
+ * @returns the value at that percentile
  */
 export function percentile (values: readonly number[], share: number): number {
   const sorted = [...values].sort((left, right) => left - right)
--- a/apps/bench/src/lib/measure/measureControl.ts
+++ b/apps/bench/src/lib/measure/measureControl.ts
@@ -1,4 +1,4 @@
-/** Control hosts: commits, time without a leader, time to be in force, cost of watchers. */
+/** Measures control hosts: commits, time without a leader, propagation of changes and cost of watchers. */
 import { randomUUID } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { listHosts, propose, watchView } from '@eelgrassmux/rpc/methods/controlMethods'
@@ -14,13 +14,13 @@
 const WATCHERS = 100
 const WATCH_WINDOW_MS = 4000
 
-/** Deadline of calls, in milliseconds. */
+/** Timeout of calls, in milliseconds. */
 const CALL_TIMEOUT_MS = 5000
 
 /**
  * Measures a cluster of three control hosts and eight entry hosts.
  *
- * @param print - takes each line of the report
+ * @param print - prints a line of the report
  */
 export async function measureControl (print: (line: string) => void): Promise<void> {
   const cluster = await Cluster.start({
@@ -49,7 +49,7 @@
 
 /**
  * @param cluster - running cluster
- * @returns the control host that leads
+ * @returns the leading control host
  */
 export async function findLeader (cluster: Cluster): Promise<ClusterMember> {
   let leader: ClusterMember | undefined
@@ -59,13 +59,11 @@
     }
     return leader !== undefined
   })
-  if (leader === undefined) throw new Error('no leader')
+  if (leader === undefined) throw new Error('the control hosts have no leader')
   return leader
 }
 
-/**
- * @returns a claim under a key of its own
- */
+/** @returns a claim with a new idempotency key */
 export function createClaim (): Command {
   const id = randomUUID()
   return { kind: 'claim', record: { customer: 'ward', service: 'accounts', idempotencyKey: id }, bodySha256: id, claimId: id, deadlineAt: Date.now() }
--- a/apps/bench/src/lib/measure/measureHeap.ts
+++ b/apps/bench/src/lib/measure/measureHeap.ts
@@ -1,10 +1,10 @@
-/** Memory that objects take; needs a process with `--expose-gc`. */
+/** Measures the memory of objects; needs a process started with `--expose-gc`. */
 import type { Point } from './fit.js'
 
 /**
- * @param sizes - of what is built
- * @param build - builds it
- * @returns bytes that each takes
+ * @param sizes - sizes to measure
+ * @param build - builds an object of a size
+ * @returns bytes of memory that the object takes at each size
  */
 export function measureHeap (sizes: readonly number[], build: (size: number) => object): Point[] {
   return sizes.map(size => {
@@ -18,7 +18,7 @@
 
 function heapUsed (): number {
   const { gc } = globalThis
-  if (gc === undefined) throw new Error('run with --expose-gc')
+  if (gc === undefined) throw new Error('measuring memory needs node --expose-gc')
   gc()
   gc()
   const { heapUsed: heap, external } = process.memoryUsage()
--- a/apps/bench/src/lib/measure/measureOverhead.ts
+++ b/apps/bench/src/lib/measure/measureOverhead.ts
@@ -1,4 +1,4 @@
-/** What the entry host adds between a caller and a stand-in engine, in the same run. */
+/** Measures the latency and processor time that the entry host adds, compared to direct calls of a stand-in engine in the same run. */
 import { request } from 'undici'
 import { streamCompletion } from '@eelgrassmux/load/completionStream'
 import { Cluster } from '../Cluster.js'
@@ -9,10 +9,10 @@
 const ANSWER_TOKENS = 60
 const ROUNDS = 3
 
-/** Prompts below one block: no cache, no prefill worth mentioning. */
+/** A prompt shorter than one block, so that it is not cached and its prefill time is negligible. */
 const PROMPT = 'tag this leg'
 
-/** Requests of one round arrive over this time, in milliseconds. */
+/** Time over which the requests of one round are spread, in milliseconds. */
 const ARRIVAL_WINDOW_MS = 1000
 
 interface StreamTiming {
@@ -20,9 +20,9 @@
 }
 
 /**
- * Measures streams straight at a stand-in engine and through an entry host, in turn.
+ * Measures streams, in alternating rounds, directly from a stand-in engine and through an entry host.
  *
- * @param print - takes each line of the report
+ * @param print - prints a line of the report
  */
 export async function measureOverhead (print: (line: string) => void): Promise<void> {
   const cluster = await Cluster.start({
--- a/apps/bench/src/lib/measure/measurePolicies.ts
+++ b/apps/bench/src/lib/measure/measurePolicies.ts
@@ -1,4 +1,4 @@
-/** Replays the same trace under the product's policy and the baselines. */
+/** Replays the same trace under the product's placement policy and under the baselines. */
 import { spawn } from 'node:child_process'
 import { once } from 'node:events'
 import { writeFile } from 'node:fs/promises'
@@ -12,10 +12,9 @@
 import { LSCSA_PROFILE, TMTS_PROFILE } from '../profiles.js'
 import { injectFault, type FaultName } from './faults.js'
 
-/** Profiles that can be measured. */
 export type ProfileName = 'tmts' | 'lscsa'
 
-/** What to measure. */
+/** Options of a comparison of policies. */
 export interface PolicyMeasurement {
   readonly seconds: number
   readonly requestsPerSecond: number
@@ -25,11 +24,11 @@
   readonly policies: readonly PlacementPolicyName[]
 }
 
-/** Measures of one policy. */
+/** Measured values of one policy. */
 export interface PolicyResult extends ReplayResult {
   readonly policy: PlacementPolicyName
   readonly linkBytes: number
-  /** The daemons' counters by metric and label. */
+  /** Counters of the daemons by metric and label. */
   readonly counters: ReadonlyMap<string, number>
 }
 
@@ -37,18 +36,18 @@
   name: `customer-${index}`, credential: `credential-of-customer-${index}`, share: 1
 }))
 
-/** Stand-ins of the size of the smaller site, with caches that hold far less than the trace needs. */
+/** As many stand-in engines as the smaller site has, with caches far smaller than the working set of the trace. */
 const ENGINES = 8
 const ENGINE_ARGS = ['--cache-blocks', '150', '--prefill-tokens-per-ms', '8', '--decode-ms', '10', '--max-running', '16']
 const STORE_ARGS = ['--memory-bytes', String(48 * 1024 * 1024), '--disk-bytes', String(96 * 1024 * 1024)]
 const LINK_BYTES_PER_SECOND = 20 * 1024 * 1024
 
 /**
- * Measures each policy on a cluster of its own.
+ * Measures each policy on a separate cluster.
  *
- * @param measurement - what to measure
- * @param onResult - told of each result
- * @returns all results, the product's own first
+ * @param measurement - options of the comparison
+ * @param onResult - called with the result of each policy
+ * @returns all results, starting with that of the product's policy
  */
 export async function measurePolicies (measurement: PolicyMeasurement, onResult: (result: PolicyResult) => void): Promise<PolicyResult[]> {
   const trace = makeTrace({
@@ -115,8 +114,8 @@
 }
 
 /**
- * @param result - measures of one policy
- * @returns its line of the report
+ * @param result - measured values of one policy
+ * @returns the report line of the policy
  */
 export function describeResult (result: PolicyResult): string {
   const { policy, ttftP50Ms, ttftP95Ms, recomputedShare, linkBytes, refused, wrong } = result
@@ -125,8 +124,8 @@
 }
 
 /**
- * @param results - the product's own first
- * @returns lines that compare each baseline to it
+ * @param results - results, starting with that of the product's policy
+ * @returns report lines with the ratio of the first result to each baseline
  */
 export function describeRatios (results: readonly PolicyResult[]): string[] {
   const [own, ...baselines] = results
--- a/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
+++ b/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
@@ -1,4 +1,4 @@
-/** What it costs to find and quarantine requests that crash endpoints. */
+/** Measures the cost of detecting and quarantining requests that crash endpoints. */
 import { randomBytes } from 'node:crypto'
 import { quarantineMessage } from '@eelgrassmux/control/quarantine/quarantineMessage'
 import { CrashEvidence } from '@eelgrassmux/routing/quarantine/CrashEvidence'
@@ -12,20 +12,20 @@
 import { measureHeap } from './measureHeap.js'
 import { slopeReport } from './slopeReport.js'
 
-/** Requests at each endpoint that ends, the most that the correlator keeps. */
+/** Requests running on each endpoint that crashes; the correlator keeps at most this many. */
 const REQUESTS_PER_CRASH = 256
 
-/** Repeats of what takes too short to be timed once. */
+/** Repetitions of work that is too short to be timed once. */
 const REPEATS = 200
 
-/** One in so many losses is of a request that was lost before; this many different ones are. */
+/** Every how many losses a repeated request is lost, and the range that the fingerprints of these requests are taken from. */
 const REPEAT_INTERVAL = 20
 const REPEATED_FINGERPRINT_RANGE = 640
 
-/** Ends lie this far apart, in milliseconds, so that each is an occasion of its own. */
+/** Interval between crashes, in milliseconds, so that the correlator counts each one separately. */
 const CRASH_INTERVAL_MS = 1000
 
-/** @param print - takes each line of the report */
+/** @param print - prints a line of the report */
 export function measureQuarantineSlopes (print: (line: string) => void): void {
   const report = slopeReport(print)
   const sizes = [2000, 8000, 32_000]
@@ -48,7 +48,7 @@
   return number.toString(16).padStart(32, '0')
 }
 
-/** Strings of their own, as they come out of a message. */
+/** Returns a new string each time, because decoded messages do not share strings either. */
 function randomFingerprint (): string {
   return randomBytes(16).toString('hex')
 }
@@ -57,7 +57,7 @@
   const correlator = new CrashCorrelator()
   for (let loss = 0; loss < size; loss += 1) {
     const end = Math.floor(loss / REQUESTS_PER_CRASH)
-    // One in twenty was lost before, as requests are that were repeated.
+    // One loss in twenty is of a repeated request, which was lost before.
     const fingerprint = loss % REPEAT_INTERVAL === 0 ? fingerprintOf(loss % REPEATED_FINGERPRINT_RANGE) : randomFingerprint()
     correlator.observe({ fingerprint, service: 'pool', endpoint: `i-${end.toString(16).padStart(10, '0')}`, agoMs: 0, ranMs: 100 }, end * CRASH_INTERVAL_MS)
   }
@@ -93,7 +93,7 @@
 
 function timeWork (sizes: readonly number[], work: (size: number) => void): Point[] {
   return sizes.map(size => {
-    // Once before, so that compiled code is measured.
+    // Warms up the code, so that compiled code is measured.
     work(size)
     const startedAt = performance.now()
     work(size)
--- a/apps/bench/src/lib/measure/measureSlopes.ts
+++ b/apps/bench/src/lib/measure/measureSlopes.ts
@@ -1,4 +1,4 @@
-/** Slopes that docs/CAPACITY.md is worked out from: each at three sizes or more, with its fit. */
+/** Measures the slopes that the calculations in docs/CAPACITY.md use, each at three or more sizes and with its fit. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { randomUUID } from 'node:crypto'
 import { DEFAULT_SHARD_SETTINGS, DirectoryShard } from '@eelgrassmux/cache/DirectoryShard'
@@ -21,7 +21,7 @@
 import { measureQuarantineSlopes } from './measureQuarantineSlopes.js'
 import { slopeReport, type SlopeReporter } from './slopeReport.js'
 
-/** Time over which processor time is measured, in milliseconds. */
+/** Duration of each measurement of processor time, in milliseconds. */
 const WINDOW_MS = 4000
 
 const CALL_TIMEOUT_MS = 5000
@@ -29,7 +29,7 @@
 /**
  * Measures all slopes.
  *
- * @param print - takes each line of the report
+ * @param print - prints a line of the report
  */
 export async function measureSlopes (print: (line: string) => void): Promise<void> {
   const report = slopeReport(print)
@@ -162,11 +162,11 @@
 
 function firstMember (members: readonly ClusterMember[]): ClusterMember {
   const member = members[0]
-  if (member === undefined) throw new Error('no such member')
+  if (member === undefined) throw new Error('the cluster has no member of this kind')
   return member
 }
 
-/** Processor seconds a second at several rates of a call. */
+/** Measures the processor seconds used per second at several call rates. */
 async function processorTime (cluster: Cluster, member: ClusterMember, rates: readonly number[], call: () => Promise<void>): Promise<Point[]> {
   const points: Point[] = []
   for (const rate of rates) {
--- a/apps/bench/src/lib/measure/slopeReport.ts
+++ b/apps/bench/src/lib/measure/slopeReport.ts
@@ -1,10 +1,13 @@
-/** One line for each slope, with its fit and the points behind it. */
+/** Prints one line for each slope, with its fit and the measured points. */
 import { fitLine, type Point } from './fit.js'
 
-/** Takes a slope that was measured. */
+/** Reports a measured slope. */
 export type SlopeReporter = (name: string, unit: string, points: readonly Point[]) => void
 
-/** @param print - takes each line */
+/**
+ * @param print - prints a line of the report
+ * @returns a function that fits and prints a slope
+ */
 export function slopeReport (print: (line: string) => void): SlopeReporter {
   return (name, unit, points) => {
     const { slope, intercept, fit } = fitLine(points)
--- a/apps/bench/src/lib/postOnce.ts
+++ b/apps/bench/src/lib/postOnce.ts
@@ -1,15 +1,15 @@
-/** A caller of plain services for scripts and tests. */
+/** Calls plain services from scripts and tests. */
 import { request } from 'undici'
 
 /**
- * Posts to a plain service.
+ * Posts to a plain service with an idempotency key.
  *
- * @param url - entry host
- * @param credential - caller's credential
- * @param path - below `/services`
+ * @param url - URL of an entry host
+ * @param credential - credential of the caller
+ * @param path - path below `/services`
  * @param body - JSON body
  * @param key - idempotency key
- * @returns status, body and whether the answer was a stored one
+ * @returns status, body and whether the answer is a stored one
  */
 export async function postOnce (url: string, credential: string, path: string, body: object, key: string): Promise<{ status: number, body: string, isRepeat: boolean }> {
   const response = await request(`${url}/services/${path}`, {
--- a/apps/bench/src/lib/profiles.ts
+++ b/apps/bench/src/lib/profiles.ts
@@ -1,11 +1,11 @@
-/** Profiles of the two users, as shipped in the examples. */
+/** The profiles of the two users, as in the shipped examples. */
 import type { Profile } from '@eelgrassmux/schema/configuration'
 
-/** Time to first token first. */
+/** Gives priority to a short time to the first token. */
 export const TMTS_PROFILE: Profile = {
   kind: 'profile',
   name: 'tmts',
-  // A token computed keeps others waiting too: at 8 tokens a millisecond this counts it twice more.
+  // Computing a token also delays other requests: at 8 tokens per millisecond, this weight counts its time two more times.
   weights: { firstTokenMillisecond: 1, recomputedToken: 0.25, linkKilobyte: 0.0005 },
   deadlineMs: 30_000,
   firstTokenLimitMs: 5000,
@@ -17,7 +17,7 @@
   priority: 5
 }
 
-/** Recomputed share and link use first. */
+/** Gives priority to little recomputation and low link use. */
 export const LSCSA_PROFILE: Profile = {
   kind: 'profile',
   name: 'lscsa',
--- a/apps/bench/src/lib/prove/Simulation.ts
+++ b/apps/bench/src/lib/prove/Simulation.ts
@@ -84,8 +84,8 @@
   /**
    * Decides whether to inject a fault now, and counts it.
    *
-   * @param fault - which fault
-   * @param probability - how often, if this kind is on
+   * @param fault - kind of fault
+   * @param probability - probability of the fault if its kind is enabled
    */
   drawFault (fault: FaultKind, probability: number): boolean {
     // Draws the random number in any case, so that disabling a kind leaves the rest of the schedule unchanged.
--- a/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
@@ -171,7 +171,7 @@
     for (const watcher of directory.watchers) watcher.requestListing()
   }
 
-  /** Deletes objects that readers may still lease; the disabled mechanism would wait for these leases. */
+  /** Deletes objects on which readers may still hold leases; the disabled mechanism would wait for these leases to end. */
   #deleteWithoutWaiting (directory: SimulatedDirectory): void {
     const { shard } = directory
     if (shard === undefined) return
--- a/apps/bench/src/lib/prove/worlds/EvacuationWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/EvacuationWorld.ts
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Delivers a copy of the order late, like a frozen host or a cut link that delivers it after another path has had it acknowledged. */
+  /** Delivers a copy of the order late, as a thawed host or a restored link does after the order was acknowledged through other replicas. */
   #sendLateCopy (command: Command): void {
     if (!this.simulation.chance(0.4)) return
     this.simulation.schedule(this.simulation.random() * MAX_COPY_DELAY_MS, () => {
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
@@ -108,7 +108,7 @@
     }
     for (const leader of this.#replicas) this.#decisionLoop(leader)
     this.#trafficLoop()
-    // This request runs on most endpoints at any time, so that it takes part in most crashes without causing them.
+    // This request runs on most endpoints at any time, so that most crashes interrupt it although it causes none of them.
     this.#repeatLoop(this.#newRequest(false, 100, 400), 5, 20)
     for (let index = 0; index < this.shape.poison; index += 1) this.#repeatLoop(this.#newRequest(true, 20, 200), 200, 1500)
     this.#faultLoop()
--- a/apps/bench/src/measure.ts
+++ b/apps/bench/src/measure.ts
@@ -1,4 +1,4 @@
-/** `npm run measure`: what the users measure, for the product and its baselines. */
+/** `npm run measure`: takes the measurements that the users take, of the product and its baselines. */
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { PLACEMENT_POLICIES } from '@eelgrassmux/policy/placement/createPlacementPolicy'
 import { SQUEEZE } from '@eelgrassmux/load/trace'
@@ -20,8 +20,8 @@
 
   override async execute (): Promise<number> {
     const fault = FAULT_NAMES.find(name => name === this.fault)
-    if (this.fault !== undefined && fault === undefined) return this.#complain(`--fault must be one of ${FAULT_NAMES.join(', ')}`)
-    if (this.profile !== 'tmts' && this.profile !== 'lscsa') return this.#complain('--profile must be tmts or lscsa')
+    if (this.fault !== undefined && fault === undefined) return this.#printUsageError(`--fault must be one of ${FAULT_NAMES.join(', ')}`)
+    if (this.profile !== 'tmts' && this.profile !== 'lscsa') return this.#printUsageError('--profile must be tmts or lscsa')
     const profile: ProfileName = this.profile
     const wanted = this.policies.split(',')
     const policies = PLACEMENT_POLICIES.filter(name => wanted.includes(name))
@@ -37,7 +37,7 @@
     return results.every(result => result.wrong === 0) ? 0 : 1
   }
 
-  #complain (line: string): number {
+  #printUsageError (line: string): number {
     this.context.stderr.write(`${line}\n`)
     return 2
   }
--- a/apps/bench/src/poisonPrompt.test.ts
+++ b/apps/bench/src/poisonPrompt.test.ts
@@ -10,13 +10,13 @@
 const POISON_TEXT = 'ends the engine'
 const POISON_PROMPT = `history that ${POISON_TEXT} `.repeat(20)
 
-/** Enough for the prompt to end some more than it takes to know it. */
+/** More engines than the prompt crashes before it is detected. */
 const ENGINES = 6
 
-/** Repeats of the prompt, each of which may be tried on several engines. */
+/** Number of calls with the prompt, each of which may be attempted on several engines. */
 const REPEATS = 8
 
-/** Pause of a caller that asks again, in milliseconds. */
+/** Delay before the caller repeats the prompt, in milliseconds. */
 const PAUSE_MS = 1500
 
 const PLAN = {
@@ -34,8 +34,9 @@
 }
 
 /**
- * The completions interface repeats what is lost on the next engine by itself, so that one call ends as many engines
- * as its profile allows attempts, and its caller's next call as many again: failures were counted against engines only.
+ * Guards against a prompt that crashes all engines. The completions interface retries a lost run on another engine,
+ * so one call crashes as many engines as its profile allows attempts, and each repeat of the call crashes as many
+ * again. This happened when failures were counted only for engines and not for prompts.
  */
 describe('a prompt that ends every engine that runs it', () => {
   let cluster: Cluster
--- a/apps/bench/src/processes.test.ts
+++ b/apps/bench/src/processes.test.ts
@@ -1,4 +1,4 @@
-/** Failures brought about in real processes. */
+/** Tests the behaviour of a cluster of real processes under injected failures. */
 import { rm } from 'node:fs/promises'
 import { join } from 'node:path'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -110,15 +110,15 @@
   describe('runs', () => {
     it('go on after a lost connection, through another entry host, for their customer only', async () => {
       const text = prompt('a lost connection')
-      const gone = new AbortController()
-      const first = streamCompletion(call(0, text), gone.signal)
+      const connectionAbort = new AbortController()
+      const first = streamCompletion(call(0, text), connectionAbort.signal)
       await sleep(400)
-      gone.abort()
+      connectionAbort.abort()
       const part = await first
       expect(part.isDone).toBe(false)
       expect(part.tokens).toBeGreaterThan(0)
-      const stranger = await resumeCompletion(cluster.entryUrl(1), CLINIC.credential, part.runId, part.tokens)
-      expect(stranger.status).toBe(404)
+      const otherCustomer = await resumeCompletion(cluster.entryUrl(1), CLINIC.credential, part.runId, part.tokens)
+      expect(otherCustomer.status).toBe(404)
       const rest = await resumeCompletion(cluster.entryUrl(1), WARD.credential, part.runId, part.tokens)
       expect(isWhole({ ...rest, text: part.text + rest.text, version: part.version }, text, 40)).toBe(true)
     })
@@ -169,7 +169,7 @@
         const { stdout } = await cluster.command(['members'])
         return stdout.includes(`voter ${lost.addresses.replicaId ?? ''}`) && !stdout.includes(oldId)
       })
-      // A second host lost right after the repair.
+      // Loses a second host right after the first one is replaced.
       const second = member(cluster.controls, 0)
       await second.process.kill()
       const shown = await cluster.command(['show'])
@@ -237,17 +237,17 @@
 
   describe('orders', () => {
     it('bring all engines to a new version, at most two at once, without mixing versions', async () => {
-      const ending = new AbortController()
+      const trafficAbort = new AbortController()
       const answers: Array<{ text: string, answer: StreamedAnswer }> = []
       const traffic = [0, 1, 2].map(async entry => {
-        for (let turn = 0; !ending.signal.aborted; turn += 1) {
+        for (let turn = 0; !trafficAbort.signal.aborted; turn += 1) {
           const text = prompt(`rollout ${entry} ${turn}`)
           answers.push({ text, answer: await streamCompletion(call(entry, text, 8)) })
         }
       })
       await cluster.applyAll([{ kind: 'model', name: 'base', version: 'v2', servingFloor: 1 }])
       await waitUntil(async () => !(await cluster.command(['orders'])).stdout.includes('runs v1'))
-      ending.abort()
+      trafficAbort.abort()
       await Promise.all(traffic)
       const versions = new Set(answers.map(({ answer }) => answer.version))
       expect(answers.filter(({ text, answer }) => !isWhole(answer, text, 8))).toEqual([])
@@ -260,20 +260,20 @@
   describe('planned stops', () => {
     it('cut off no stream in a rolling restart of every entry host', async () => {
       const ending = new AbortController()
-      let whole = 0
-      const broken: StreamedAnswer[] = []
+      let wholeAnswers = 0
+      const brokenAnswers: StreamedAnswer[] = []
       const ready = (entry: ClusterMember): Promise<boolean> =>
         request(`http://${entry.addresses.admin}/readyz`).then(response => response.statusCode === 200, () => false)
       const callers = Array.from({ length: 12 }, async (_, caller) => {
         for (let turn = 0; !ending.signal.aborted; turn += 1) {
-          // As the balancer does: only hosts that are ready get new work.
+          // Sends new work only to hosts that are ready, as the balancer does.
           const states = await Promise.all(cluster.entries.map(ready))
           const targets = states.flatMap((isReady, index) => isReady ? [index] : [])
           const target = targets[(caller + turn) % targets.length] ?? 0
           const text = prompt(`rolling ${caller} ${turn}`)
           const answer = await streamCompletion(call(target, text, 30))
-          if (isWhole(answer, text, 30)) whole += 1
-          else broken.push(answer)
+          if (isWhole(answer, text, 30)) wholeAnswers += 1
+          else brokenAnswers.push(answer)
         }
       })
       for (const entry of cluster.entries) {
@@ -284,8 +284,8 @@
       }
       ending.abort()
       await Promise.all(callers)
-      expect(broken).toEqual([])
-      expect(whole).toBeGreaterThan(0)
+      expect(brokenAnswers).toEqual([])
+      expect(wholeAnswers).toBeGreaterThan(0)
     })
 
     it('hand shards and leadership over, and end with 0', async () => {
--- a/apps/bench/src/prove.ts
+++ b/apps/bench/src/prove.ts
@@ -1,4 +1,4 @@
-/** `npm run prove`: randomised runs over the cores; see docs/PROOFS.md. */
+/** `npm run prove`: randomised runs of the core classes under injected faults; see docs/PROOFS.md. */
 import { Cli, Command, Option, Builtins } from 'clipanion'
 import { PROMISES, type PromiseName } from './lib/prove/CheckRecorder.js'
 import { proveAll } from './lib/prove/proveAll.js'
--- a/apps/bench/src/slopes.ts
+++ b/apps/bench/src/slopes.ts
@@ -1,4 +1,4 @@
-/** `npm run slopes [-- quarantine]`: the slopes behind docs/CAPACITY.md, all of them or those of one part. */
+/** `npm run slopes [-- quarantine]`: measures the slopes that docs/CAPACITY.md uses, either all of them or only those of the quarantine. */
 import { measureQuarantineSlopes } from './lib/measure/measureQuarantineSlopes.js'
 import { measureSlopes } from './lib/measure/measureSlopes.js'
 
