--- a/apps/bench/src/demo.ts
+++ b/apps/bench/src/demo.ts
@@ -65,13 +65,13 @@
   const deposit = { account: 'T-204', cents: 5000 }
   const credential = CUSTOMERS[0]?.credential ?? ''
   const firstDeposit = await postOnce(cluster.entryUrl(0), credential, 'accounts/deposits', deposit, 'deposit-1')
-  const repeat = await postOnce(cluster.entryUrl(2), credential, 'accounts/deposits', deposit, 'deposit-1')
+  const repeatedDeposit = await postOnce(cluster.entryUrl(2), credential, 'accounts/deposits', deposit, 'deposit-1')
   const executions = await Promise.all(cluster.services.map(async member => {
     const counts = await (await request(`http://${member.addresses.http}/standin/executions`)).body.json() as Record<string, number>
     return counts[JSON.stringify(deposit)] ?? 0
   }))
   const runs = executions.reduce((sum, count) => sum + count, 0)
-  report('a deposit and its repeat', firstDeposit.status === 200 && repeat.isRepeat && repeat.body === firstDeposit.body && runs === 1, `${firstDeposit.body}, ran ${runs} time`)
+  report('a deposit and its repeat', firstDeposit.status === 200 && repeatedDeposit.isRepeat && repeatedDeposit.body === firstDeposit.body && runs === 1, `${firstDeposit.body}, ran ${runs} time`)
 
   await changeUnderTraffic(cluster)
 }
--- a/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
+++ b/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
@@ -56,10 +56,10 @@
 function buildCorrelator (size: number): CrashCorrelator {
   const correlator = new CrashCorrelator()
   for (let loss = 0; loss < size; loss += 1) {
-    const end = Math.floor(loss / REQUESTS_PER_CRASH)
+    const crash = Math.floor(loss / REQUESTS_PER_CRASH)
     // One loss in twenty is of a repeated request, which was lost before.
     const fingerprint = loss % REPEAT_INTERVAL === 0 ? fingerprintOf(loss % REPEATED_FINGERPRINT_RANGE) : randomFingerprint()
-    correlator.observe({ fingerprint, service: 'pool', endpoint: `i-${end.toString(16).padStart(10, '0')}`, agoMs: 0, ranMs: 100 }, end * CRASH_INTERVAL_MS)
+    correlator.observe({ fingerprint, service: 'pool', endpoint: `i-${crash.toString(16).padStart(10, '0')}`, agoMs: 0, ranMs: 100 }, crash * CRASH_INTERVAL_MS)
   }
   return correlator
 }
--- a/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
@@ -107,10 +107,10 @@
 
   #onApplied (replica: SimulatedReplica, entry: LogEntry): void {
     const digest = entry.kind === 'command' ? Buffer.from(entry.command).toString('base64') : `${entry.kind} of term ${entry.term}`
-    const present = this.#committed.get(entry.index)
-    this.recorder.check('configuration-never-reverts', present === undefined || present === digest,
+    const firstApplied = this.#committed.get(entry.index)
+    this.recorder.check('configuration-never-reverts', firstApplied === undefined || firstApplied === digest,
       () => `${replica.self.id} applied another entry at index ${entry.index}`)
-    if (present === undefined) this.#committed.set(entry.index, digest)
+    if (firstApplied === undefined) this.#committed.set(entry.index, digest)
     const view = replica.state.viewRevision
     if (!this.#acceptedAt.has(view)) this.#acceptedAt.set(view, this.simulation.now())
   }
--- a/apps/bench/src/lib/prove/worlds/FormationWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/FormationWorld.ts
@@ -214,12 +214,12 @@
     return 0
   }
 
-  #checkEnd (formation: Formation, kept: number): void {
+  #checkEnd (formation: Formation, keptVersion: number): void {
     const [first] = formation.acknowledged
     this.recorder.check('complete-before-commands', first !== undefined, () => `${formation.founder}: nothing was acknowledged, so the group never formed`)
     if (first === undefined) return
     const newest = Math.max(...formation.acknowledged)
-    this.recorder.check('complete-before-commands', kept >= newest,
-      () => `${formation.founder}: version ${newest} was acknowledged, three of five disks hold ${kept === 0 ? 'none that a quorum confirms' : kept}`)
+    this.recorder.check('complete-before-commands', keptVersion >= newest,
+      () => `${formation.founder}: version ${newest} was acknowledged, three of five disks hold ${keptVersion === 0 ? 'none that a quorum confirms' : keptVersion}`)
   }
 }
--- a/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/QuarantineWorld.ts
@@ -206,13 +206,13 @@
 
   #report (host: SimulatedHost, { replica, correlator }: SimulatedLeader): void {
     const { incarnation } = host
-    const ends = host.evidence.reports(this.simulation.now())
+    const crashReports = host.evidence.reports(this.simulation.now())
     const completed = [...host.completed]
     host.hasUnreported = false
     const leader = replica.self.id
     this.simulation.send(host.name, leader, () => {
       if (!replica.isAlive || replica.core.role !== 'leader') return
-      this.#observe(correlator, ends, completed, replica)
+      this.#observe(correlator, crashReports, completed, replica)
       this.simulation.send(leader, host.name, () => {
         if (host.incarnation !== incarnation) return
         host.reportedTo = leader
@@ -224,9 +224,9 @@
     host.reportedTo = undefined
   }
 
-  #observe (correlator: CrashCorrelator, ends: readonly CrashReport[], completed: readonly string[], replica: SimulatedReplica): void {
+  #observe (correlator: CrashCorrelator, crashReports: readonly CrashReport[], completed: readonly string[], replica: SimulatedReplica): void {
     const now = this.simulation.now()
-    for (const end of ends) correlator.observe(end, now)
+    for (const report of crashReports) correlator.observe(report, now)
     if (this.broken === 'bystanders-are-served') return
     const cleared = completed.flatMap((fingerprint): QuarantineDecision[] => {
       correlator.recordCompletion(fingerprint, now)
--- a/apps/bench/src/processes.test.ts
+++ b/apps/bench/src/processes.test.ts
@@ -135,10 +135,10 @@
     })
 
     it('end at once and free the engine when the caller does not come back', async () => {
-      const gone = new AbortController()
-      const first = streamCompletion(call(0, prompt('a caller that leaves'), 2000), gone.signal)
+      const connectionAbort = new AbortController()
+      const first = streamCompletion(call(0, prompt('a caller that leaves'), 2000), connectionAbort.signal)
       await sleep(400)
-      gone.abort()
+      connectionAbort.abort()
       await first
       await waitUntil(async () => await cluster.metric(member(cluster.entries, 0), 'eelgrassmux_runs_under_way') === 0)
     })
@@ -259,13 +259,13 @@
 
   describe('planned stops', () => {
     it('cut off no stream in a rolling restart of every entry host', async () => {
-      const ending = new AbortController()
+      const trafficAbort = new AbortController()
       let wholeAnswers = 0
       const brokenAnswers: StreamedAnswer[] = []
       const ready = (entry: ClusterMember): Promise<boolean> =>
         request(`http://${entry.addresses.admin}/readyz`).then(response => response.statusCode === 200, () => false)
       const callers = Array.from({ length: 12 }, async (_, caller) => {
-        for (let turn = 0; !ending.signal.aborted; turn += 1) {
+        for (let turn = 0; !trafficAbort.signal.aborted; turn += 1) {
           // Sends new work only to hosts that are ready, as the balancer does.
           const states = await Promise.all(cluster.entries.map(ready))
           const targets = states.flatMap((isReady, index) => isReady ? [index] : [])
@@ -282,7 +282,7 @@
         await cluster.restart(entry)
         await waitUntil(async () => await ready(entry))
       }
-      ending.abort()
+      trafficAbort.abort()
       await Promise.all(callers)
       expect(brokenAnswers).toEqual([])
       expect(wholeAnswers).toBeGreaterThan(0)
