--- a/apps/bench/src/lib/prove/proveAll.test.ts
+++ b/apps/bench/src/lib/prove/proveAll.test.ts
@@ -2,7 +2,7 @@
 import { PROMISES, type PromiseName } from './CheckRecorder.js'
 import { proveAll } from './proveAll.js'
 
-async function prove (options: { runs: number, seed: number, promise?: PromiseName, broken?: PromiseName, untilFound?: boolean }): Promise<{ code: number, lines: string[] }> {
+async function prove (options: { runs: number, seed: number, promise?: PromiseName, broken?: PromiseName, stopAtFirstViolation?: boolean }): Promise<{ code: number, lines: string[] }> {
   const lines: string[] = []
   const code = await proveAll({ seconds: 0, promise: undefined, broken: undefined, ...options }, line => { lines.push(line) })
   return { code, lines }
@@ -36,7 +36,7 @@
 
   describe('with a disabled mechanism', () => {
     it.each(PROMISES)('detects that %s is violated', async promise => {
-      const { code, lines } = await prove({ runs: 10, seed: 1, promise, broken: promise, untilFound: true })
+      const { code, lines } = await prove({ runs: 10, seed: 1, promise, broken: promise, stopAtFirstViolation: true })
       expect(lines.some(line => line.startsWith(`violation of ${promise}`))).toBe(true)
       expect(code).toBe(1)
     })
--- a/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/AgreementWorld.ts
@@ -92,7 +92,7 @@
   }
 
   #addReplica (self: Replica, disk: PersistentState): SimulatedReplica {
-    const mechanisms = { ...ALL_MECHANISMS, syncs: this.broken !== 'configuration-never-reverts' }
+    const mechanisms = { ...ALL_MECHANISMS, syncsBeforeEffects: this.broken !== 'configuration-never-reverts' }
     const replica = new SimulatedReplica(this.simulation, self, disk, mechanisms, {
       send: (from, to, message) => { this.#sendRaft(from, to, message) },
       applied: (applier, entry) => { this.#onApplied(applier, entry) }
--- a/apps/bench/src/lib/prove/worlds/FormationWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/FormationWorld.ts
@@ -86,7 +86,7 @@
   }
 
   #addReplica (formation: Formation, self: Replica): void {
-    const mechanisms = { ...ALL_MECHANISMS, minimumVoters: HOSTS, asksInStep: this.broken !== 'complete-before-commands' }
+    const mechanisms = { ...ALL_MECHANISMS, minimumVoters: HOSTS, checksVotersOnAppend: this.broken !== 'complete-before-commands' }
     formation.replicas.set(self.id, new SimulatedReplica(this.simulation, self, EMPTY_DISK, mechanisms, {
       send: (from, to, message) => {
         this.simulation.send(from.id, to.id, () => { formation.replicas.get(to.id)?.receive(message) })
