--- a/apps/bench/src/demo.ts
+++ b/apps/bench/src/demo.ts
@@ -6,7 +6,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import { streamCompletion, type CompletionCall, type StreamedAnswer } from '@eelgrassmux/load/completionStream'
-import { isWhole } from '@eelgrassmux/load/isWhole'
+import { isExpectedAnswer } from '@eelgrassmux/load/isExpectedAnswer'
 import { postOnce } from './lib/postOnce.js'
 import { Cluster, waitUntil } from './lib/Cluster.js'
 import { LSCSA_PROFILE, TMTS_PROFILE } from './lib/profiles.js'
@@ -44,7 +44,7 @@
 async function demonstrate (cluster: Cluster): Promise<void> {
   const prompt = promptOf('family 17', 12_000)
   const first = await streamCompletion(call(cluster, prompt))
-  report('first prompt', isWhole(first, prompt, ANSWER_TOKENS), `${first.tokens} tokens, ${recomputed(first)}`)
+  report('first prompt', isExpectedAnswer(first, prompt, ANSWER_TOKENS), `${first.tokens} tokens, ${recomputed(first)}`)
 
   const published = async (): Promise<boolean> => {
     const objects = await Promise.all(cluster.directories.map(async member => await cluster.metric(member, 'eelgrassmux_directory_objects')))
@@ -54,13 +54,13 @@
   for (let other = 0; other < 14; other += 1) await streamCompletion(call(cluster, promptOf(`other family ${other}`, 12_000), other % 3))
   await sleep(600)
   const returned = await streamCompletion(call(cluster, prompt, 1))
-  report('same prompt after eviction, through another entry host', isWhole(returned, prompt, ANSWER_TOKENS) && returned.cachedTokens > returned.promptTokens / 2,
+  report('same prompt after eviction, through another entry host', isExpectedAnswer(returned, prompt, ANSWER_TOKENS) && returned.cachedTokens > returned.promptTokens / 2,
     recomputed(returned))
   const imports = await Promise.all(cluster.entries.map(async member => await cluster.metric(member, 'eelgrassmux_imports_total')))
   report('its blocks came from a store', imports.some(count => count > 0), `${imports.reduce((sum, count) => sum + count, 0)} imports`)
 
   const otherCustomer = await streamCompletion(call(cluster, prompt, 0, 1))
-  report('the same text from another customer shares nothing', otherCustomer.cachedTokens === 0 && isWhole(otherCustomer, prompt, ANSWER_TOKENS), recomputed(otherCustomer))
+  report('the same text from another customer shares nothing', otherCustomer.cachedTokens === 0 && isExpectedAnswer(otherCustomer, prompt, ANSWER_TOKENS), recomputed(otherCustomer))
 
   const deposit = { account: 'T-204', cents: 5000 }
   const credential = CUSTOMERS[0]?.credential ?? ''
@@ -84,7 +84,7 @@
     for (let turn = 0; !trafficAbort.signal.aborted; turn += 1) {
       const prompt = promptOf(`traffic ${entry} ${turn}`, 2000)
       const answer = await streamCompletion(call(cluster, prompt, entry))
-      if (isWhole(answer, prompt, ANSWER_TOKENS)) wholeAnswers += 1
+      if (isExpectedAnswer(answer, prompt, ANSWER_TOKENS)) wholeAnswers += 1
       else brokenAnswers += 1
     }
   })
--- a/apps/bench/src/lib/measure/measureSlopes.ts
+++ b/apps/bench/src/lib/measure/measureSlopes.ts
@@ -6,7 +6,7 @@
 import { streamCompletion } from '@eelgrassmux/load/completionStream'
 import { propose, reportStatus, type StatusResponse } from '@eelgrassmux/rpc/methods/controlMethods'
 import { lookupBlocks } from '@eelgrassmux/rpc/methods/directoryMethods'
-import { noticeDispatches } from '@eelgrassmux/rpc/methods/entryMethods'
+import { notifyDispatches } from '@eelgrassmux/rpc/methods/entryMethods'
 import { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
 import { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import { encodeMessage } from '@eelgrassmux/rpc/RpcMethod'
@@ -147,7 +147,7 @@
       await rpc.call(directory.addresses.rpc ?? '', lookupBlocks, { shard: 0, epoch: 1, keys }, CALL_TIMEOUT_MS)
     }))
     report('processor time of a dispatch notice on an entry host', 'seconds', await processorTime(cluster, entry, rates, async () => {
-      await rpc.call(entry.addresses.peer ?? '', noticeDispatches, { dispatches: [{ engine: 'engine-0', tokens: 0, ageMs: 1 }] }, CALL_TIMEOUT_MS)
+      await rpc.call(entry.addresses.peer ?? '', notifyDispatches, { dispatches: [{ engine: 'engine-0', tokens: 0, ageMs: 1 }] }, CALL_TIMEOUT_MS)
     }))
     report('processor time of a token on an entry host', 'seconds', await tokenProcessorTime(cluster, entry))
     report('processor time of a request of one token on an entry host', 'seconds', await processorTime(cluster, entry, [50, 100, 200], async () => {
--- a/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
+++ b/apps/bench/src/lib/prove/worlds/DirectoryWorld.ts
@@ -157,7 +157,7 @@
       this.#directoryLoop(index)
       if (this.simulation.now() < directory.frozenUntil) return
       this.#followAssignment(index, directory)
-      for (const watcher of directory.watchers) void watcher.look()
+      for (const watcher of directory.watchers) void watcher.poll()
       if (this.broken === 'no-freed-or-partial-block') this.#deleteWithoutWaiting(directory)
     })
   }
--- a/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
@@ -198,7 +198,7 @@
     const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncsBeforeEffects ? 4 : 200)
     this.simulation.schedule(syncMs, () => {
       if (incarnation !== this.#incarnation) return
-      for (const write of writes) this.#disk.take(write)
+      for (const write of writes) this.#disk.applyWrite(write)
       this.#isBusy = false
       if (this.mechanisms.syncsBeforeEffects) for (const effect of effects) this.#applyEffects(effect)
       this.#maybeSnapshot()
--- a/apps/bench/src/measure.ts
+++ b/apps/bench/src/measure.ts
@@ -1,7 +1,7 @@
 /** `npm run measure`: takes the measurements that the users take, of the product and its baselines. */
 import { Builtins, Cli, Command, Option } from 'clipanion'
 import { PLACEMENT_POLICIES } from '@eelgrassmux/policy/placement/createPlacementPolicy'
-import { SQUEEZE } from '@eelgrassmux/load/trace'
+import { TIME_COMPRESSION } from '@eelgrassmux/load/trace'
 import { FAULT_NAMES } from './lib/measure/faults.js'
 import { measureControl } from './lib/measure/measureControl.js'
 import { measureOverhead } from './lib/measure/measureOverhead.js'
@@ -25,7 +25,7 @@
     const profile: ProfileName = this.profile
     const wanted = this.policies.split(',')
     const policies = PLACEMENT_POLICIES.filter(name => wanted.includes(name))
-    this.context.stdout.write(`profile ${profile} seed ${this.seed} fault ${fault ?? 'none'}: ${this.seconds} s at ${this.rate} requests/s, gaps squeezed ${SQUEEZE} times\n`)
+    this.context.stdout.write(`profile ${profile} seed ${this.seed} fault ${fault ?? 'none'}: ${this.seconds} s at ${this.rate} requests/s, gaps squeezed ${TIME_COMPRESSION} times\n`)
     const results = await measurePolicies({
       seconds: Number(this.seconds), requestsPerSecond: Number(this.rate), seed: Number(this.seed), profile, fault, policies
     }, result => {
--- a/apps/bench/src/processes.test.ts
+++ b/apps/bench/src/processes.test.ts
@@ -5,7 +5,7 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { request } from 'undici'
 import { resumeCompletion, streamCompletion, type CompletionCall, type StreamedAnswer } from '@eelgrassmux/load/completionStream'
-import { isWhole } from '@eelgrassmux/load/isWhole'
+import { isExpectedAnswer } from '@eelgrassmux/load/isExpectedAnswer'
 import { postOnce } from './lib/postOnce.js'
 import { Cluster, waitUntil, type ClusterMember } from './lib/Cluster.js'
 import { TMTS_PROFILE } from './lib/profiles.js'
@@ -120,7 +120,7 @@
       const otherCustomer = await resumeCompletion(cluster.entryUrl(1), CLINIC.credential, part.runId, part.tokens)
       expect(otherCustomer.status).toBe(404)
       const rest = await resumeCompletion(cluster.entryUrl(1), WARD.credential, part.runId, part.tokens)
-      expect(isWhole({ ...rest, text: part.text + rest.text, version: part.version }, text, 40)).toBe(true)
+      expect(isExpectedAnswer({ ...rest, text: part.text + rest.text, version: part.version }, text, 40)).toBe(true)
     })
 
     it('are whole although their engine is killed in the middle', async () => {
@@ -129,7 +129,7 @@
       await sleep(400)
       const engine = member(cluster.engines, 0)
       await engine.process.kill()
-      const whole = (await Promise.all(answers)).map((answer, index) => isWhole(answer, texts[index] ?? '', 40))
+      const whole = (await Promise.all(answers)).map((answer, index) => isExpectedAnswer(answer, texts[index] ?? '', 40))
       await cluster.restart(engine)
       expect(whole).toEqual(texts.map(() => true))
     })
@@ -250,7 +250,7 @@
       trafficAbort.abort()
       await Promise.all(traffic)
       const versions = new Set(answers.map(({ answer }) => answer.version))
-      expect(answers.filter(({ text, answer }) => !isWhole(answer, text, 8))).toEqual([])
+      expect(answers.filter(({ text, answer }) => !isExpectedAnswer(answer, text, 8))).toEqual([])
       expect([...versions].sort()).toEqual(['v1', 'v2'])
       const { most } = await (await request(`http://${cluster.weights?.addresses.http ?? ''}/standin/most`)).body.json() as { most: number }
       expect(most).toBeLessThanOrEqual(2)
@@ -272,7 +272,7 @@
           const target = targets[(caller + turn) % targets.length] ?? 0
           const text = prompt(`rolling ${caller} ${turn}`)
           const answer = await streamCompletion(call(target, text, 30))
-          if (isWhole(answer, text, 30)) wholeAnswers += 1
+          if (isExpectedAnswer(answer, text, 30)) wholeAnswers += 1
           else brokenAnswers.push(answer)
         }
       })
--- a/apps/control/src/lib/ControlDaemon.ts
+++ b/apps/control/src/lib/ControlDaemon.ts
@@ -134,12 +134,12 @@
       controlServer.notify()
       stores?.siteChanged()
     },
-    roleChanged: (role, term) => { telemetry.stateChanged('role-changed', { role, term }) },
+    roleChanged: (role, term) => { telemetry.logStateChange('role-changed', { role, term }) },
     commandDecided: ({ isTaken, term, formation }) => {
       const { membershipIndex, voters, needed } = formation
-      telemetry.stateChanged(isTaken ? 'commands-taken' : 'commands-held-back', { term, membershipIndex, voters, needed })
+      telemetry.logStateChange(isTaken ? 'commands-taken' : 'commands-held-back', { term, membershipIndex, voters, needed })
     },
-    lostWhileClosing: error => { telemetry.fault('write-lost-while-closing', { message: String(error) }) },
+    lostWhileClosing: error => { telemetry.logFault('write-lost-while-closing', { message: String(error) }) },
     fail
   }, Date.now)
   const hosts = new HostTable(settings.freshnessMs)
@@ -182,7 +182,7 @@
   rollout?.start()
   if (isFounder(settings, core)) {
     await raft.change((group, now) => ({ ok: true, value: group.bootstrap(now) }))
-    telemetry.stateChanged('group-founded', { replica: replicaId, address: self.address })
+    telemetry.logStateChange('group-founded', { replica: replicaId, address: self.address })
   }
   const contacts = (): readonly string[] => platform?.contacts() ?? settings.join
   const membershipTask = new MembershipTask(raft, rpc, contacts, settings.minimumVoters, telemetry)
--- a/apps/control/src/lib/ControlServer.ts
+++ b/apps/control/src/lib/ControlServer.ts
@@ -4,7 +4,7 @@
 import type { Replica } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { StoredPartsMessage } from '@eelgrassmux/schema/site/storedParts'
 import {
-  changeMembership as changeMembershipMethod, exchangeRaft, listHosts, listOrders, propose, readSite, reportStatus, tellRaft, watchEndpoints, watchStoredParts, watchView,
+  changeMembership as changeMembershipMethod, exchangeRaft, listHosts, listOrders, propose, readSite, reportStatus, sendRaftMessage, watchEndpoints, watchStoredParts, watchView,
   type EndpointListMessage, type RaftEnvelope, type StatusRequest, type StatusResponse, type ViewMessage
 } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
@@ -91,7 +91,7 @@
   /** @param datagrams - datagram server on which to register the methods that hosts call periodically */
   registerDatagrams (datagrams: DatagramServer): void {
     datagrams.handle(reportStatus, report => this.#respondToReport(report))
-    datagrams.handle(tellRaft, envelope => {
+    datagrams.handle(sendRaftMessage, envelope => {
       this.#receiveRaft(envelope)
       return undefined
     })
--- a/apps/control/src/lib/endpoints/EndpointListTask.ts
+++ b/apps/control/src/lib/endpoints/EndpointListTask.ts
@@ -132,7 +132,7 @@
     if (listing.incompleteBecause === undefined) this.#readAt = now
     this.#logRestarts(this.#registry.applyListing(listing))
     this.#publish()
-    this.rejected.note('endpoint-list', [...listing.rejected, ...this.#rejectUnknownServices()], now)
+    this.rejected.record('endpoint-list', [...listing.rejected, ...this.#rejectUnknownServices()], now)
   }
 
   #rejectUnknownServices (): RejectedEntry[] {
@@ -141,14 +141,14 @@
   }
 
   #logRestarts (restarts: readonly EndpointRestart[]): void {
-    for (const { id, startedAtMs } of restarts) this.telemetry.stateChanged('endpoint-restarted', { endpoint: id, startedAtMs })
+    for (const { id, startedAtMs } of restarts) this.telemetry.logStateChange('endpoint-restarted', { endpoint: id, startedAtMs })
   }
 
   #updateReachability (failureReason: string | undefined): void {
     const isReachable = failureReason === undefined
     if (isReachable === this.#isReachable) return
     this.#isReachable = isReachable
-    this.telemetry.stateChanged(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: failureReason ?? '' })
+    this.telemetry.logStateChange(isReachable ? 'endpoint-list-regained' : 'endpoint-list-lost', { reason: failureReason ?? '' })
   }
 
   #publish (): void {
@@ -159,7 +159,7 @@
     this.#endpoints = endpoints
     this.#version += 1
     const leaving = endpoints.filter(endpoint => endpoint.isLeaving).length
-    this.telemetry.stateChanged('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
+    this.telemetry.logStateChange('endpoint-list-changed', { version: this.#version, endpoints: endpoints.length, leaving })
     this.#changes.emit('change')
   }
 }
--- a/apps/control/src/lib/load/LoadBoardTask.test.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.test.ts
@@ -2,7 +2,7 @@
 import { decodeLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import { NO_ENDPOINT_LOAD, type EndpointLoad, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
 import type { DatagramMethod } from '@eelgrassmux/rpc/datagrams/DatagramMethod'
-import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
+import { exchangeLoadReport, sendLoadReport } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { LoadBoardTask, type LoadBoardPorts } from './LoadBoardTask.js'
@@ -42,12 +42,12 @@
   }
 
   tell (work: EndpointLoad[]): void {
-    this.#answers.get(tellLoad)?.({ host: 'h', sequence: ++this.#sequence, work, links: [] })
+    this.#answers.get(sendLoadReport)?.({ host: 'h', sequence: ++this.#sequence, work, links: [] })
   }
 
   /** @returns the work of the endpoint as reported to the host */
   ask (): EndpointLoad | undefined {
-    const bytes = this.#answers.get(askLoad)?.({ host: 'h', sequence: ++this.#sequence, work: [], links: [] })
+    const bytes = this.#answers.get(exchangeLoadReport)?.({ host: 'h', sequence: ++this.#sequence, work: [], links: [] })
     return bytes === undefined ? undefined : decodeLoadTotals(Buffer.from(bytes)).work.find(({ endpoint }) => endpoint === INCARNATION)
   }
 
--- a/apps/control/src/lib/load/LoadBoardTask.ts
+++ b/apps/control/src/lib/load/LoadBoardTask.ts
@@ -10,7 +10,7 @@
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import { UnresponsiveEndpointDetector, type ResponsivenessChange } from '@eelgrassmux/routing/load/UnresponsiveEndpointDetector'
 import type { DatagramServer } from '@eelgrassmux/rpc/datagrams/DatagramServer'
-import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
+import { exchangeLoadReport, sendLoadReport } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { ReplicatedService } from '@eelgrassmux/schema/site/siteSchema'
 import type { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
@@ -60,12 +60,12 @@
 
   /** @param datagrams - datagram server on which to register the methods */
   register (datagrams: DatagramServer): void {
-    datagrams.handle(tellLoad, report => {
+    datagrams.handle(sendLoadReport, report => {
       this.#board.observe(report, performance.now())
       this.#startChecks()
       return undefined
     })
-    datagrams.handle(askLoad, report => {
+    datagrams.handle(exchangeLoadReport, report => {
       this.#board.observe(report, performance.now())
       this.#startChecks()
       return this.#totalsFor(report.host)
@@ -124,7 +124,7 @@
 
   #logChange ({ endpoint, isUnresponsive }: ResponsivenessChange): void {
     const work = this.#board.totals(performance.now()).work.find(entry => entry.endpoint === endpoint)
-    this.ports.telemetry.stateChanged(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
+    this.ports.telemetry.logStateChange(isUnresponsive ? 'endpoint-unresponsive' : 'endpoint-responds', {
       endpoint, inFlight: work?.inFlight ?? 0, lastByteAgoMs: Math.round(work?.lastByteAgoMs ?? -1), avoiders: work?.avoiders ?? 0
     })
   }
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -127,7 +127,7 @@
   #settleCrash (endpoint: string, hasCrashed: boolean): void {
     const now = performance.now()
     this.#correlator.recordCrashCheck(endpoint, hasCrashed, now)
-    this.ports.telemetry.stateChanged('endpoint-crash-checked', { endpoint, hasCrashed })
+    this.ports.telemetry.logStateChange('endpoint-crash-checked', { endpoint, hasCrashed })
     this.#restartChecks(now)
   }
 
@@ -149,7 +149,7 @@
     this.#isProposing = true
     for (const { fingerprint, service, decision, forMs } of decisions) {
       this.#decisions.count(decision)
-      this.ports.telemetry.stateChanged('quarantine-decided', { fingerprint, service, decision, forMs, ...this.#correlator.describe(fingerprint) })
+      this.ports.telemetry.logStateChange('quarantine-decided', { fingerprint, service, decision, forMs, ...this.#correlator.describe(fingerprint) })
     }
     const finish = (): void => {
       this.#isProposing = false
--- a/apps/control/src/lib/raft/MembershipTask.ts
+++ b/apps/control/src/lib/raft/MembershipTask.ts
@@ -71,7 +71,7 @@
     const surplus = findSurplusReplica(core, this.targetVoters, performance.now())
     if (surplus === undefined) return
     const error = await this.raft.change((group, now) => removeIfStillSurplus(group, surplus.id, this.targetVoters, now))
-    this.telemetry.stateChanged('replica-removed', {
+    this.telemetry.logStateChange('replica-removed', {
       replica: surplus.id, address: surplus.address, silentMs: Math.round(core.silentFor(surplus.id, performance.now())), outcome: error?.kind ?? 'proposed'
     })
   }
@@ -94,10 +94,10 @@
   }
 
   async #join (core: RaftCore): Promise<void> {
-    this.telemetry.stateChanged('joining', { replica: core.self.id, contacts: this.#otherContacts().join(' ') })
+    this.telemetry.logStateChange('joining', { replica: core.self.id, contacts: this.#otherContacts().join(' ') })
     await joinGroup(this.rpc, core, () => this.#otherContacts(), () => this.#isStopped)
     this.#leaderlessSince = undefined
-    this.telemetry.stateChanged('joined', { replica: core.self.id })
+    this.telemetry.logStateChange('joined', { replica: core.self.id })
   }
 
   #otherContacts (): string[] {
--- a/apps/control/src/lib/raft/RaftSender.ts
+++ b/apps/control/src/lib/raft/RaftSender.ts
@@ -9,7 +9,7 @@
  */
 import type { RaftMessage } from '@eelgrassmux/consensus/messages/raftMessages'
 import type { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
-import { exchangeRaft, tellRaft, type RaftEnvelope } from '@eelgrassmux/rpc/methods/controlMethods'
+import { exchangeRaft, sendRaftMessage, type RaftEnvelope } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 
 /** Timeout of a call, in milliseconds. */
@@ -34,7 +34,7 @@
    */
   send (address: string, envelope: RaftEnvelope): void {
     if (isLossTolerant(envelope.message)) {
-      this.datagrams.tell(address, tellRaft, envelope)
+      this.datagrams.tell(address, sendRaftMessage, envelope)
       return
     }
     void this.rpc.call(address, exchangeRaft, envelope, CALL_TIMEOUT_MS).then(answer => {
--- a/apps/control/src/lib/rollout/RolloutTask.ts
+++ b/apps/control/src/lib/rollout/RolloutTask.ts
@@ -135,7 +135,7 @@
     if (isTakenOver) this.#handoverWaitUntil = leaderSince + this.orderLeaseMs + HANDOVER_MARGIN_MS
     this.#hasClaimed = true
     const outcome = await this.raft.propose({ kind: 'claim-orders', holder: { replicaId: core.self.id, term: core.term } })
-    this.telemetry.stateChanged('order-right-claimed', {
+    this.telemetry.logStateChange('order-right-claimed', {
       term: core.term, outcome: outcome.kind, previous: present?.replicaId ?? '', waitMs: isTakenOver ? this.orderLeaseMs : 0
     })
     return false
@@ -173,7 +173,7 @@
         : 'refused'
       // An answer that arrives after the leadership has ended must not enter the next plan.
       if (this.#isLeading) this.#plan.observeOrder(order, outcome, performance.now())
-      this.telemetry.stateChanged('weights-ordered', {
+      this.telemetry.logStateChange('weights-ordered', {
         endpoint: order.endpoint.id, model: order.model, version: order.version, expectedOrders: order.expectedOrders, outcome, isConfirmed
       })
     }))
--- a/apps/control/src/lib/stores/StoreFollower.ts
+++ b/apps/control/src/lib/stores/StoreFollower.ts
@@ -122,7 +122,7 @@
     const answer = await this.source.events(this.store, this.#next, EVENT_WAIT_MS)
     if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, hasGap, events, clockMs, rejected } = answer.value
-    this.rejected.note(this.store.name, rejected, performance.now())
+    this.rejected.record(this.store.name, rejected, performance.now())
     if (this.#isFromEarlierStart(startedAtMs)) return false
     if (clockMs !== undefined) this.onClock(clockMs)
     if (epoch !== this.#epoch || hasGap || isLaterStart(startedAtMs, this.#startedAtMs)) {
@@ -152,11 +152,11 @@
     const answer = await this.source.listing(this.store)
     if (!answer.ok) return this.#markLost(answer.error.kind)
     const { startedAtMs, epoch, next, parts, partial, rejected } = answer.value
-    this.rejected.note(this.store.name, rejected, performance.now())
+    this.rejected.record(this.store.name, rejected, performance.now())
     if (this.#isFromEarlierStart(startedAtMs)) return false
     const isNew = !this.#isAvailable || epoch !== this.#epoch || isLaterStart(startedAtMs, this.#startedAtMs)
     if (isNew) {
-      this.telemetry.stateChanged('store-followed', { store: this.store.name, epoch, parts: parts.length, partial: partial.length })
+      this.telemetry.logStateChange('store-followed', { store: this.store.name, epoch, parts: parts.length, partial: partial.length })
     }
     this.#startedAtMs = startedAtMs ?? this.#startedAtMs
     this.#epoch = epoch
@@ -187,7 +187,7 @@
     if (!this.#isAvailable) return false
     this.#isAvailable = false
     this.#parts.clear()
-    this.telemetry.stateChanged('store-lost', { store: this.store.name, reason })
+    this.telemetry.logStateChange('store-lost', { store: this.store.name, reason })
     this.#emit({ kind: 'lost', added: [], removed: [] })
     return false
   }
--- a/apps/control/src/lib/stores/StoreTask.ts
+++ b/apps/control/src/lib/stores/StoreTask.ts
@@ -168,7 +168,7 @@
     // The parts are withdrawn first, so that no host fetches them whatever the outcome of the call.
     follower.removeFreed(obsolete)
     const answer = await this.source.free(follower.store, obsolete, follower.epoch, clockMs + FREE_DEADLINE_MS)
-    this.telemetry.stateChanged('stored-parts-freed', {
+    this.telemetry.logStateChange('stored-parts-freed', {
       store: follower.store.name, parts: obsolete.length, outcome: answer.ok ? 'done' : answer.error.kind
     })
   }
--- a/apps/directory/src/lib/DirectoryDaemon.ts
+++ b/apps/directory/src/lib/DirectoryDaemon.ts
@@ -85,7 +85,7 @@
       drain: async () => {
         link.stopAccepting()
         const isTaken = await handOver(this.#rpc, () => link.shards, address)
-        telemetry.stateChanged('shards-handed-over', { isTaken })
+        telemetry.logStateChange('shards-handed-over', { isTaken })
       },
       close: async () => {
         link.stop()
@@ -111,7 +111,7 @@
     link.shards.forEach(({ owner, epoch }, shard) => {
       const present = this.#shards.get(shard)
       if (owner !== address) {
-        if (present !== undefined) this.telemetry.stateChanged('shard-lost', { shard })
+        if (present !== undefined) this.telemetry.logStateChange('shard-lost', { shard })
         this.#shards.delete(shard)
         return
       }
@@ -119,7 +119,7 @@
       const { readLeaseMs, writeReservationMs, freshnessMs } = this.settings
       const shardSettings = { ...DEFAULT_SHARD_SETTINGS, readLeaseMs, writeReservationMs, ownershipMs: freshnessMs }
       this.#shards.set(shard, new DirectoryShard(shard, epoch, shardSettings, now))
-      this.telemetry.stateChanged('shard-taken', { shard, epoch })
+      this.telemetry.logStateChange('shard-taken', { shard, epoch })
       for (const watcher of this.#stores.values()) watcher.requestListing()
     })
   }
--- a/apps/directory/src/lib/StoreWatcher.ts
+++ b/apps/directory/src/lib/StoreWatcher.ts
@@ -49,8 +49,8 @@
 
   /** Starts to look. */
   start (): void {
-    this.#timer = setInterval(() => { void this.look() }, POLL_MS)
-    void this.look()
+    this.#timer = setInterval(() => { void this.poll() }, POLL_MS)
+    void this.poll()
   }
 
   /** Reads the listing at the next look, for a shard that was just taken over. */
@@ -65,7 +65,7 @@
   }
 
   /** One look at the store. */
-  async look (): Promise<void> {
+  async poll (): Promise<void> {
     if (this.#busy) return
     this.#busy = true
     try {
--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -144,7 +144,7 @@
     fleet.configure(link.configuration)
     fleet.evacuate(link.configuration, link.evacuated)
     requestQuarantine.logChanges(link.viewRevision, performance.now())
-    telemetry.stateChanged('view-in-force', { view: link.viewRevision, revision: link.configuration.revision })
+    telemetry.logStateChange('view-in-force', { view: link.viewRevision, revision: link.configuration.revision })
   })
   fleet.start()
   link.start()
@@ -158,7 +158,7 @@
   telemetry.gauge('configuration_fresh', '1 while the configuration is confirmed', () => link.isFresh() ? 1 : 0)
 
   const logUnderWay = (event: 'awaited-by-stop' | 'cut-by-stop'): void => {
-    runs.logUnderWay(id => { telemetry.decided(event, id, { sinceSignalMs: Math.round(stop.sinceSignalMs) }) })
+    runs.logUnderWay(id => { telemetry.logDecision(event, id, { sinceSignalMs: Math.round(stop.sinceSignalMs) }) })
   }
   const drainable: DrainableServer = {
     get lastRequestAt () { return callers.lastRequestAt },
--- a/apps/entry/src/lib/GracefulShutdown.test.ts
+++ b/apps/entry/src/lib/GracefulShutdown.test.ts
@@ -198,7 +198,7 @@
     it('aborts the remaining requests, none of them as complete, and logs their ids', async () => {
       const lines: string[] = []
       await serve(byPath, { graceMs: 300 })
-      host.telemetry.decided = (event, request) => { lines.push(`${event} ${request}`) }
+      host.telemetry.logDecision = (event, request) => { lines.push(`${event} ${request}`) }
       const begun = ask('/resumable/1')
       await whenHeadCame
       const silent = ask('/silent/2')
--- a/apps/entry/src/lib/GracefulShutdown.ts
+++ b/apps/entry/src/lib/GracefulShutdown.ts
@@ -128,7 +128,7 @@
     const lagOverAt = performance.now() - this.sinceSignalMs + this.#lagMs
     server.closeIdleConnections()
     // New requests are still accepted while earlier work keeps the process running.
-    await this.work.whenPresentEnds()
+    await this.work.whenCurrentWorkEnds()
     await this.#whenQuiet(server, lagOverAt)
     this.work.close()
     this.#log('gate-closed')
@@ -152,8 +152,8 @@
   }
 
   #log (step: string): void {
-    this.telemetry.stateChanged('stop-step', {
-      step, underWay: this.work.underWay, sinceSignalMs: Math.round(this.sinceSignalMs), balancerLagMs: this.#lagMs, graceMs: this.limits.graceMs
+    this.telemetry.logStateChange('stop-step', {
+      step, underWay: this.work.activeCount, sinceSignalMs: Math.round(this.sinceSignalMs), balancerLagMs: this.#lagMs, graceMs: this.limits.graceMs
     })
   }
 }
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -4,7 +4,7 @@
 import type { RunningDaemon } from '@eelgrassmux/daemon/runDaemon'
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { dataCentresSetting } from '@eelgrassmux/daemon/dataCentresSetting'
-import { addressListSetting, boundSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
+import { addressListSetting, durationLimitSetting, commonSettingsShape, integerSetting, listSetting, stopGraceSetting } from '@eelgrassmux/daemon/settings'
 import { composeMechanisms, mechanismSchema } from '@eelgrassmux/routing/mechanisms/mechanisms'
 import { OutdatedWeightsDeadlines } from '@eelgrassmux/routing/prompts/OutdatedWeightsDeadlines'
 import { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
@@ -29,7 +29,7 @@
   staleView: z.enum(['refuse', 'serve']).default('refuse').describe('what to do when no majority of control hosts confirms the configuration: refuse new work, or go on with the last one'),
   balancerLagMs: integerSetting(0, 60_000).default(1000).describe('how long the balancer may send new work after readiness is withdrawn, in milliseconds'),
   stopGraceSeconds: stopGraceSetting,
-  weightsBoundMs: boundSetting.describe('time after weights were named from which no request may begin on older ones, in milliseconds; without bound if empty'),
+  weightsBoundMs: durationLimitSetting.describe('time after weights were named from which no request may begin on older ones, in milliseconds; without bound if empty'),
   dataCentres: dataCentresSetting.describe('data centres with the region of each, as a JSON object; needed where routes or customers are bound to regions'),
   leaveOut: listSetting(mechanismSchema).describe('mechanisms to do without, separated by commas, to measure what they are worth; none in service'),
   retryRatio: z.coerce.number().min(0).max(1).default(0.1).describe('repeats for each request of a service, over all entry hosts'),
@@ -133,7 +133,7 @@
     siteVersion = site.version
     server.configure(site)
     fleet.configure(site)
-    telemetry.stateChanged('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
+    telemetry.logStateChange('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
   }
   link.onLeader(() => { crashReporter.leaderChanged() })
   link.onChange(() => {
@@ -149,7 +149,7 @@
   telemetry.gauge('view_revision', 'View in force', () => link.viewRevision)
   telemetry.gauge('configuration_fresh', '1 while the configuration is confirmed', () => link.isFresh() ? 1 : 0)
   telemetry.gauge('endpoint_list_age_seconds', 'Time since the platform stated the endpoint list', () => link.endpointListAgeMs(performance.now()) / 1000)
-  telemetry.gauge('requests_under_way', 'Routed requests that have not ended', () => work.underWay)
+  telemetry.gauge('requests_under_way', 'Routed requests that have not ended', () => work.activeCount)
 
   return {
     addresses: { http: `${settings.host}:${port}` },
--- a/apps/entry/src/lib/fleet/DispatchNotices.ts
+++ b/apps/entry/src/lib/fleet/DispatchNotices.ts
@@ -6,7 +6,7 @@
  * complete prefill.
  */
 import type { EngineLoadTable } from '@eelgrassmux/policy/health/EngineLoadTable'
-import { noticeDispatches } from '@eelgrassmux/rpc/methods/entryMethods'
+import { notifyDispatches } from '@eelgrassmux/rpc/methods/entryMethods'
 import type { RpcClient } from '@eelgrassmux/rpc/RpcClient'
 import type { RpcServer } from '@eelgrassmux/rpc/RpcServer'
 import type { Clock } from '@eelgrassmux/schema/Clock'
@@ -45,7 +45,7 @@
 
   /** @param server - server that receives the notices of other hosts */
   register (server: RpcServer): void {
-    server.handle(noticeDispatches, async ({ dispatches }) => {
+    server.handle(notifyDispatches, async ({ dispatches }) => {
       const now = this.clock.now()
       for (const { engine, tokens, ageMs } of dispatches) this.loads.recordDispatch(engine, tokens, now - ageMs)
       this.outcomes.count('heard', dispatches.length)
@@ -69,7 +69,7 @@
     const dispatches = this.#pending.map(({ engine, tokens, at }) => ({ engine, tokens, ageMs: now - at }))
     this.#pending = []
     await Promise.all(this.peers().map(async peer => {
-      const answer = await this.rpc.call(peer, noticeDispatches, { dispatches }, NOTICE_DEADLINE_MS)
+      const answer = await this.rpc.call(peer, notifyDispatches, { dispatches }, NOTICE_DEADLINE_MS)
       this.outcomes.count(answer.ok ? 'sent' : answer.error.kind)
     }))
   }
--- a/apps/entry/src/lib/load/LoadExchange.test.ts
+++ b/apps/entry/src/lib/load/LoadExchange.test.ts
@@ -2,7 +2,7 @@
 import { encodeLoadTotals, frameLoadTotals } from '@eelgrassmux/routing/load/loadCodec'
 import { NO_ENDPOINT_LOAD, type LoadReport } from '@eelgrassmux/routing/load/loadReport'
 import { PeerLoad, type HostLoad } from '@eelgrassmux/routing/load/PeerLoad'
-import { askLoad } from '@eelgrassmux/rpc/methods/loadMethods'
+import { exchangeLoadReport } from '@eelgrassmux/rpc/methods/loadMethods'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { LoadExchange } from './LoadExchange.js'
 
@@ -17,7 +17,7 @@
   readonly exchange = new LoadExchange('h', {
     datagrams: {
       ask: (_address, method, request, onAnswer) => {
-        expect(method).toBe(askLoad)
+        expect(method).toBe(exchangeLoadReport)
         this.asked += 1
         const askedAt = performance.now()
         const { sequence } = request as LoadReport
--- a/apps/entry/src/lib/load/LoadExchange.ts
+++ b/apps/entry/src/lib/load/LoadExchange.ts
@@ -4,7 +4,7 @@
 import type { LoadReport, LoadTotals } from '@eelgrassmux/routing/load/loadReport'
 import type { HostLoad, PeerLoad } from '@eelgrassmux/routing/load/PeerLoad'
 import type { DatagramClient } from '@eelgrassmux/rpc/datagrams/DatagramClient'
-import { askLoad, tellLoad } from '@eelgrassmux/rpc/methods/loadMethods'
+import { exchangeLoadReport, sendLoadReport } from '@eelgrassmux/rpc/methods/loadMethods'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 
 /** Period after the start in which a host asks at a fixed interval, in milliseconds; requests wait at the start until the work of the other hosts is known. */
@@ -102,7 +102,7 @@
     if (aggregator === undefined) return false
     const report = this.#report()
     this.#plan.recordQuery(performance.now())
-    this.ports.datagrams.ask(aggregator, askLoad, report, (totals, askedAt) => { this.#applyTotals(Buffer.from(totals), askedAt) })
+    this.ports.datagrams.ask(aggregator, exchangeLoadReport, report, (totals, askedAt) => { this.#applyTotals(Buffer.from(totals), askedAt) })
     this.#noteReported(report)
     return true
   }
@@ -111,7 +111,7 @@
     const aggregator = this.ports.aggregatorAddress()
     if (aggregator === undefined) return
     const report = this.#report()
-    this.ports.datagrams.tell(aggregator, tellLoad, report)
+    this.ports.datagrams.tell(aggregator, sendLoadReport, report)
     this.#noteReported(report)
   }
 
--- a/apps/entry/src/lib/quarantine/RequestQuarantine.ts
+++ b/apps/entry/src/lib/quarantine/RequestQuarantine.ts
@@ -54,12 +54,12 @@
       if (this.#logged.get(entry.fingerprint)?.state !== entry.state) this.#logEntry(entry, view, now)
     }
     for (const { fingerprint, service, state } of this.#logged.values()) {
-      if (!present.has(fingerprint)) this.telemetry.stateChanged('quarantine-removed', { fingerprint, service, state, view })
+      if (!present.has(fingerprint)) this.telemetry.logStateChange('quarantine-removed', { fingerprint, service, state, view })
     }
     this.#logged = present
   }
 
   #logEntry ({ fingerprint, service, state, quarantines, endsAt }: LocalQuarantineEntry, view: number, now: number): void {
-    this.telemetry.stateChanged('quarantine-in-force', { fingerprint, service, state, quarantines, leftMs: Math.round(endsAt - now), view })
+    this.telemetry.logStateChange('quarantine-in-force', { fingerprint, service, state, quarantines, leftMs: Math.round(endsAt - now), view })
   }
 }
--- a/apps/entry/src/lib/routed/EndpointLimits.ts
+++ b/apps/entry/src/lib/routed/EndpointLimits.ts
@@ -74,7 +74,7 @@
       // They may start anew meanwhile, and the list lags.
       for (const endpoint of endpoints) endpoint.markUnavailable(now)
       const underWay = endpoints.reduce((sum, endpoint) => sum + endpoint.inFlight, 0)
-      this.telemetry.stateChanged('evacuation-in-force', { dataCentre, isEvacuated: evacuated.has(dataCentre), endpoints: endpoints.length, underWay })
+      this.telemetry.logStateChange('evacuation-in-force', { dataCentre, isEvacuated: evacuated.has(dataCentre), endpoints: endpoints.length, underWay })
     }
   }
 
@@ -140,12 +140,12 @@
   #takeLeaving (endpoint: EndpointState): void {
     if (endpoint.isLeaving) return
     endpoint.markLeaving()
-    this.telemetry.stateChanged('endpoint-leaving', { endpoint: endpoint.id, address: endpoint.listed.address, underWay: endpoint.inFlight })
+    this.telemetry.logStateChange('endpoint-leaving', { endpoint: endpoint.id, address: endpoint.listed.address, underWay: endpoint.inFlight })
   }
 
   #takePause (endpoint: EndpointState, pauseMs: number, now: number): void {
     if (!endpoint.requestedPause.extend(pauseMs, now)) return
-    this.telemetry.stateChanged('endpoint-asked-to-pause', {
+    this.telemetry.logStateChange('endpoint-asked-to-pause', {
       endpoint: endpoint.id, address: endpoint.listed.address, pauseMs: Math.round(pauseMs), sentLately: endpoint.sends.countSince(now - LATELY_MS)
     })
   }
@@ -153,8 +153,8 @@
   #logRateLimit (endpoint: EndpointState, now: number): void {
     const { requestsPerSecond } = endpoint.rateLimit
     const fields = { endpoint: endpoint.id, address: endpoint.listed.address, sentLately: endpoint.sends.countSince(now - LATELY_MS) }
-    if (requestsPerSecond === undefined) this.telemetry.stateChanged('endpoint-rate-limit-lifted', fields)
-    else this.telemetry.stateChanged('endpoint-rate-limited', { ...fields, requestsPerSecond })
+    if (requestsPerSecond === undefined) this.telemetry.logStateChange('endpoint-rate-limit-lifted', fields)
+    else this.telemetry.logStateChange('endpoint-rate-limited', { ...fields, requestsPerSecond })
   }
 
   #admitsCold (endpoint: EndpointState, now: number): boolean {
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -168,14 +168,14 @@
   }
 
   #logLink ({ link, isSlow, slowerBy, samples }: LinkSpeedChange): void {
-    this.telemetry.stateChanged(isSlow ? 'store-link-slow' : 'store-link-sound', {
+    this.telemetry.logStateChange(isSlow ? 'store-link-slow' : 'store-link-sound', {
       link, slowerBy: Number(slowerBy.toFixed(2)), samples: Number(samples.toFixed(1))
     })
   }
 
   #logEjection ({ endpoint, reason, others, failureShare, meanShare }: EjectionChange): void {
     const { inFlight, lastByteAgoMs, waitedMs, avoiders } = others
-    this.telemetry.stateChanged(reason === undefined ? 'endpoint-readmitted' : 'endpoint-ejected', {
+    this.telemetry.logStateChange(reason === undefined ? 'endpoint-readmitted' : 'endpoint-ejected', {
       endpoint: endpoint.id,
       address: endpoint.listed.address,
       reason: reason ?? '',
@@ -296,7 +296,7 @@
     if (!endpoint.health.observe(outcome, performance.now(), peersShare)) return
     // A connection to a host that is gone without a word would take one more request with it.
     if (endpoint.health.isUnreachable(performance.now())) this.#connections.get(endpoint.incarnation)?.closeIdle()
-    this.telemetry.stateChanged('endpoint-paused', {
+    this.telemetry.logStateChange('endpoint-paused', {
       endpoint: endpoint.id, address: endpoint.listed.address, outcome, failureShare: Number(endpoint.health.failureShare.toFixed(2)), peersShare: Number(peersShare.toFixed(2))
     })
   }
--- a/apps/entry/src/lib/routed/RoutedRequestTask.ts
+++ b/apps/entry/src/lib/routed/RoutedRequestTask.ts
@@ -233,7 +233,7 @@
     }
     if (this.request.route.kind !== 'stream') endpoint.observeLatency(attempt.ageMs)
     this.#end()
-    if (this.ports.telemetry.keepsStory(this.request.id)) {
+    if (this.ports.telemetry.isSampled(this.request.id)) {
       this.#decidedEnd('answered', { status: head.status, endpoint: endpoint.id, ...describePlacement(attempt.choice, this.request, this.#prompt, this.#times.firstEventMs) })
     }
     this.#relay.complete()
@@ -394,6 +394,6 @@
 
   #decided<Event extends DecisionEvent> (event: Event, details: DecisionFields<Event>): void {
     const { route, service, siteVersion } = this.request
-    this.ports.telemetry.decided(event, this.request.id, { route: route.name, service: service.name, siteVersion, ...details })
+    this.ports.telemetry.logDecision(event, this.request.id, { route: route.name, service: service.name, siteVersion, ...details })
   }
 }
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -117,8 +117,8 @@
    * @returns the port
    */
   async listen (host: string, port: number, early?: EarlyListener): Promise<number> {
-    if (early?.isFor(host, port) === true) {
-      await early.handOver(this.#server)
+    if (early?.isListeningOn(host, port) === true) {
+      await early.transferTo(this.#server)
     } else {
       early?.close()
       await new Promise<void>((resolve, reject) => {
@@ -205,7 +205,7 @@
       route()
       return
     }
-    this.ports.telemetry.decided('waits-for-site', fields.requestId ?? '', {
+    this.ports.telemetry.logDecision('waits-for-site', fields.requestId ?? '', {
       siteVersion: this.#index?.site.version ?? -1, areEndpointsKnown: this.ports.fleet.isKnown, isLoadKnown: this.ports.fleet.isLoadKnown, waiting: this.#startup.length
     })
   }
@@ -245,7 +245,7 @@
       return
     }
     const look = (): void => {
-      if (exchange.isAbandoned) this.ports.telemetry.decided('caller-left', fields.requestId ?? '', { run: 'not-run', isLagging: true })
+      if (exchange.isAbandoned) this.ports.telemetry.logDecision('caller-left', fields.requestId ?? '', { run: 'not-run', isLagging: true })
       else start()
     }
     setImmediate(() => { setImmediate(look) })
@@ -302,7 +302,7 @@
     exchange: CallerExchange, fields: CallerFields, reason: RefusalReason, status: number, detail: string, retryAfterSeconds?: number
   ): void {
     this.#refusals.count(reason)
-    this.ports.telemetry.decided('refused', fields.requestId ?? '', {
+    this.ports.telemetry.logDecision('refused', fields.requestId ?? '', {
       reason, status, run: 'not-run', detail, siteVersion: this.#index?.site.version ?? -1
     })
     exchange.refuse(refuse({ reason, status, detail, ...(retryAfterSeconds === undefined ? {} : { retryAfterSeconds }) }, new DispatchRecord()))
--- a/apps/load/src/lib/isWhole.ts
+++ b/apps/load/src/lib/isExpectedAnswer.ts
@@ -9,7 +9,7 @@
  * @param length - tokens expected
  * @returns whether the answer is whole, of one version and the prompt's own
  */
-export function isWhole (answer: Pick<StreamedAnswer, 'isDone' | 'text' | 'version'>, prompt: string, length: number): boolean {
+export function isExpectedAnswer (answer: Pick<StreamedAnswer, 'isDone' | 'text' | 'version'>, prompt: string, length: number): boolean {
   const tokenAt = answerTokens(prompt, answer.version)
   const expected = Array.from({ length }, (_, offset) => tokenAt(offset)).join('')
   return answer.isDone && answer.text === expected
--- a/apps/load/src/lib/replay.ts
+++ b/apps/load/src/lib/replay.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { build } from 'hdr-histogram-js'
 import { streamCompletion, type StreamedAnswer } from './completionStream.js'
-import { isWhole } from './isWhole.js'
+import { isExpectedAnswer } from './isExpectedAnswer.js'
 import { promptText } from './promptText.js'
 import type { TraceLine } from './trace.js'
 
@@ -58,7 +58,7 @@
       if (problems.length < 10) problems.push(JSON.stringify(answer.problem))
       return
     }
-    if (!isWhole(answer, prompt, line.answerTokens)) {
+    if (!isExpectedAnswer(answer, prompt, line.answerTokens)) {
       totals.wrong += 1
       if (problems.length < 10) problems.push(JSON.stringify({ ...answer, text: answer.text.length }))
       return
--- a/apps/load/src/lib/trace.ts
+++ b/apps/load/src/lib/trace.ts
@@ -32,7 +32,7 @@
  * Real gaps run from minutes to days. One second of a trace stands for this many
  * seconds, so that a gap of 15 minutes becomes a second.
  */
-export const SQUEEZE = 900
+export const TIME_COMPRESSION = 900
 
 /** Share of requests that are a prompt's first. */
 const FIRST_SHARE = 0.4
--- a/packages/daemon/src/lib/AdminServer.ts
+++ b/packages/daemon/src/lib/AdminServer.ts
@@ -28,7 +28,7 @@
   const server = createServer((request, response) => {
     handler ??= loadHandler(telemetry, isReady)
     handler.then(handle => handle(request, response)).catch((error: unknown) => {
-      telemetry.fault('admin-failed', { path: request.url ?? '', message: String(error) })
+      telemetry.logFault('admin-failed', { path: request.url ?? '', message: String(error) })
       response.destroy()
     })
   })
--- a/packages/daemon/src/lib/CompiledBundle.test.ts
+++ b/packages/daemon/src/lib/CompiledBundle.test.ts
@@ -22,14 +22,14 @@
     const first = new CompiledBundle<Program>(path)
     expect(first.compiledAnew).toBe('missing')
     expect(first.run().answer()).toBe('one/')
-    first.keep()
+    first.saveCompiledCode()
     const second = new CompiledBundle<Program>(path)
     expect(second.compiledAnew).toBeUndefined()
     expect(second.run().answer()).toBe('one/')
   })
 
   it('never runs code that was kept of another source', () => {
-    new CompiledBundle<Program>(path).keep()
+    new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(path, 'exports.answer = () => "a longer program"')
     const changed = new CompiledBundle<Program>(path)
     expect(changed.compiledAnew).toBe('rejected')
@@ -37,7 +37,7 @@
   })
 
   it('runs when what was kept is damaged', () => {
-    new CompiledBundle<Program>(path).keep()
+    new CompiledBundle<Program>(path).saveCompiledCode()
     writeFileSync(`${path}.compiled`, 'damaged')
     expect(new CompiledBundle<Program>(path).run().answer()).toBe('one/')
   })
--- a/packages/daemon/src/lib/CompiledBundle.ts
+++ b/packages/daemon/src/lib/CompiledBundle.ts
@@ -43,7 +43,7 @@
   }
 
   /** Keeps the code compiled so far beside the bundle. */
-  keep (): void {
+  saveCompiledCode (): void {
     writeFileSync(this.path + COMPILED_ENDING, this.#script.createCachedData())
   }
 }
--- a/packages/daemon/src/lib/EarlyListener.test.ts
+++ b/packages/daemon/src/lib/EarlyListener.test.ts
@@ -19,7 +19,7 @@
     const before = fetchText(early.port)
     await new Promise(resolve => setTimeout(resolve, 30))
     const server = createHttpServer((_request, response) => { response.end('served') })
-    await early.handOver(server)
+    await early.transferTo(server)
     early.close()
     expect(await before).toBe('served')
     expect(await fetchText(early.port)).toBe('served')
--- a/packages/daemon/src/lib/EarlyListener.ts
+++ b/packages/daemon/src/lib/EarlyListener.ts
@@ -39,7 +39,7 @@
    * @param port - port
    * @returns whether this is the port that is to be served
    */
-  isFor (host: string, port: number): boolean {
+  isListeningOn (host: string, port: number): boolean {
     return host === this.host && port === this.port
   }
 
@@ -48,7 +48,7 @@
    *
    * @param server - not listening yet
    */
-  async handOver (server: HttpServer): Promise<void> {
+  async transferTo (server: HttpServer): Promise<void> {
     this.#isHandedOver = true
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject)
--- a/packages/daemon/src/lib/WorkGate.test.ts
+++ b/packages/daemon/src/lib/WorkGate.test.ts
@@ -15,14 +15,14 @@
     expect(isIdle).toBe(false)
     followUp.end()
     await idle
-    expect(gate.underWay).toBe(0)
+    expect(gate.activeCount).toBe(0)
   })
 
   it('tells when earlier work has ended, although later work goes on', async () => {
     const gate = new WorkGate()
     const earlier = gate.tryBegin()
     let hasEnded = false
-    const present = gate.whenPresentEnds().then(() => { hasEnded = true })
+    const present = gate.whenCurrentWorkEnds().then(() => { hasEnded = true })
     const later = gate.tryBegin()
     later?.end()
     await Promise.resolve()
@@ -30,7 +30,7 @@
     gate.tryBegin()
     earlier?.end()
     await present
-    expect(gate.underWay).toBe(1)
+    expect(gate.activeCount).toBe(1)
   })
 
   it('ends each work once, however often it is told', () => {
@@ -39,6 +39,6 @@
     gate.tryBegin()
     first?.end()
     first?.end()
-    expect(gate.underWay).toBe(1)
+    expect(gate.activeCount).toBe(1)
   })
 })
--- a/packages/daemon/src/lib/WorkGate.ts
+++ b/packages/daemon/src/lib/WorkGate.ts
@@ -23,7 +23,7 @@
   readonly #earlierWaiters: Array<() => void> = []
 
   get isClosed (): boolean { return this.#isClosed }
-  get underWay (): number { return this.#underWay }
+  get activeCount (): number { return this.#underWay }
 
   /**
    * Begins new work.
@@ -50,7 +50,7 @@
   }
 
   /** Resolves when all work that is under way now has ended; other work may have begun meanwhile. */
-  async whenPresentEnds (): Promise<void> {
+  async whenCurrentWorkEnds (): Promise<void> {
     this.#generation += 1
     this.#earlier = this.#underWay
     await new Promise<void>(resolve => {
--- a/packages/daemon/src/lib/optimizeLater.ts
+++ b/packages/daemon/src/lib/delayOptimization.ts
@@ -10,6 +10,6 @@
  * Has functions optimized later. Call once programs are loaded: the engine rejects compiled code that was kept
  * under other flags, that of Node.js itself as well.
  */
-export function optimizeLater (): void {
+export function delayOptimization (): void {
   setFlagsFromString(`--interrupt-budget=${INTERRUPT_BUDGET_BYTES}`)
 }
--- a/packages/daemon/src/lib/runDaemon.ts
+++ b/packages/daemon/src/lib/runDaemon.ts
@@ -133,7 +133,7 @@
   const fail = (error: unknown): void => {
     const invariant = error instanceof InvariantViolation ? error.invariant : 'unexpected-error'
     invariants.count(invariant)
-    telemetry.fault('fatal', { invariant, message: String(error) })
+    telemetry.logFault('fatal', { invariant, message: String(error) })
     process.stderr.write(`${program.name}: ${error instanceof Error ? error.stack ?? error.message : String(error)}\n`)
     telemetry.writeOut()
     process.exit(EXIT_FATAL)
@@ -153,18 +153,18 @@
   const admin = await startAdminServer(settings.host, settings.adminPort, telemetry, () => !draining && daemon.isReady())
   const addresses = { ...daemon.addresses, admin: `${settings.host}:${admin.port}` }
   process.stdout.write(`${JSON.stringify({ event: 'listening', program: program.name, ...addresses })}\n`)
-  telemetry.stateChanged('started', addresses)
+  telemetry.logStateChange('started', addresses)
   signals.onCut(() => { telemetry.writeOut() })
   signals.onReload(() => {
-    telemetry.stateChanged('reloading')
+    telemetry.logStateChange('reloading')
     daemon.reload?.()
   })
   const signalledAt = await signals.stopReceived()
   draining = true
   daemon.stopping?.(signalledAt)
-  telemetry.stateChanged('draining')
+  telemetry.logStateChange('draining')
   await daemon.drain()
-  telemetry.stateChanged('stopped')
+  telemetry.logStateChange('stopped')
   await daemon.close()
   await admin.close()
   await telemetry.flush(LAST_LINES_MS)
--- a/packages/daemon/src/lib/settings.ts
+++ b/packages/daemon/src/lib/settings.ts
@@ -44,7 +44,7 @@
 }
 
 /** A duration in milliseconds that may be left empty for "without bound". */
-export const boundSetting: z.ZodType<number, unknown> = z.preprocess(
+export const durationLimitSetting: z.ZodType<number, unknown> = z.preprocess(
   given => given === '' ? undefined : given,
   z.coerce.number().min(1).default(Number.POSITIVE_INFINITY)
 )
--- a/packages/durable/src/lib/PersistentImage.ts
+++ b/packages/durable/src/lib/PersistentImage.ts
@@ -23,7 +23,7 @@
   }
 
   /** @param write - the next write */
-  take (write: DurableWrite): void {
+  applyWrite (write: DurableWrite): void {
     switch (write.kind) {
       case 'vote':
         this.#term = write.term
--- a/packages/durable/src/lib/RaftStorage.ts
+++ b/packages/durable/src/lib/RaftStorage.ts
@@ -51,7 +51,7 @@
     const logBytes = await folder.read(LOG_FILE) ?? new Uint8Array()
     const scan = scanRecords(logBytes)
     if (scan.damagedMiddle) return fail({ kind: 'log-damaged', file: LOG_FILE, offset: scan.validLength })
-    for (const payload of scan.payloads) storage.#image.take(decode(payload) as DurableWrite)
+    for (const payload of scan.payloads) storage.#image.applyWrite(decode(payload) as DurableWrite)
     const persisted = storage.#image.state()
     const gap = findGap(persisted)
     if (gap !== undefined) return fail(gap)
@@ -69,7 +69,7 @@
     if (writes.length === 0) return
     let compacts = false
     for (const write of writes) {
-      this.#image.take(write)
+      this.#image.applyWrite(write)
       if (write.kind !== 'snapshot') continue
       compacts = true
       await this.folder.replace(SNAPSHOT_FILE, frameRecord(encode(write.snapshot)))
--- a/packages/rpc/src/lib/methods/controlMethods.ts
+++ b/packages/rpc/src/lib/methods/controlMethods.ts
@@ -182,7 +182,7 @@
 
 export const exchangeRaft = defineUnary('/eelgrassmux.Control/ExchangeRaft', raftEnvelopeSchema, emptySchema)
 /** Likewise for messages that may be lost and fit into a datagram; nothing is answered. */
-export const tellRaft = defineDatagram(RAFT_KIND, 'raft', raftEnvelopeSchema, emptySchema)
+export const sendRaftMessage = defineDatagram(RAFT_KIND, 'raft', raftEnvelopeSchema, emptySchema)
 export const propose = defineUnary('/eelgrassmux.Control/Propose', z.strictObject({ command: commandSchema }), proposeResponseSchema)
 /** Kind of the datagrams in which hosts report; those of load reports have another. */
 const STATUS_KIND = 1
--- a/packages/rpc/src/lib/methods/entryMethods.ts
+++ b/packages/rpc/src/lib/methods/entryMethods.ts
@@ -18,7 +18,7 @@
   dispatches: z.array(z.strictObject({ engine: z.string(), tokens: z.number().min(0), ageMs: z.number().min(0) }))
 })
 
-export const noticeDispatches = defineUnary('/eelgrassmux.Entry/NoticeDispatches', dispatchNoticeSchema, z.strictObject({}))
+export const notifyDispatches = defineUnary('/eelgrassmux.Entry/NoticeDispatches', dispatchNoticeSchema, z.strictObject({}))
 export const readRun = defineStream('/eelgrassmux.Entry/ReadRun', readRunRequestSchema, runEventSchema)
 
 export type DispatchNotice = z.infer<typeof dispatchNoticeSchema>
--- a/packages/rpc/src/lib/methods/loadMethods.ts
+++ b/packages/rpc/src/lib/methods/loadMethods.ts
@@ -13,7 +13,7 @@
 const bytes: MessageCodec<Uint8Array> = { encode: totals => totals, decode: totals => totals }
 
 /** A report, answered by the totals of all hosts. */
-export const askLoad: DatagramMethod<LoadReport, Uint8Array> = { kind: ASK_KIND, name: 'ask-load', request: report, response: bytes }
+export const exchangeLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: ASK_KIND, name: 'ask-load', request: report, response: bytes }
 
 /** A report that needs no answer. */
-export const tellLoad: DatagramMethod<LoadReport, Uint8Array> = { kind: TELL_KIND, name: 'tell-load', request: report, response: bytes }
+export const sendLoadReport: DatagramMethod<LoadReport, Uint8Array> = { kind: TELL_KIND, name: 'tell-load', request: report, response: bytes }
--- a/packages/telemetry/src/lib/RejectedEntries.ts
+++ b/packages/telemetry/src/lib/RejectedEntries.ts
@@ -48,7 +48,7 @@
    * @param rejected - all rejected entries of this reading
    * @param now - monotonic milliseconds
    */
-  note (source: string, rejected: readonly RejectedEntry[], now: number): void {
+  record (source: string, rejected: readonly RejectedEntry[], now: number): void {
     const [first] = rejected
     if (first === undefined) return
     this.#counter.count(source, rejected.length)
@@ -56,6 +56,6 @@
     const said = this.#said.get(source)
     if (said !== undefined && (said.entries === entries || now - said.at < LINE_INTERVAL_MS)) return
     this.#said.set(source, { entries, at: now })
-    this.telemetry.stateChanged('entries-rejected', { source, entries: rejected.length, reason: first.reason, excerpt: first.excerpt })
+    this.telemetry.logStateChange('entries-rejected', { source, entries: rejected.length, reason: first.reason, excerpt: first.excerpt })
   }
 }
--- a/packages/telemetry/src/lib/Telemetry.ts
+++ b/packages/telemetry/src/lib/Telemetry.ts
@@ -54,7 +54,7 @@
     this.#log = Roarr.child({ program })
     this.#writer = new BoundedLogWriter(undefined, count => describeDroppedLines(program, count))
     ROARR.write = message => { this.#writer.write(message) }
-    this.#requestLines = new RequestLineLimit(limits.logLinesPerSecond, count => { this.stateChanged('request-lines-left-out', { count }) })
+    this.#requestLines = new RequestLineLimit(limits.logLinesPerSecond, count => { this.logStateChange('request-lines-left-out', { count }) })
     this.gauge('request_lines_left_out', 'Lines about requests beyond the most in a second', () => this.#requestLines.leftOut)
     this.gauge('log_lines_dropped', 'Log lines dropped because nobody read them', () => this.#writer.dropped)
   }
@@ -116,7 +116,7 @@
    *
    * @param requestId - the caller's id
    */
-  keepsStory (requestId: string): boolean {
+  isSampled (requestId: string): boolean {
     let hash = 0
     for (let at = 0; at < requestId.length; at += 1) hash = (Math.imul(hash, 31) + requestId.charCodeAt(at)) | 0
     return (hash >>> 0) % this.limits.keptStories === 0
@@ -129,7 +129,7 @@
    * @param requestId - the caller's id of the attempt
    * @param fields - inputs that decided, their age or version, and the outcome
    */
-  decided<Event extends DecisionEvent> (event: Event, requestId: string, fields: DecisionFields<Event> & RequestFields): void {
+  logDecision<Event extends DecisionEvent> (event: Event, requestId: string, fields: DecisionFields<Event> & RequestFields): void {
     if (!this.#requestLines.admits(ORDINARY_EVENTS.has(event), performance.now())) return
     this.#log.info({ event, request: requestId, ...fields }, event)
   }
@@ -140,7 +140,7 @@
    * @param event - name of the change in the catalogue
    * @param fields - values that explain it
    */
-  stateChanged<Event extends ChangeEvent> (event: Event, ...[fields]: FieldArguments<ChangeFields<Event>>): void {
+  logStateChange<Event extends ChangeEvent> (event: Event, ...[fields]: FieldArguments<ChangeFields<Event>>): void {
     this.#log.info({ event, ...fields }, event)
   }
 
@@ -159,7 +159,7 @@
    * @param event - name of the fault in the catalogue
    * @param fields - values that explain it
    */
-  fault<Event extends FaultEvent> (event: Event, ...[fields]: FieldArguments<FaultFields<Event>>): void {
+  logFault<Event extends FaultEvent> (event: Event, ...[fields]: FieldArguments<FaultFields<Event>>): void {
     this.#log.error({ event, ...fields }, event)
   }
 
--- a/packages/telemetry/src/lib/events/eventFields.test.ts
+++ b/packages/telemetry/src/lib/events/eventFields.test.ts
@@ -11,41 +11,41 @@
 
   it('refuses names that are not in the catalogue, or of another kind of line', () => {
     // @ts-expect-error misspelt
-    telemetry.decided('refuse', 'r1', { reason: 'draining', status: 503, run: 'not-run', detail: '' })
+    telemetry.logDecision('refuse', 'r1', { reason: 'draining', status: 503, run: 'not-run', detail: '' })
     // @ts-expect-error a change, not a decision
-    telemetry.decided('site-in-force', 'r1', { version: 1, routes: 1, view: 1 })
+    telemetry.logDecision('site-in-force', 'r1', { version: 1, routes: 1, view: 1 })
     // @ts-expect-error a decision, not a change
-    telemetry.stateChanged('retry-budget-used-up', { failure: 'lost' })
+    telemetry.logStateChange('retry-budget-used-up', { failure: 'lost' })
     // @ts-expect-error a change, not a fault
-    telemetry.fault('stopped')
+    telemetry.logFault('stopped')
   })
 
   it('refuses fields that are missing, misspelt, of another type or of another event', () => {
     // @ts-expect-error no detail
-    telemetry.decided('refused', 'r1', { reason: 'draining', status: 503, run: 'not-run' })
+    telemetry.logDecision('refused', 'r1', { reason: 'draining', status: 503, run: 'not-run' })
     // @ts-expect-error text for a number
-    telemetry.decided('refused', 'r1', { reason: 'draining', status: '503', run: 'not-run', detail: '' })
+    telemetry.logDecision('refused', 'r1', { reason: 'draining', status: '503', run: 'not-run', detail: '' })
     // @ts-expect-error no such run state
-    telemetry.decided('refused', 'r1', { reason: 'draining', status: 503, run: 'perhaps', detail: '' })
+    telemetry.logDecision('refused', 'r1', { reason: 'draining', status: 503, run: 'perhaps', detail: '' })
     // @ts-expect-error a field of another event
-    telemetry.decided('retry-budget-used-up', 'r1', { failure: 'lost', open: 1 })
+    telemetry.logDecision('retry-budget-used-up', 'r1', { failure: 'lost', open: 1 })
     // @ts-expect-error misspelt field of all decisions
-    telemetry.decided('retry-budget-used-up', 'r1', { failure: 'lost', siteversion: 1 })
+    telemetry.logDecision('retry-budget-used-up', 'r1', { failure: 'lost', siteversion: 1 })
     // @ts-expect-error no fields at all
-    telemetry.stateChanged('site-in-force')
+    telemetry.logStateChange('site-in-force')
     // @ts-expect-error one field too many
-    telemetry.stateChanged('site-in-force', { version: 1, routes: 1, view: 1, more: 1 })
+    telemetry.logStateChange('site-in-force', { version: 1, routes: 1, view: 1, more: 1 })
     // @ts-expect-error no field belongs here
-    telemetry.stateChanged('stopped', { version: 1 })
+    telemetry.logStateChange('stopped', { version: 1 })
     // @ts-expect-error no message
-    telemetry.fault('fatal', { invariant: 'x' })
+    telemetry.logFault('fatal', { invariant: 'x' })
   })
 
   it('takes what is right', () => {
-    telemetry.decided('retry-budget-used-up', 'r1', { failure: 'lost', route: 'a', service: 'b', siteVersion: 1, sends: 1, runs: 1, elapsedMs: 1 })
-    telemetry.stateChanged('stopped')
-    telemetry.stateChanged('endpoint-list-lost', { reason: 'timeout' })
-    telemetry.fault('fatal', { invariant: 'x', message: 'y' })
+    telemetry.logDecision('retry-budget-used-up', 'r1', { failure: 'lost', route: 'a', service: 'b', siteVersion: 1, sends: 1, runs: 1, elapsedMs: 1 })
+    telemetry.logStateChange('stopped')
+    telemetry.logStateChange('endpoint-list-lost', { reason: 'timeout' })
+    telemetry.logFault('fatal', { invariant: 'x', message: 'y' })
     expectTypeOf<DecisionFields<'retry-budget-used-up'>>().toEqualTypeOf<{ failure: string }>()
   })
 })
