--- a/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
+++ b/apps/bench/src/lib/measure/measureQuarantineSlopes.ts
@@ -7,7 +7,7 @@
 import { requestFingerprint } from '@eelgrassmux/routing/quarantine/requestFingerprint'
 import { encodeMessage } from '@eelgrassmux/rpc/RpcMethod'
 import type { QuarantineEntry } from '@eelgrassmux/schema/quarantineEntry'
-import { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
+import { QuarantineRegistry } from '@eelgrassmux/state/QuarantineRegistry'
 import type { Point } from './fit.js'
 import { measureHeap } from './measureHeap.js'
 import { slopeReport } from './slopeReport.js'
@@ -70,8 +70,8 @@
   return evidence
 }
 
-function buildRegister (size: number): QuarantineRegister {
-  const register = new QuarantineRegister()
+function buildRegister (size: number): QuarantineRegistry {
+  const register = new QuarantineRegistry()
   register.restore(Array.from({ length: size }, (_, number): QuarantineEntry =>
     ({ fingerprint: fingerprintOf(number), service: 'model-pool', state: 'quarantined', endsAt: 1_790_000_000_000 + number, quarantines: 1 })))
   return register
@@ -79,7 +79,7 @@
 
 function timeDecision (size: number): Point {
   const correlator = buildCorrelator(size)
-  const agreed = new QuarantineRegister()
+  const agreed = new QuarantineRegistry()
   for (const endpoint of correlator.unconfirmedCrashes(agreed)) correlator.recordCrashCheck(endpoint, true, 0)
   const now = size / REQUESTS_PER_CRASH * CRASH_INTERVAL_MS
   const startedAt = performance.now()
--- a/apps/control/src/lib/quarantine/QuarantineTask.ts
+++ b/apps/control/src/lib/quarantine/QuarantineTask.ts
@@ -10,7 +10,7 @@
 import type { RpcServer } from '@eelgrassmux/rpc/RpcServer'
 import type { QuarantineDecision } from '@eelgrassmux/schema/quarantineEntry'
 import type { Command } from '@eelgrassmux/state/commands'
-import type { QuarantineRegister } from '@eelgrassmux/state/QuarantineRegister'
+import type { QuarantineRegistry } from '@eelgrassmux/state/QuarantineRegistry'
 import type { LabelledCounter, Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { CrashChecker } from './CrashChecker.js'
 import type { CrashDetector } from './CrashDetector.js'
@@ -33,7 +33,7 @@
 /** Dependencies of the task. */
 export interface QuarantinePorts {
   isLeader (): boolean
-  readonly register: QuarantineRegister
+  readonly register: QuarantineRegistry
   propose (command: Command): Promise<unknown>
   readonly detector: CrashDetector
   readonly telemetry: Telemetry
@@ -160,7 +160,7 @@
   }
 
   #expire (): void {
-    const { nextEndAt } = this.ports.register
+    const { nextExpiryAt: nextEndAt } = this.ports.register
     if (nextEndAt === undefined || nextEndAt > Date.now() || !this.ports.isLeader()) return
     void this.ports.propose({ kind: 'expire-quarantine' })
   }
--- a/apps/control/src/lib/raft/MembershipTask.ts
+++ b/apps/control/src/lib/raft/MembershipTask.ts
@@ -72,7 +72,7 @@
     if (surplus === undefined) return
     const error = await this.raft.change((group, now) => removeIfStillSurplus(group, surplus.id, this.targetVoters, now))
     this.telemetry.logStateChange('replica-removed', {
-      replica: surplus.id, address: surplus.address, silentMs: Math.round(core.silentFor(surplus.id, performance.now())), outcome: error?.kind ?? 'proposed'
+      replica: surplus.id, address: surplus.address, silentMs: Math.round(core.silenceMs(surplus.id, performance.now())), outcome: error?.kind ?? 'proposed'
     })
   }
 
--- a/apps/control/src/lib/raft/surplusReplicas.ts
+++ b/apps/control/src/lib/raft/surplusReplicas.ts
@@ -28,7 +28,7 @@
 export function findSurplusReplica (core: RaftCore, targetVoters: number, now: number): Replica | undefined {
   if (core.role !== 'leader' || core.isMembershipPending) return undefined
   const { voters, learners } = core.membership
-  const silence = (replica: Replica): number => core.silentFor(replica.id, now)
+  const silence = (replica: Replica): number => core.silenceMs(replica.id, now)
   if (voters.length > targetVoters) {
     const mostSilent = [...voters].sort((left, right) => silence(right) - silence(left))[0]
     if (mostSilent !== undefined && silence(mostSilent) > SURPLUS_VOTER_SILENCE_MS) return mostSilent
--- a/apps/control/src/lib/rollout/RolloutPlan.ts
+++ b/apps/control/src/lib/rollout/RolloutPlan.ts
@@ -8,7 +8,7 @@
  */
 import { isLaterStart } from '@eelgrassmux/schema/site/isLaterStart'
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
-import type { NamedWeights } from '@eelgrassmux/state/commands'
+import type { DesiredWeights } from '@eelgrassmux/state/commands'
 import { planLoads, type LoadTarget, type ObservedEngine } from '../orders/planLoads.js'
 
 /** Status that an engine reports. */
@@ -148,7 +148,7 @@
    * @param mayOrder - whether this host may send orders now
    * @param now - monotonic milliseconds
    */
-  next (weights: readonly NamedWeights[], endpoints: readonly ListedEndpoint[], mayOrder: boolean, now: number): RolloutSteps {
+  next (weights: readonly DesiredWeights[], endpoints: readonly ListedEndpoint[], mayOrder: boolean, now: number): RolloutSteps {
     const polls: ListedEndpoint[] = []
     const orders: LoadOrder[] = []
     for (const { id, startedAtMs } of endpoints) {
--- a/apps/entry/src/lib/EntryDaemon.ts
+++ b/apps/entry/src/lib/EntryDaemon.ts
@@ -139,7 +139,7 @@
   })
   const port = await callers.listen(settings.host, settings.port)
 
-  link.onLeader(() => { crashReporter.leaderChanged() })
+  link.onLeaderChange(() => { crashReporter.leaderChanged() })
   link.onChange(() => {
     fleet.configure(link.configuration)
     fleet.evacuate(link.configuration, link.evacuated)
--- a/apps/entry/src/lib/GracefulShutdown.test.ts
+++ b/apps/entry/src/lib/GracefulShutdown.test.ts
@@ -9,7 +9,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { connect, type Socket } from 'node:net'
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
-import { answerOk, EndpointStandin, rejectNotRun, streamEvent, type Behaviour } from './routed/harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, rejectNotExecuted, streamEvent, type Behaviour } from './routed/harness/FakeEndpoint.js'
 import { PLAIN_HEADERS } from './routed/harness/PlainCodec.js'
 import { BALANCER_LAG_MS, RoutedHost, type RoutedHostOptions } from './routed/harness/RoutedHost.js'
 import { TEST_SITE, testRoute } from './routed/harness/testSite.js'
@@ -18,7 +18,7 @@
 const byPath: Behaviour = (request, response, body) => {
   if (request.url?.startsWith('/silent/') === true) return
   if (request.url?.startsWith('/resumable/') !== true) {
-    answerOk(request, response, body)
+    respondOk(request, response, body)
     return
   }
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
@@ -51,13 +51,13 @@
 
 describe('GracefulShutdown', () => {
   let host: RoutedHost
-  let endpoint: EndpointStandin
+  let endpoint: FakeEndpoint
   let headCame: () => void
   let whenHeadCame: Promise<void>
 
   async function serve (behaviour: Behaviour, options: RoutedHostOptions, endpoints = 1): Promise<void> {
-    const standins = Array.from({ length: endpoints }, (_, number) => new EndpointStandin(`e${number}`, behaviour))
-    endpoint = standins[0] ?? new EndpointStandin('none', behaviour)
+    const standins = Array.from({ length: endpoints }, (_, number) => new FakeEndpoint(`e${number}`, behaviour))
+    endpoint = standins[0] ?? new FakeEndpoint('none', behaviour)
     host = new RoutedHost(standins, { site: SITE, ...options })
     await host.start()
   }
@@ -70,7 +70,7 @@
 
   /** @returns status, and whether the answer was complete */
   async function ask (path: string): Promise<{ readonly status: number, readonly isWhole: boolean }> {
-    const { status, isWhole } = await host.ask(path, () => { headCame() })
+    const { status, isWhole } = await host.sendRequest(path, () => { headCame() })
     return { status, isWhole }
   }
 
@@ -86,17 +86,17 @@
       host.stop.begin(performance.now() - BALANCER_LAG_MS, host.server)
       void host.stop.drain(host.server)
       const asked = ask('/resumable/1')
-      await Promise.race([asked, endpoint.whenSeen()])
+      await Promise.race([asked, endpoint.nextRequest()])
       // The platform kills the process at the end of the grace period.
       await host.server.close()
       expect(await asked).toEqual({ status: 503, isWhole: true })
-      expect(endpoint.seen).toHaveLength(0)
+      expect(endpoint.receivedRequests).toHaveLength(0)
     })
 
     it('serves requests that will end in time while earlier work keeps the process running', async () => {
       await serve(byPath, { graceMs: 60_000 })
       const earlier = ask('/resumable/1')
-      await endpoint.whenSeen()
+      await endpoint.nextRequest()
       host.stop.begin(performance.now(), host.server)
       const drained = host.stop.drain(host.server)
       expect(await ask('/safe/2')).toEqual({ status: 200, isWhole: true })
@@ -116,7 +116,7 @@
       const caller = await openRaw()
       caller.pause()
       caller.write(rawRequest('/safe/1'))
-      await endpoint.whenSeen()
+      await endpoint.nextRequest()
       host.stop.begin(performance.now(), host.server)
       const closed = host.stop.drain(host.server).then(async () => { await host.server.close() })
       await sleep(1000)
@@ -176,7 +176,7 @@
       const rejectOnceStopping: Behaviour = (request, response, body) => {
         served += 1
         if (!host.stop.isStopping) host.stop.begin(performance.now() - 55_000, host.server)
-        rejectNotRun(request, response, body)
+        rejectNotExecuted(request, response, body)
       }
       await serve(rejectOnceStopping, { graceMs: 60_000 }, 2)
       expect(await ask('/resumable/1')).toEqual({ status: 503, isWhole: true })
@@ -187,8 +187,8 @@
     it('accepts a stream within the lag of the balancer, and asks its caller to close the connection', async () => {
       await serve(byPath, { graceMs: 5000 })
       host.stop.begin(performance.now(), host.server)
-      const asked = host.ask('/resumable/1')
-      await endpoint.whenSeen()
+      const asked = host.sendRequest('/resumable/1')
+      await endpoint.nextRequest()
       endpoint.finishStreams()
       expect(await asked).toMatchObject({ status: 200, isWhole: true, connection: 'close' })
     })
@@ -202,7 +202,7 @@
       const begun = ask('/resumable/1')
       await whenHeadCame
       const silent = ask('/silent/2')
-      await endpoint.whenSeen()
+      await endpoint.nextRequest()
       host.stop.begin(performance.now(), host.server)
       await host.stop.drain(host.server)
       expect(await begun).toEqual({ status: 200, isWhole: false })
--- a/apps/entry/src/lib/RoutedDaemon.ts
+++ b/apps/entry/src/lib/RoutedDaemon.ts
@@ -83,7 +83,7 @@
   const mechanisms = composeMechanisms(new Set(settings.leaveOut))
   const liveHosts = (): number => link.liveEntries
   const fleet = new RoutedFleet(settings.dataCentre, liveHosts, telemetry, mechanisms, address)
-  const stored = link.followStores({
+  const stored = link.followStoredParts({
     reset: () => { fleet.storedParts.clear() },
     apply: change => { fleet.storedParts.apply(change) }
   })
@@ -92,13 +92,13 @@
     aggregatorAddress: () => link.leader,
     liveHosts: () => link.liveEntries,
     ownWork: () => fleet.ownWork(),
-    others: fleet.others,
+    others: fleet.otherHostsLoad,
     onAnswer: () => {
-      fleet.noteObservations()
+      fleet.applyObservations()
       server.releaseWaiting()
     }
   }, telemetry)
-  fleet.onWork(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
+  fleet.onWorkChange(change => { if (change === 'sent') loads.noteSend(); else loads.noteChange() })
   loads.start()
   const mayAct = (): boolean => settings.staleView === 'serve' ? link.site !== undefined : link.isReady()
   const crashReporter = new CrashReporter(address, { rpc, leader: () => link.leader, telemetry })
@@ -114,17 +114,17 @@
     regions: new Map(Object.entries(settings.dataCentres)),
     budget: { ratio: settings.retryRatio, slack: settings.retrySlack },
     liveHosts: () => link.liveEntries,
-    leftMsOn: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
+    remainingMsForVersion: (model, version) => olderWeights.remainingMs(model, version, performance.now()),
     desiredVersion: model => link.weights.find(named => named.model === model)?.version ?? 1,
-    mayAct,
+    isSiteUsable: mayAct,
     // Without a current confirmation from the control hosts, stored parts may have been freed already.
-    storesUsable: now => mechanisms.usesStores && stored.isVouched(now),
+    areStoresUsable: now => mechanisms.usesStores && stored.isLeaseValid(now),
     storeClockMs: now => stored.storeClockMs(now),
-    beforePlacing: place => { loads.beforePlacing(place) },
-    isLagging: () => link.lagMs > EVENT_LOOP_LAG_LIMIT_MS
+    withRecentLoad: place => { loads.beforePlacing(place) },
+    isLagging: () => link.eventLoopLagMs > EVENT_LOOP_LAG_LIMIT_MS
   }, mechanisms.waitsForSite ? 0 : Number.NEGATIVE_INFINITY)
   const port = await server.listen(settings.host, settings.port, platform.earlyListener)
-  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.isKnown && mayAct()
+  const isReady = (): boolean => !stop.isStopping && server.isConfigured && fleet.hasEndpoints && mayAct()
   const platformServers = await platform.openPlatformServers(isReady)
 
   let siteVersion = -1
@@ -135,7 +135,7 @@
     fleet.configure(site)
     telemetry.logStateChange('site-in-force', { version: site.version, routes: site.routes.length, view: link.viewRevision })
   }
-  link.onLeader(() => { crashReporter.leaderChanged() })
+  link.onLeaderChange(() => { crashReporter.leaderChanged() })
   link.onChange(() => {
     olderWeights.observe(link.weights, performance.now())
     quarantine.logChanges(link.viewRevision, performance.now())
--- a/apps/entry/src/lib/quarantine/quarantine.test.ts
+++ b/apps/entry/src/lib/quarantine/quarantine.test.ts
@@ -7,7 +7,7 @@
 import { fail, succeed } from '@eelgrassmux/schema/Result'
 import type { QuarantineState } from '@eelgrassmux/schema/quarantineEntry'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
-import { answerOk, EndpointStandin, resetConnection, streamEvent, type Behaviour } from '../routed/harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, resetConnection, streamEvent, type Behaviour } from '../routed/harness/FakeEndpoint.js'
 import { RoutedHost } from '../routed/harness/RoutedHost.js'
 import { CrashReporter } from './CrashReporter.js'
 import { RequestQuarantine } from './RequestQuarantine.js'
@@ -19,16 +19,16 @@
   readonly lost: LostRequest[] = []
   readonly whole: string[] = []
   readonly table = new QuarantineTable()
-  readonly endpoints: EndpointStandin[]
+  readonly endpoints: FakeEndpoint[]
   readonly host: RoutedHost
 
   constructor (...behaviours: Behaviour[]) {
-    this.endpoints = behaviours.map((behaviour, index) => new EndpointStandin(`e${index}`, behaviour))
+    this.endpoints = behaviours.map((behaviour, index) => new FakeEndpoint(`e${index}`, behaviour))
     const reporter = { noteLost: (run: LostRequest) => { this.lost.push(run) }, noteWhole: (fingerprint: string) => { this.whole.push(fingerprint) } }
     this.host = new RoutedHost(this.endpoints, { quarantine: new RequestQuarantine(this.table, reporter, new Telemetry('test')) })
   }
 
-  get seen (): number { return this.endpoints.reduce((sum, { seen }) => sum + seen.length, 0) }
+  get seen (): number { return this.endpoints.reduce((sum, { receivedRequests: seen }) => sum + seen.length, 0) }
 
   setQuarantineState (fingerprint: string, state: QuarantineState): void {
     this.table.replace([{ fingerprint, service: 'app', state, quarantines: 1, leftMs: 15 * MINUTE_MS }], performance.now())
@@ -38,8 +38,8 @@
   async fingerprintOf (path: string): Promise<string> {
     const behaviours = this.endpoints.map(({ behaviour }) => behaviour)
     for (const endpoint of this.endpoints) endpoint.behaviour = resetConnection
-    await this.host.ask(path)
-    for (const [index, endpoint] of this.endpoints.entries()) endpoint.behaviour = behaviours[index] ?? answerOk
+    await this.host.sendRequest(path)
+    for (const [index, endpoint] of this.endpoints.entries()) endpoint.behaviour = behaviours[index] ?? respondOk
     return this.lost.splice(0)[0]?.fingerprint ?? ''
   }
 }
@@ -61,15 +61,15 @@
   describe('reports a request that was lost with its endpoint', () => {
     it('once for each endpoint, with a fingerprint that does not depend on the request id', async () => {
       const { host, lost } = await hostWith(resetConnection, resetConnection)
-      await host.ask('/safe/a')
-      await host.ask('/safe/a')
+      await host.sendRequest('/safe/a')
+      await host.sendRequest('/safe/a')
       expect(new Set(lost.map(({ fingerprint }) => fingerprint)).size).toBe(1)
       expect(new Set(lost.map(({ endpoint }) => endpoint))).toEqual(new Set(['e0', 'e1']))
     })
 
     it('with different fingerprints for different requests', async () => {
       const { host, lost } = await hostWith(resetConnection)
-      for (const path of ['/unsafe/a', '/unsafe/b']) await host.ask(path)
+      for (const path of ['/unsafe/a', '/unsafe/b']) await host.sendRequest(path)
       expect(new Set(lost.map(({ fingerprint }) => fingerprint)).size).toBe(2)
     })
 
@@ -79,18 +79,18 @@
         response.end()
       }
       const { host, lost } = await hostWith(failing)
-      await host.ask('/unsafe/a')
+      await host.sendRequest('/unsafe/a')
       expect(lost).toEqual([])
     })
   })
 
   describe('rejects a quarantined request', () => {
     it('immediately, as not run, with the remaining time', async () => {
-      const harness = await hostWith(answerOk)
+      const harness = await hostWith(respondOk)
       const fingerprint = await harness.fingerprintOf('/unsafe/a')
       const before = harness.seen
       harness.setQuarantineState(fingerprint, 'quarantined')
-      const answer = await harness.host.ask('/unsafe/a')
+      const answer = await harness.host.sendRequest('/unsafe/a')
       expect(answer.status).toBe(503)
       const problem = JSON.parse(answer.body) as Record<string, unknown>
       expect(problem).toMatchObject({ run: 'not-run' })
@@ -102,14 +102,14 @@
     })
 
     it('and serves all other requests', async () => {
-      const harness = await hostWith(answerOk)
+      const harness = await hostWith(respondOk)
       harness.setQuarantineState(await harness.fingerprintOf('/unsafe/a'), 'quarantined')
-      expect((await harness.host.ask('/unsafe/b')).status).toBe(200)
-      expect((await harness.host.ask('/safe/a')).status).toBe(200)
+      expect((await harness.host.sendRequest('/unsafe/b')).status).toBe(200)
+      expect((await harness.host.sendRequest('/safe/a')).status).toBe(200)
     })
 
     it('also before a retry at another endpoint', async () => {
-      const harness = await hostWith(answerOk, answerOk)
+      const harness = await hostWith(respondOk, respondOk)
       const fingerprint = await harness.fingerprintOf('/safe/a')
       const before = harness.seen
       const quarantineThenReset: Behaviour = (request, response, body) => {
@@ -117,14 +117,14 @@
         resetConnection(request, response, body)
       }
       for (const endpoint of harness.endpoints) endpoint.behaviour = quarantineThenReset
-      const answer = await harness.host.ask('/safe/a')
+      const answer = await harness.host.sendRequest('/safe/a')
       // The request may have run once, so the answer may not claim that it did not.
       expect(answer.status).toBe(502)
       expect(harness.seen).toBe(before + 1)
     })
 
     it('also before a started stream is resumed at another endpoint', async () => {
-      const harness = await hostWith(answerOk, answerOk)
+      const harness = await hostWith(respondOk, respondOk)
       const fingerprint = await harness.fingerprintOf('/resumable/a')
       const before = harness.seen
       for (const endpoint of harness.endpoints) {
@@ -135,17 +135,17 @@
           setTimeout(() => { request.socket.resetAndDestroy() }, 50)
         }
       }
-      const answer = await harness.host.ask('/resumable/a')
+      const answer = await harness.host.sendRequest('/resumable/a')
       expect(answer.isWhole).toBe(false)
       expect(harness.seen).toBe(before + 1)
     })
 
     it.each(['suspected', 'released'] as const)('but runs a request that is only %s, and reports its completion', async state => {
-      const harness = await hostWith(answerOk)
+      const harness = await hostWith(respondOk)
       const fingerprint = await harness.fingerprintOf('/unsafe/a')
       harness.setQuarantineState(fingerprint, state)
-      expect((await harness.host.ask('/unsafe/a')).status).toBe(200)
-      await harness.host.ask('/unsafe/b')
+      expect((await harness.host.sendRequest('/unsafe/a')).status).toBe(200)
+      await harness.host.sendRequest('/unsafe/b')
       expect(harness.whole).toEqual([fingerprint])
     })
   })
--- a/apps/entry/src/lib/routed/AttemptSender.ts
+++ b/apps/entry/src/lib/routed/AttemptSender.ts
@@ -43,7 +43,7 @@
     const { fleet, codec } = this.ports
     fleet.limits.noteSend(attempt.choice.endpoint, now)
     const fields = endpointFields(this.request, attempt.choice, fleet, { ...state, prompt: this.prompt }, now)
-    attempt.send(this.exchange.toEndpoint(headers => codec.writeEndpoint(headers, fields), this.request.body))
+    attempt.send(this.exchange.toEndpoint(headers => codec.writeRequestHeaders(headers, fields), this.request.body))
     this.prompt?.recordSend(attempt.choice)
   }
 }
--- a/apps/entry/src/lib/routed/RequestCodec.ts
+++ b/apps/entry/src/lib/routed/RequestCodec.ts
@@ -40,7 +40,7 @@
 }
 
 /** What an endpoint states in the headers of an answer. */
-export interface AnswerFields {
+export interface ResponseFields {
   readonly requestId: string | undefined
   /** The endpoint certainly did not run the request. */
   readonly isNotExecuted: boolean
@@ -60,16 +60,16 @@
 /** Translates headers; lists of names and values by turns, as they came. */
 export interface RequestCodec {
   /** @param headers - of a caller's request */
-  readCaller (headers: readonly string[]): CallerFields
+  readRequestHeaders (headers: readonly string[]): CallerFields
   /**
    * @param headers - of the caller's request
    * @param fields - what the product adds or replaces
    * @returns headers for the endpoint
    */
-  writeEndpoint (headers: readonly string[], fields: EndpointFields): string[]
+  writeRequestHeaders (headers: readonly string[], fields: EndpointFields): string[]
   /**
    * @param status - of the endpoint's answer
    * @param headers - of the endpoint's answer
    */
-  readAnswer (status: number, headers: readonly string[]): AnswerFields
+  readResponseHeaders (status: number, headers: readonly string[]): ResponseFields
 }
--- a/apps/entry/src/lib/routed/RoutedAttempt.ts
+++ b/apps/entry/src/lib/routed/RoutedAttempt.ts
@@ -3,14 +3,14 @@
 import type { AttemptFailure } from '@eelgrassmux/routing/attempts/decideRetry'
 import type { CancelRequest, EndpointConnection, EndpointRequest } from './EndpointConnection.js'
 import type { EndpointConnections } from './EndpointConnections.js'
-import type { AnswerFields, RequestCodec } from './RequestCodec.js'
+import type { ResponseFields, RequestCodec } from './RequestCodec.js'
 import type { RoutedFleet } from './RoutedFleet.js'
 
 /** An answer's head, read. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: readonly string[]
-  readonly fields: AnswerFields
+  readonly fields: ResponseFields
 }
 
 /** Told of the answer; after `failed` or `complete` nothing more comes. */
@@ -105,7 +105,7 @@
   #onHead (status: number, headers: string[], resume: () => void): void {
     if (this.#hasCrashed) return
     this.choice.endpoint.observeBytes(performance.now())
-    const fields = this.codec.readAnswer(status, headers)
+    const fields = this.codec.readResponseHeaders(status, headers)
     if (fields.requestId !== undefined && fields.requestId !== this.requestId) {
       // An extra answer to an earlier request: what follows on this connection can't be trusted.
       this.#fail('lost', `the answer bears the id ${fields.requestId}`)
--- a/apps/entry/src/lib/routed/RoutedFleet.test.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.test.ts
@@ -29,14 +29,14 @@
       const connections = fleet.connectionsTo(former)
       const now = performance.now()
       fleet.memory.recordSend('v1', PARTS, former.incarnation, now)
-      fleet.others.recordOwnReport(1, { work: [], links: [] })
-      fleet.others.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
+      fleet.otherHostsLoad.recordOwnReport(1, { work: [], links: [] })
+      fleet.otherHostsLoad.recordTotals({ sequence: 1, work: [{ ...NO_ENDPOINT_LOAD, endpoint: former.incarnation, inFlight: 40, avoiders: 3 }], links: [] }, now)
       fleet.update([listed(2000)])
       const [present] = fleet.endpointsOf('pool')
       if (present === undefined) throw new Error('no endpoint')
       expect(fleet.connectionsTo(present)).not.toBe(connections)
       expect(fleet.memory.holders('v1', PARTS, now).tokensAt(present.incarnation)).toBe(0)
-      expect(fleet.others.forEndpoint(present.incarnation)).toEqual(NO_ENDPOINT_LOAD)
+      expect(fleet.otherHostsLoad.forEndpoint(present.incarnation)).toEqual(NO_ENDPOINT_LOAD)
     })
 
     it('tells of its own work at the present incarnation only', () => {
--- a/apps/entry/src/lib/routed/RoutedFleet.ts
+++ b/apps/entry/src/lib/routed/RoutedFleet.ts
@@ -51,7 +51,7 @@
   readonly #pool: EndpointPool
   readonly memory = new PromptResidencyTracker()
   readonly limits: EndpointLimits
-  readonly others: PeerLoad
+  readonly otherHostsLoad: PeerLoad
   readonly storedParts = new StoredPartsIndex()
   readonly storeLinks: StoreLinks
   readonly #connections = new Map<string, EndpointConnections>()
@@ -79,7 +79,7 @@
   ) {
     this.#pool = new EndpointPool(mechanisms.createSlownessEstimator)
     this.limits = new EndpointLimits(new ColdEndpointLimiter(host, liveHosts), new SharedRateLimiter(host, liveHosts), () => this.#pool.all, telemetry)
-    this.others = mechanisms.peerLoad
+    this.otherHostsLoad = mechanisms.peerLoad
     this.storeLinks = mechanisms.createStoreLinks(liveHosts)
     this.#opened = telemetry.labelledCounter('endpoint_connections_total', 'Connections opened to endpoints by service', 'service')
     this.#estimateError = telemetry.durationHistogram('first_event_error_seconds', 'By how much first events came before or after their estimate', ESTIMATE_ERROR_BUCKETS)
@@ -127,9 +127,9 @@
   }
 
   /** Whether the work of other hosts is known, so that estimates may decide about refusals. */
-  get isLoadKnown (): boolean { return this.others.isRecent(performance.now()) }
+  get isLoadKnown (): boolean { return this.otherHostsLoad.isRecent(performance.now()) }
   /** Whether any endpoint is known. */
-  get isKnown (): boolean { return this.#pool.all.length > 0 }
+  get hasEndpoints (): boolean { return this.#pool.all.length > 0 }
 
   /** @param listed - the platform's list as last read */
   update (listed: readonly ListedEndpoint[]): void {
@@ -147,20 +147,20 @@
   }
 
   /** Notes what other hosts have told since the last time; call when it was heard. */
-  noteObservations (): void {
+  applyObservations (): void {
     const now = performance.now()
-    for (const change of this.storeLinks.observePeers(this.others.links, now)) this.#logLink(change)
+    for (const change of this.storeLinks.observePeers(this.otherHostsLoad.links, now)) this.#logLink(change)
     this.#noteLimits(now)
     if (now - this.#ejectionsLookedAt < EJECTION_LOOK_MS) return
     this.#ejectionsLookedAt = now
     for (const service of this.#pool.services) {
-      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.others, now)) this.#logEjection(change)
+      for (const change of this.#ejections.detectChanges(this.#pool.ofService(service), this.otherHostsLoad, now)) this.#logEjection(change)
     }
   }
 
   #noteLimits (now: number): void {
-    if (this.others.limits.length === 0) return
-    const stated = new Map(this.others.limits.map(limit => [limit.endpoint, limit]))
+    if (this.otherHostsLoad.limits.length === 0) return
+    const stated = new Map(this.otherHostsLoad.limits.map(limit => [limit.endpoint, limit]))
     for (const endpoint of this.#pool.all) {
       const statement = stated.get(endpoint.incarnation)
       if (statement !== undefined) this.limits.observeStatement(endpoint, statement, now)
@@ -204,7 +204,7 @@
    */
   choose (service: string, ask: Pick<EndpointQuery, 'excluded' | 'prompt' | 'regionBound'>): EndpointChoice | NoEndpointReason {
     const now = performance.now()
-    const others = this.others.isRecent(now) ? this.others : undefined
+    const others = this.otherHostsLoad.isRecent(now) ? this.otherHostsLoad : undefined
     const hasConnection = (endpoint: EndpointState): boolean => this.#connections.get(endpoint.incarnation)?.hasIdle === true
     return chooseEndpoint(this.#pool.ofService(service), {
       ...ask,
@@ -232,11 +232,11 @@
    */
   isSilent (endpoint: EndpointState): boolean {
     const now = performance.now()
-    return endpoint.isSilent(now) || (this.others.isRecent(now) && isUnresponsive(endpoint, this.others.forEndpoint(endpoint.incarnation), now))
+    return endpoint.isSilent(now) || (this.otherHostsLoad.isRecent(now) && isUnresponsive(endpoint, this.otherHostsLoad.forEndpoint(endpoint.incarnation), now))
   }
 
   /** @param listener - told of each change of this host's work at endpoints */
-  onWork (listener: (change: WorkChange) => void): void {
+  onWorkChange (listener: (change: WorkChange) => void): void {
     this.#workListener = listener
   }
 
--- a/apps/entry/src/lib/routed/RoutedServer.test.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.test.ts
@@ -6,7 +6,7 @@
 import { WorkGate } from '@eelgrassmux/daemon/WorkGate'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import { GracefulShutdown } from '../GracefulShutdown.js'
-import { answerOk, EndpointStandin, rejectNotRun, resetConnection, streamEvent, type Behaviour } from './harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, rejectNotExecuted, resetConnection, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
 import { idleQuarantine } from './harness/idleQuarantine.js'
 import { PLAIN_HEADERS, PlainCodec } from './harness/PlainCodec.js'
 import { TEST_SITE } from './harness/testSite.js'
@@ -22,7 +22,7 @@
 
 describe('RoutedServer', () => {
   let port = 0
-  let endpoints: EndpointStandin[] = []
+  let endpoints: FakeEndpoint[] = []
   let server: RoutedServer
   let fleet: RoutedFleet
   let isLagging = false
@@ -32,7 +32,7 @@
     const work = new WorkGate()
     fleet = new RoutedFleet('n', () => 1, telemetry)
     server = new RoutedServer({
-      fleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, leftMsOn: () => Number.POSITIVE_INFINITY, mayAct: () => true, storesUsable: () => false, storeClockMs: () => undefined, beforePlacing: place => { place() }, isLagging: () => isLagging
+      fleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
     })
     port = await server.listen('127.0.0.1', 0)
     server.configure(TEST_SITE)
@@ -45,8 +45,8 @@
     for (const endpoint of endpoints) endpoint.close()
   })
 
-  async function serveBy (...behaviours: Behaviour[]): Promise<EndpointStandin[]> {
-    endpoints = behaviours.map((behaviour, number) => new EndpointStandin(`e${number}`, behaviour))
+  async function serveBy (...behaviours: Behaviour[]): Promise<FakeEndpoint[]> {
+    endpoints = behaviours.map((behaviour, number) => new FakeEndpoint(`e${number}`, behaviour))
     fleet.update(await Promise.all(endpoints.map(async endpoint => await endpoint.listen())))
     return endpoints
   }
@@ -69,23 +69,23 @@
   function once (misbehave: Behaviour): Behaviour {
     let isFirst = true
     return (request, response, body) => {
-      const behaviour = isFirst ? misbehave : answerOk
+      const behaviour = isFirst ? misbehave : respondOk
       isFirst = false
       behaviour(request, response, body)
     }
   }
 
-  function seenBy (all: readonly EndpointStandin[]): number {
-    return all.reduce((sum, endpoint) => sum + endpoint.seen.length, 0)
+  function seenBy (all: readonly FakeEndpoint[]): number {
+    return all.reduce((sum, endpoint) => sum + endpoint.receivedRequests.length, 0)
   }
 
   describe('passing on', () => {
     it('changes neither method, target, body nor the answer', async () => {
-      const [endpoint] = await serveBy(answerOk)
+      const [endpoint] = await serveBy(respondOk)
       const answer = await ask('/unsafe/a%20b?x=1&y=', { method: 'POST', body: 'bytes' })
       expect(answer).toMatchObject({ status: 200, body: 'POST /unsafe/a%20b?x=1&y= bytes', isWhole: true })
       expect(answer.headers['x-stamp']).toBe('s1')
-      expect(endpoint?.seen[0]).toMatchObject({ method: 'POST', target: '/unsafe/a%20b?x=1&y=', body: 'bytes' })
+      expect(endpoint?.receivedRequests[0]).toMatchObject({ method: 'POST', target: '/unsafe/a%20b?x=1&y=', body: 'bytes' })
     })
 
     it('passes events on as they come', async () => {
@@ -105,9 +105,9 @@
     })
 
     it('hands on what is left of the time', async () => {
-      const [endpoint] = await serveBy(answerOk)
+      const [endpoint] = await serveBy(respondOk)
       await ask('/safe/a', { headers: { [PLAIN_HEADERS.deadline]: '700' } })
-      const left = Number(endpoint?.seen[0]?.headers[PLAIN_HEADERS.deadline])
+      const left = Number(endpoint?.receivedRequests[0]?.headers[PLAIN_HEADERS.deadline])
       expect(left).toBeGreaterThan(0)
       expect(left).toBeLessThanOrEqual(700)
     })
@@ -125,7 +125,7 @@
     it('goes to another endpoint when the first says that it did not run it', async () => {
       let isFirst = true
       const rejectFirst: Behaviour = (request, response, body) => {
-        const behaviour = isFirst ? rejectNotRun : answerOk
+        const behaviour = isFirst ? rejectNotExecuted : respondOk
         isFirst = false
         behaviour(request, response, body)
       }
@@ -135,7 +135,7 @@
     })
 
     it('is refused as "not run" when no endpoint ran it', async () => {
-      await serveBy(rejectNotRun, rejectNotRun)
+      await serveBy(rejectNotExecuted, rejectNotExecuted)
       const answer = await ask('/unsafe/a', { method: 'POST' })
       expect(answer.status).toBe(503)
       expect(JSON.parse(answer.body)).toMatchObject({ run: 'not-run' })
@@ -242,7 +242,7 @@
       })
       const answer = await ask('/resumable/a', { method: 'POST' })
       expect(answer).toMatchObject({ status: 200, body: streamEvent(1), isWhole: false })
-      expect(only?.seen).toHaveLength(1)
+      expect(only?.receivedRequests).toHaveLength(1)
     })
 
     it('that may be resumed goes on elsewhere, each event once, half an event never', async () => {
@@ -261,7 +261,7 @@
       const all = await serveBy(serve(firstBreaks), serve(firstBreaks))
       const answer = await ask('/resumable/a', { method: 'POST' })
       expect(answer).toMatchObject({ status: 200, isWhole: true, body: streamEvent(1) + streamEvent(2) + streamEvent(3) + streamEvent(4) })
-      const askedBehind = all.flatMap(endpoint => endpoint.seen.map(seen => seen.headers[PLAIN_HEADERS.lastEvent]))
+      const askedBehind = all.flatMap(endpoint => endpoint.receivedRequests.map(seen => seen.headers[PLAIN_HEADERS.lastEvent]))
       expect(askedBehind.sort()).toEqual(['2', undefined])
     })
   })
@@ -281,7 +281,7 @@
       const request = httpRequest({ host: '127.0.0.1', port, path: '/stream/a', method: 'POST', headers: { host: 'h' } })
       request.on('error', () => {})
       request.end()
-      while (endpoint?.seen.length === 0) await sleep(5)
+      while (endpoint?.receivedRequests.length === 0) await sleep(5)
       request.destroy()
       await sleep(100)
       expect(endpoint?.closedEarly).toBe(1)
@@ -297,7 +297,7 @@
       const work = new WorkGate()
       freshFleet = new RoutedFleet('n', () => 1, telemetry)
       fresh = new RoutedServer({
-        fleet: freshFleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, leftMsOn: () => Number.POSITIVE_INFINITY, mayAct: () => true, storesUsable: () => false, storeClockMs: () => undefined, beforePlacing: place => { place() }, isLagging: () => isLagging
+        fleet: freshFleet, codec: new PlainCodec(), work, stop: new GracefulShutdown(work, { balancerLagMs: 100, graceMs: 1000 }, telemetry), telemetry, quarantine: idleQuarantine(), regions: new Map(), budget: { ratio: 0.2, slack: 20 }, liveHosts: () => 1, desiredVersion: () => 1, remainingMsForVersion: () => Number.POSITIVE_INFINITY, isSiteUsable: () => true, areStoresUsable: () => false, storeClockMs: () => undefined, withRecentLoad: place => { place() }, isLagging: () => isLagging
       }, performance.now())
     })
 
@@ -311,18 +311,18 @@
       await fresh.listen('127.0.0.1', early.port, early)
       answers.push(ask('/safe/c'))
       await sleep(50)
-      endpoints = [new EndpointStandin('e0', answerOk)]
+      endpoints = [new FakeEndpoint('e0', respondOk)]
       fresh.configure(TEST_SITE)
       fresh.releaseWaiting()
       freshFleet.update(await Promise.all(endpoints.map(async endpoint => await endpoint.listen())))
       fresh.releaseWaiting()
       await sleep(20)
       expect(seenBy(endpoints)).toBe(0)
-      freshFleet.others.recordOwnReport(1, { work: [], links: [] })
-      freshFleet.others.recordTotals({ sequence: 1, work: [], links: [] }, performance.now())
+      freshFleet.otherHostsLoad.recordOwnReport(1, { work: [], links: [] })
+      freshFleet.otherHostsLoad.recordTotals({ sequence: 1, work: [], links: [] }, performance.now())
       fresh.releaseWaiting()
       expect((await Promise.all(answers)).map(answer => answer.status)).toEqual([200, 200, 200])
-      expect(endpoints[0]?.seen.map(seen => seen.body)).toEqual(expect.arrayContaining(['bytes', 'bytes']))
+      expect(endpoints[0]?.receivedRequests.map(seen => seen.body)).toEqual(expect.arrayContaining(['bytes', 'bytes']))
     })
 
     it('listens where its settings say, and gives up a port that was opened elsewhere', async () => {
@@ -343,7 +343,7 @@
       expect(answer.status).toBe(503)
       expect(JSON.parse(answer.body)).toMatchObject({ run: 'not-run' })
       await sleep(50)
-      endpoints = [new EndpointStandin('e0', answerOk)]
+      endpoints = [new FakeEndpoint('e0', respondOk)]
       freshFleet.update(await Promise.all(endpoints.map(async endpoint => await endpoint.listen())))
       fresh.configure(TEST_SITE)
       fresh.releaseWaiting()
@@ -366,14 +366,14 @@
     }
 
     it('sends nothing on of a caller that has left meanwhile', async () => {
-      const all = await serveBy(answerOk)
+      const all = await serveBy(respondOk)
       isLagging = true
       await sendAndLeave()
       expect(seenBy(all)).toBe(0)
     })
 
     it('sends nothing on of a caller that leaves while a connection is made', async () => {
-      const all = await serveBy(answerOk)
+      const all = await serveBy(respondOk)
       const socket = connect(port, '127.0.0.1')
       await new Promise(resolve => socket.once('connect', resolve))
       socket.write(`GET /safe/a HTTP/1.1\r\nhost: h\r\n${PLAIN_HEADERS.id}: r1\r\n\r\n`)
@@ -393,7 +393,7 @@
     })
 
     it('serves the others', async () => {
-      await serveBy(answerOk)
+      await serveBy(respondOk)
       isLagging = true
       expect((await ask('/unsafe/a', { method: 'POST', body: 'bytes' })).status).toBe(200)
     })
@@ -407,15 +407,15 @@
       ['a body over the limit', '/safe/a', { method: 'POST', body: 'x'.repeat(2000) }, 413],
       ['headers over the limit', '/safe/a', { headers: { long: 'x'.repeat(5000) } }, 431]
     ])('name %s', async (_what, path, options, status) => {
-      const all = await serveBy(answerOk)
+      const all = await serveBy(respondOk)
       expect((await ask(path, options)).status).toBe(status)
       expect(seenBy(all)).toBe(0)
     })
 
     it('do not meet a caller with the right key, which goes no further', async () => {
-      const [endpoint] = await serveBy(answerOk)
+      const [endpoint] = await serveBy(respondOk)
       expect((await ask('/private/a', { headers: { [PLAIN_HEADERS.key]: 'right' } })).status).toBe(200)
-      expect(endpoint?.seen[0]?.headers[PLAIN_HEADERS.key]).toBeUndefined()
+      expect(endpoint?.receivedRequests[0]?.headers[PLAIN_HEADERS.key]).toBeUndefined()
     })
   })
 })
--- a/apps/entry/src/lib/routed/RoutedServer.ts
+++ b/apps/entry/src/lib/routed/RoutedServer.ts
@@ -40,15 +40,15 @@
   liveHosts (): number
   desiredVersion (model: string): number
   /** Milliseconds within which a request may begin on weights of that version. */
-  leftMsOn (model: string, version: number): number
+  remainingMsForVersion (model: string, version: number): number
   /** Whether this host may act on the site it knows. */
-  mayAct (): boolean
+  isSiteUsable (): boolean
   /** Whether what this host knows of stores may be acted on. */
-  storesUsable (now: number): boolean
+  areStoresUsable (now: number): boolean
   /** The stores' clock in milliseconds, once it is known. */
   storeClockMs (now: number): number | undefined
   /** Has a request placed on what is known of the others' work: at once, or after a moment in which they are asked. */
-  beforePlacing (place: () => void): void
+  withRecentLoad (place: () => void): void
   /** Whether this process did not get to its sockets for a while. */
   isLagging (): boolean
 }
@@ -180,7 +180,7 @@
   /** Whether this host knows what it needs to serve. The others' work is part of it: all hosts release what waits at the same moment. */
   #mayServe (): boolean {
     const { fleet } = this.ports
-    return this.#index !== undefined && this.ports.mayAct() && fleet.isKnown && fleet.isLoadKnown
+    return this.#index !== undefined && this.ports.isSiteUsable() && fleet.hasEndpoints && fleet.isLoadKnown
   }
 
   #accept (message: IncomingMessage, response: ServerResponse): void {
@@ -199,20 +199,20 @@
       this.#underWay.delete(exchange)
       ticket.end()
     })
-    const fields = this.ports.codec.readCaller(message.rawHeaders)
+    const fields = this.ports.codec.readRequestHeaders(message.rawHeaders)
     const route = (): void => { this.#route(message, exchange, fields, arrivedAt) }
     if (this.#mayServe() || this.ports.stop.isStopping || !this.#startup.hold(exchange, fields.deadlineMs, arrivedAt, route)) {
       route()
       return
     }
     this.ports.telemetry.logDecision('waits-for-site', fields.requestId ?? '', {
-      siteVersion: this.#index?.site.version ?? -1, areEndpointsKnown: this.ports.fleet.isKnown, isLoadKnown: this.ports.fleet.isLoadKnown, waiting: this.#startup.length
+      siteVersion: this.#index?.site.version ?? -1, areEndpointsKnown: this.ports.fleet.hasEndpoints, isLoadKnown: this.ports.fleet.isLoadKnown, waiting: this.#startup.length
     })
   }
 
   #route (message: IncomingMessage, exchange: CallerExchange, fields: CallerFields, arrivedAt: number): void {
     const index = this.#index
-    if (index === undefined || !this.ports.mayAct()) {
+    if (index === undefined || !this.ports.isSiteUsable()) {
       this.#refuse(exchange, fields, 'configuration-stale', 503, 'this host does not know the site yet', ASK_AGAIN_SECONDS)
       return
     }
@@ -294,7 +294,7 @@
   }
 
   #refuseDraining (exchange: CallerExchange): void {
-    const fields = this.ports.codec.readCaller(exchange.request.rawHeaders)
+    const fields = this.ports.codec.readRequestHeaders(exchange.request.rawHeaders)
     this.#refuse(exchange, fields, 'draining', 503, 'this host is stopping; ask another', ASK_AGAIN_SECONDS)
   }
 
@@ -325,10 +325,10 @@
       firstEvent: this.#firstEvent,
       silenceLooks: this.#silenceLooks,
       desiredVersion: model => this.ports.desiredVersion(model),
-      leftMsOn: (model, version) => this.ports.leftMsOn(model, version),
-      storesUsable: now => this.ports.storesUsable(now),
+      leftMsOn: (model, version) => this.ports.remainingMsForVersion(model, version),
+      storesUsable: now => this.ports.areStoresUsable(now),
       storeClockMs: now => this.ports.storeClockMs(now),
-      beforePlacing: place => { this.ports.beforePlacing(place) }
+      beforePlacing: place => { this.ports.withRecentLoad(place) }
     }
     this.#requestPorts.set(service, ports)
     return ports
--- a/apps/entry/src/lib/routed/answerAfterFailure.test.ts
+++ b/apps/entry/src/lib/routed/answerAfterFailure.test.ts
@@ -4,7 +4,7 @@
  * held back until it is known whether the request goes on elsewhere, and was not dropped when it did.
  */
 import { describe, expect, it } from 'vitest'
-import { EndpointStandin, streamEvent, type Behaviour } from './harness/EndpointStandin.js'
+import { FakeEndpoint, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
 import { PLAIN_HEADERS } from './harness/PlainCodec.js'
 import { RoutedHost } from './harness/RoutedHost.js'
 
@@ -18,9 +18,9 @@
       response.writeHead(seen === 1 ? 500 : 200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
       response.end(seen === 1 ? 'a failure' : WHOLE)
     }
-    const host = new RoutedHost([new EndpointStandin('e0', firstFails), new EndpointStandin('e1', firstFails)])
+    const host = new RoutedHost([new FakeEndpoint('e0', firstFails), new FakeEndpoint('e1', firstFails)])
     await host.start()
-    expect(await host.ask('/resumable/1')).toMatchObject({ status: 200, body: WHOLE, isWhole: true })
+    expect(await host.sendRequest('/resumable/1')).toMatchObject({ status: 200, body: WHOLE, isWhole: true })
     expect(seen).toBe(2)
     await host.close()
   })
--- a/apps/entry/src/lib/routed/failover.test.ts
+++ b/apps/entry/src/lib/routed/failover.test.ts
@@ -6,7 +6,7 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
-import { answerOk, EndpointStandin, rejectNotRun, resetConnection, streamEvent, type Behaviour } from './harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, rejectNotExecuted, resetConnection, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
 import { PLAIN_HEADERS } from './harness/PlainCodec.js'
 import { RoutedHost } from './harness/RoutedHost.js'
 
@@ -70,16 +70,16 @@
 
 describe('a request whose endpoint has fallen silent or died', () => {
   let host: RoutedHost
-  let endpoints: EndpointStandin[]
+  let endpoints: FakeEndpoint[]
 
   async function serve (count: number, behaviour: Behaviour): Promise<void> {
-    endpoints = Array.from({ length: count }, (_, number) => new EndpointStandin(`e${number}`, behaviour))
+    endpoints = Array.from({ length: count }, (_, number) => new FakeEndpoint(`e${number}`, behaviour))
     host = new RoutedHost(endpoints, { budget: AMPLE_BUDGET })
     await host.start()
   }
 
   function seen (): number {
-    return endpoints.reduce((sum, endpoint) => sum + endpoint.seen.length, 0)
+    return endpoints.reduce((sum, endpoint) => sum + endpoint.receivedRequests.length, 0)
   }
 
   function closedEarly (): number {
@@ -90,15 +90,15 @@
 
   describe('a stream whose endpoint pauses', () => {
     it.each([2, 3])('is not left for endpoints that reject the rest (%i endpoints)', async count => {
-      await serve(count, firstThen(pauses, rejectNotRun))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      await serve(count, firstThen(pauses, rejectNotExecuted))
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       expect(seen()).toBeGreaterThan(1)
       expect(closedEarly()).toBe(0)
     })
 
     it('is left as soon as another endpoint has accepted the rest', async () => {
       await serve(2, firstThen(pauses, sendsRest))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       await expect.poll(closedEarly).toBe(1)
       expect(seen()).toBe(2)
     })
@@ -112,7 +112,7 @@
           sendsRest(request, response, body)
         }, 10)
       }))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
     it('stays if it goes on while the other endpoint has not answered yet', async () => {
@@ -121,7 +121,7 @@
         sendsFirst(request, response, body)
         goOn = () => { response.end(streamEvent(2).slice(8) + streamEvent(3)) }
       }, () => { goOn() }))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       // The other one is told that it is not wanted.
       await expect.poll(closedEarly).toBe(1)
       expect(seen()).toBe(2)
@@ -132,7 +132,7 @@
         response.writeHead(500, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '' })
         response.end('no')
       }))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
     it('goes on elsewhere if it dies while the other endpoint has not answered yet', async () => {
@@ -144,7 +144,7 @@
         die()
         setTimeout(() => { sendsRest(request, response, body) }, 20)
       }))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
       expect(seen()).toBe(2)
     })
   })
@@ -154,14 +154,14 @@
       let asked = 0
       await serve(2, firstThen(dies, (request, response, body) => {
         asked += 1
-        ;(asked <= REJECTED ? rejectNotRun : sendsRest)(request, response, body)
+        ;(asked <= REJECTED ? rejectNotExecuted : sendsRest)(request, response, body)
       }))
-      expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+      expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     })
 
     it('is cut once its caller would have left, and not asked for in a tight loop', async () => {
-      await serve(3, firstThen(dies, rejectNotRun))
-      const outcome = await Promise.race([host.ask('/resumable/1'), sleep(LONG_AFTER_MS, undefined)])
+      await serve(3, firstThen(dies, rejectNotExecuted))
+      const outcome = await Promise.race([host.sendRequest('/resumable/1'), sleep(LONG_AFTER_MS, undefined)])
       expect(outcome).toMatchObject({ body: streamEvent(1), isWhole: false })
       expect(seen()).toBeLessThanOrEqual(1 + MOST_ASKS)
     })
@@ -169,14 +169,14 @@
 
   describe('a safe request', () => {
     it('is not left for an endpoint that rejects it', async () => {
-      await serve(2, firstThen((request, response, body) => { setTimeout(() => { answerOk(request, response, body) }, 1500) }, rejectNotRun))
-      expect(await host.ask('/safe/1')).toMatchObject({ status: 200, isWhole: true })
+      await serve(2, firstThen((request, response, body) => { setTimeout(() => { respondOk(request, response, body) }, 1500) }, rejectNotExecuted))
+      expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
       expect(seen()).toBeGreaterThan(1)
     })
 
     it('is asked for elsewhere while its endpoint hangs', async () => {
-      await serve(2, firstThen(hangs, answerOk))
-      expect(await host.ask('/safe/1')).toMatchObject({ status: 200, isWhole: true })
+      await serve(2, firstThen(hangs, respondOk))
+      expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
     })
   })
 })
--- a/apps/entry/src/lib/routed/harness/EndpointStandin.ts
+++ b/apps/entry/src/lib/routed/harness/FakeEndpoint.ts
@@ -8,8 +8,8 @@
 export type Behaviour = (request: IncomingMessage, response: ServerResponse, body: string) => void
 
 /** The endpoint. */
-export class EndpointStandin {
-  readonly seen: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
+export class FakeEndpoint {
+  readonly receivedRequests: Array<{ readonly method: string, readonly target: string, readonly body: string, readonly headers: IncomingMessage['headers'] }> = []
   closedEarly = 0
   readonly #seenWaiters: Array<() => void> = []
   readonly #responses = new Set<ServerResponse>()
@@ -24,7 +24,7 @@
       request.on('data', (chunk: Buffer) => { chunks.push(chunk) })
       request.on('end', () => {
         const body = Buffer.concat(chunks).toString()
-        this.seen.push({ method: request.method ?? '', target: request.url ?? '', body, headers: request.headers })
+        this.receivedRequests.push({ method: request.method ?? '', target: request.url ?? '', body, headers: request.headers })
         this.#responses.add(response)
         this.behaviour(request, response, body)
         for (const wake of this.#seenWaiters.splice(0)) wake()
@@ -37,7 +37,7 @@
   }
 
   /** Resolves when the next request has come. */
-  async whenSeen (): Promise<void> {
+  async nextRequest (): Promise<void> {
     await new Promise<void>(resolve => { this.#seenWaiters.push(resolve) })
   }
 
@@ -58,13 +58,13 @@
 export const streamEvent = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`
 
 /** Answers with what was asked. */
-export const answerOk: Behaviour = (request, response, body) => {
+export const respondOk: Behaviour = (request, response, body) => {
   response.writeHead(200, { [PLAIN_HEADERS.id]: request.headers[PLAIN_HEADERS.id] ?? '', 'x-stamp': 's1' })
   response.end(`${request.method ?? ''} ${request.url ?? ''} ${body}`)
 }
 
 /** Says that it did not run the request. */
-export const rejectNotRun: Behaviour = (_request, response) => {
+export const rejectNotExecuted: Behaviour = (_request, response) => {
   response.writeHead(503, { [PLAIN_HEADERS.notRun]: '1' })
   response.end()
 }
--- a/apps/entry/src/lib/routed/harness/HostsSimulation.ts
+++ b/apps/entry/src/lib/routed/harness/HostsSimulation.ts
@@ -11,7 +11,7 @@
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import { Telemetry } from '@eelgrassmux/telemetry/Telemetry'
 import type { AnswerHead } from '../RoutedAttempt.js'
-import type { AnswerFields } from '../RequestCodec.js'
+import type { ResponseFields } from '../RequestCodec.js'
 import { learnFromFailure } from '../learnFromFailure.js'
 import { RoutedFleet } from '../RoutedFleet.js'
 
@@ -28,7 +28,7 @@
 const SERVICE = 'pool'
 
 /** What an endpoint says in its answers; they are whole unless it says otherwise. */
-export interface Statement extends Partial<Pick<AnswerFields, 'requestsPerSecond'>> {
+export interface Statement extends Partial<Pick<ResponseFields, 'requestsPerSecond'>> {
   /** It rejects what comes and wants nothing more from that host for so long; 0 if it asks for no pause. */
   readonly rejectsForMs?: number
 }
@@ -180,15 +180,15 @@
     host.exchangedAt = now
     host.sequence += 1
     const own = host.fleet.ownWork()
-    host.fleet.others.recordOwnReport(host.sequence, own)
+    host.fleet.otherHostsLoad.recordOwnReport(host.sequence, own)
     this.#board.observe(decodeLoadReport(encodeLoadReport({ host: host.name, sequence: host.sequence, ...own })), now)
     const totals = this.#board.totals(now)
     const sequence = totals.sequences.get(host.name)
     if (sequence === undefined) return
     // Read once for all hosts, whatever their sequence.
     if (this.#readTotals?.totals !== totals) this.#readTotals = { totals, read: decodeLoadTotals(frameLoadTotals(0, encodeLoadTotals(totals))) }
-    host.fleet.others.recordTotals({ ...this.#readTotals.read, sequence }, now)
-    host.fleet.noteObservations()
+    host.fleet.otherHostsLoad.recordTotals({ ...this.#readTotals.read, sequence }, now)
+    host.fleet.applyObservations()
   }
 }
 
--- a/apps/entry/src/lib/routed/harness/PlainCodec.ts
+++ b/apps/entry/src/lib/routed/harness/PlainCodec.ts
@@ -1,28 +1,28 @@
 /** Headers of routed requests as the product's own tests write them. */
 import { endToEndHeaders } from '../headers.js'
 import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
-import type { AnswerFields, CallerFields, EndpointFields, RequestCodec } from '../RequestCodec.js'
+import type { ResponseFields, CallerFields, EndpointFields, RequestCodec } from '../RequestCodec.js'
 
 /** Names of the headers. */
 export const PLAIN_HEADERS = { id: 'request-id', key: 'key', deadline: 'deadline', notRun: 'not-run', lastEvent: 'last-event-id', rateLimit: 'rate-limit', retryAfter: 'retry-after', leaving: 'leaving' }
 
 /** The smallest words that the product can be spoken to with. */
 export class PlainCodec implements RequestCodec {
-  readCaller (headers: readonly string[]): CallerFields {
+  readRequestHeaders (headers: readonly string[]): CallerFields {
     const deadline = valueOf(headers, PLAIN_HEADERS.deadline)
     return {
       requestId: valueOf(headers, PLAIN_HEADERS.id), key: valueOf(headers, PLAIN_HEADERS.key), deadlineMs: deadline === undefined ? undefined : Number(deadline), prompt: undefined, lastEventId: undefined
     }
   }
 
-  writeEndpoint (headers: readonly string[], fields: EndpointFields): string[] {
+  writeRequestHeaders (headers: readonly string[], fields: EndpointFields): string[] {
     const kept = endToEndHeaders(headers, name => name === 'content-length' || name === PLAIN_HEADERS.key || name === PLAIN_HEADERS.deadline)
     kept.push(PLAIN_HEADERS.deadline, String(fields.remainingMs))
     if (fields.lastEventId !== undefined) kept.push(PLAIN_HEADERS.lastEvent, String(fields.lastEventId))
     return kept
   }
 
-  readAnswer (_status: number, headers: readonly string[]): AnswerFields {
+  readResponseHeaders (_status: number, headers: readonly string[]): ResponseFields {
     const rateLimit = valueOf(headers, PLAIN_HEADERS.rateLimit)
     return {
       requestId: valueOf(headers, PLAIN_HEADERS.id),
--- a/apps/entry/src/lib/routed/harness/RoutedHost.ts
+++ b/apps/entry/src/lib/routed/harness/RoutedHost.ts
@@ -8,7 +8,7 @@
 import type { RequestQuarantine } from '../../quarantine/RequestQuarantine.js'
 import { RoutedFleet } from '../RoutedFleet.js'
 import { RoutedServer } from '../RoutedServer.js'
-import type { EndpointStandin } from './EndpointStandin.js'
+import type { FakeEndpoint } from './FakeEndpoint.js'
 import { idleQuarantine } from './idleQuarantine.js'
 import { PLAIN_HEADERS, PlainCodec } from './PlainCodec.js'
 import { TEST_SITE } from './testSite.js'
@@ -56,7 +56,7 @@
    * @param endpoints - all of the site's only service
    * @param options - what differs
    */
-  constructor (private readonly endpoints: readonly EndpointStandin[], options: RoutedHostOptions = {}) {
+  constructor (private readonly endpoints: readonly FakeEndpoint[], options: RoutedHostOptions = {}) {
     const { graceMs = 60_000, budget = { ratio: 0.2, slack: 20 }, site = TEST_SITE, startedAt = performance.now() - LONG_AGO_MS, quarantine = idleQuarantine(), beforePlacing = place => { place() } } = options
     const work = new WorkGate()
     this.#site = site
@@ -72,11 +72,11 @@
       liveHosts: () => 1,
       desiredVersion: () => 1,
       regions: new Map(),
-      leftMsOn: () => Number.POSITIVE_INFINITY,
-      mayAct: () => true,
-      storesUsable: () => false,
+      remainingMsForVersion: () => Number.POSITIVE_INFINITY,
+      isSiteUsable: () => true,
+      areStoresUsable: () => false,
       storeClockMs: () => undefined,
-      beforePlacing,
+      withRecentLoad: beforePlacing,
       isLagging: () => false
     }, startedAt)
   }
@@ -98,7 +98,7 @@
    * @param path - with the prefix of a route
    * @param onHead - called when the answer begins
    */
-  async ask (path: string, onHead: () => void = () => {}): Promise<CallerOutcome> {
+  async sendRequest (path: string, onHead: () => void = () => {}): Promise<CallerOutcome> {
     return await new Promise(resolve => {
       const request = httpRequest({ host: '127.0.0.1', port: this.port, path, headers: { host: 'h', [PLAIN_HEADERS.id]: 'r1' } }, response => {
         let body = ''
--- a/apps/entry/src/lib/routed/silentEndpoint.test.ts
+++ b/apps/entry/src/lib/routed/silentEndpoint.test.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
 import type { RetryBudgetTerms } from '@eelgrassmux/routing/attempts/RetryAllowance'
-import { answerOk, EndpointStandin, streamEvent, type Behaviour } from './harness/EndpointStandin.js'
+import { respondOk, FakeEndpoint, streamEvent, type Behaviour } from './harness/FakeEndpoint.js'
 import { PLAIN_HEADERS } from './harness/PlainCodec.js'
 import { RoutedHost } from './harness/RoutedHost.js'
 
@@ -30,12 +30,12 @@
     /** The first one to get the request never answers. */
     const firstHangs: Behaviour = (request, response, body) => {
       seen += 1
-      if (seen > 1) answerOk(request, response, body)
+      if (seen > 1) respondOk(request, response, body)
     }
-    const host = new RoutedHost([new EndpointStandin('one', firstHangs), new EndpointStandin('other', firstHangs)], { budget: { ratio: 0.2, slack: 20 } })
+    const host = new RoutedHost([new FakeEndpoint('one', firstHangs), new FakeEndpoint('other', firstHangs)], { budget: { ratio: 0.2, slack: 20 } })
     await host.start()
     // After its route's time it would have got a 504.
-    expect(await host.ask('/safe/1')).toMatchObject({ status: 200, isWhole: true })
+    expect(await host.sendRequest('/safe/1')).toMatchObject({ status: 200, isWhole: true })
     expect(seen).toBe(2)
     await host.close()
   })
@@ -55,17 +55,17 @@
       if (request.url === '/unsafe/hangs') return
       sends += 1
       if (sends === 1) setTimeout(() => { request.socket.resetAndDestroy() }, RESET_MS)
-      else setTimeout(() => { answerOk(request, response, body) }, ANSWER_MS)
+      else setTimeout(() => { respondOk(request, response, body) }, ANSWER_MS)
     }
-    const host = new RoutedHost(ENDPOINTS.map(id => new EndpointStandin(id, behave)), {
+    const host = new RoutedHost(ENDPOINTS.map(id => new FakeEndpoint(id, behave)), {
       budget: { ratio: 1, slack: 100 },
       beforePlacing: place => { if (sends === 0) place(); else setTimeout(place, PLACING_MS) }
     })
     await host.start()
     // Each endpoint has other work that it never answers.
-    for (let asked = 0; asked < OTHER_REQUESTS; asked += 1) void host.ask('/unsafe/hangs')
+    for (let asked = 0; asked < OTHER_REQUESTS; asked += 1) void host.sendRequest('/unsafe/hangs')
     await sleep(50)
-    expect(await host.ask('/safe/resets')).toMatchObject({ status: 200, isWhole: true })
+    expect(await host.sendRequest('/safe/resets')).toMatchObject({ status: 200, isWhole: true })
     expect(sends).toBe(2)
     await host.close()
   })
@@ -73,16 +73,16 @@
 
 describe('a stream whose endpoint has fallen silent', () => {
   let host: RoutedHost
-  let endpoints: EndpointStandin[]
+  let endpoints: FakeEndpoint[]
 
   async function serve (count: number, budget: RetryBudgetTerms): Promise<void> {
-    endpoints = Array.from({ length: count }, (_, number) => new EndpointStandin(`e${number}`, pauses))
+    endpoints = Array.from({ length: count }, (_, number) => new FakeEndpoint(`e${number}`, pauses))
     host = new RoutedHost(endpoints, { budget })
     await host.start()
   }
 
   function runs (): number {
-    return endpoints.reduce((sum, { seen }) => sum + seen.length, 0)
+    return endpoints.reduce((sum, { receivedRequests: seen }) => sum + seen.length, 0)
   }
 
   afterEach(async () => { await host.close() })
@@ -90,21 +90,21 @@
   it('waits for it if the budget for repeats is used up', async () => {
     await serve(3, { ratio: 0, slack: 0 })
     // Each host starts with one repeat.
-    await host.ask('/resumable/1')
+    await host.sendRequest('/resumable/1')
     const before = runs()
-    expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+    expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     expect(runs() - before).toBe(1)
   })
 
   it('waits for it if there is no other endpoint', async () => {
     await serve(1, { ratio: 0.2, slack: 20 })
-    expect(await host.ask('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
+    expect(await host.sendRequest('/resumable/1')).toMatchObject({ body: WHOLE, isWhole: true })
     expect(runs()).toBe(1)
   })
 
   it('goes on elsewhere if it may', async () => {
     await serve(2, { ratio: 0.2, slack: 20 })
-    const { isWhole } = await host.ask('/resumable/1')
+    const { isWhole } = await host.sendRequest('/resumable/1')
     expect(isWhole).toBe(true)
     expect(runs()).toBe(2)
   })
--- a/apps/soak/src/lib/SoakCodec.ts
+++ b/apps/soak/src/lib/SoakCodec.ts
@@ -1,5 +1,5 @@
 /** Reads and writes the soak's headers on an entry host. */
-import type { AnswerFields, CallerFields, EndpointFields, RequestCodec } from '@eelgrassmux/entry/routed/RequestCodec'
+import type { ResponseFields, CallerFields, EndpointFields, RequestCodec } from '@eelgrassmux/entry/routed/RequestCodec'
 import { endToEndHeaders } from '@eelgrassmux/entry/routed/headers'
 import { parseRetryAfter } from '@eelgrassmux/schema/parseRetryAfter'
 import type { PromptDescription } from '@eelgrassmux/routing/prompts/promptDescription'
@@ -15,7 +15,7 @@
   /** @param isDeaf - does not read what endpoints ask of hosts: a break for the checks */
   constructor (private readonly isDeaf = false) {}
 
-  readCaller (headers: readonly string[]): CallerFields {
+  readRequestHeaders (headers: readonly string[]): CallerFields {
     return {
       requestId: headerValue(headers, HEADER.requestId),
       key: headerValue(headers, HEADER.key),
@@ -25,7 +25,7 @@
     }
   }
 
-  writeEndpoint (headers: readonly string[], fields: EndpointFields): string[] {
+  writeRequestHeaders (headers: readonly string[], fields: EndpointFields): string[] {
     const written = endToEndHeaders(headers, name => SET_BY_PRODUCT.has(name))
     written.push(HEADER.deadlineMs, String(fields.remainingMs), HEADER.instance, fields.instance)
     if (fields.customer !== undefined) written.push(HEADER.customer, fields.customer)
@@ -35,7 +35,7 @@
     return written
   }
 
-  readAnswer (_status: number, headers: readonly string[]): AnswerFields {
+  readResponseHeaders (_status: number, headers: readonly string[]): ResponseFields {
     return {
       requestId: headerValue(headers, HEADER.requestId),
       isNotExecuted: headerValue(headers, HEADER.notRun) !== undefined,
@@ -48,7 +48,7 @@
 }
 
 /** What the endpoint asks of the host. */
-function readRequests (headers: readonly string[]): Pick<AnswerFields, 'requestsPerSecond' | 'isLeaving' | 'retryAfterMs'> {
+function readRequests (headers: readonly string[]): Pick<ResponseFields, 'requestsPerSecond' | 'isLeaving' | 'retryAfterMs'> {
   return {
     requestsPerSecond: readNumber(headerValue(headers, HEADER.rateLimit)),
     isLeaving: headerValue(headers, HEADER.leaving) === '1',
--- a/packages/consensus/src/lib/RaftCore.ts
+++ b/packages/consensus/src/lib/RaftCore.ts
@@ -114,7 +114,7 @@
    * @param now - monotonic milliseconds
    * @returns milliseconds; counted from the leader's first message to the peer if it was never heard
    */
-  silentFor (id: string, now: number): number { return this.#replication.silentFor(id, now) }
+  silenceMs (id: string, now: number): number { return this.#replication.silentFor(id, now) }
 
   // --- Inputs ---
 
--- a/packages/rpc/src/lib/methods/controlMethods.ts
+++ b/packages/rpc/src/lib/methods/controlMethods.ts
@@ -8,7 +8,7 @@
 import { siteSchema } from '@eelgrassmux/schema/site/siteSchema'
 import { membershipSchema, raftMessageSchema, replicaSchema } from '@eelgrassmux/consensus/messages/raftMessages'
 import { bytesSchema } from '@eelgrassmux/schema/bytesSchema'
-import { commandResultSchema, commandSchema, documentNameSchema, evacuationImageSchema, namedWeightsSchema, shardSchema } from '@eelgrassmux/state/commands'
+import { commandResultSchema, commandSchema, documentNameSchema, evacuationImageSchema, desiredWeightsSchema, shardSchema } from '@eelgrassmux/state/commands'
 import { defineDatagram } from '../datagrams/DatagramMethod.js'
 import { defineStream, defineUnary } from '../RpcMethod.js'
 
@@ -112,7 +112,7 @@
     documents: z.array(documentSchema),
     shards: z.array(shardSchema),
     site: siteSchema.optional(),
-    weights: z.array(namedWeightsSchema),
+    weights: z.array(desiredWeightsSchema),
     /** Data centres whose endpoints get no new work; absent if there are none. */
     evacuated: z.array(dataCentreNameSchema).optional(),
     /** Absent if there are none. */
@@ -128,7 +128,7 @@
     shards: z.array(shardSchema),
     /** Absent if the site is the same as before. */
     site: siteSchema.optional(),
-    weights: z.array(namedWeightsSchema),
+    weights: z.array(desiredWeightsSchema),
     /** All of them; absent if there are none. */
     evacuated: z.array(dataCentreNameSchema).optional(),
     /** New and changed ones; absent if there are none. */
--- a/packages/state/src/lib/QuarantineRegister.test.ts
+++ b/packages/state/src/lib/QuarantineRegistry.test.ts
@@ -3,7 +3,7 @@
 import { decodeCommand, encodeCommand, mayChangeView } from './commandCodec.js'
 import { stateImageSchema, type Command } from './commands.js'
 import { StateMachine } from './StateMachine.js'
-import { MOST_ENTRIES } from './QuarantineRegister.js'
+import { MOST_ENTRIES } from './QuarantineRegistry.js'
 
 const FINGERPRINT = 'a'.repeat(32)
 const DAY_MS = 24 * 60 * 60 * 1000
--- a/packages/state/src/lib/QuarantineRegister.ts
+++ b/packages/state/src/lib/QuarantineRegistry.ts
@@ -11,7 +11,7 @@
 const GOES_FIRST: readonly QuarantineState[] = ['suspected', 'released', 'quarantined']
 
 /** Entries by fingerprint; equal commands give equal entries. */
-export class QuarantineRegister {
+export class QuarantineRegistry {
   readonly #entries = new Map<string, QuarantineEntry>()
 
   get all (): readonly QuarantineEntry[] { return [...this.#entries.values()] }
@@ -25,7 +25,7 @@
   }
 
   /** When the next entry ends, on the agreed clock; undefined if there is none. */
-  get nextEndAt (): number | undefined {
+  get nextExpiryAt (): number | undefined {
     const ends = this.all.map(({ endsAt }) => endsAt)
     return ends.length === 0 ? undefined : Math.min(...ends)
   }
--- a/packages/state/src/lib/SiteRegister.ts
+++ b/packages/state/src/lib/SiteRegister.ts
@@ -1,6 +1,6 @@
 /** The part of the agreed state that is put whole under rising versions: the site, named weights, who gives orders. */
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import type { CommandResult, NameWeightsCommand, NamedWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
+import type { CommandResult, NameWeightsCommand, DesiredWeights, OrderHolder, PutSiteCommand, SiteImage } from './commands.js'
 
 /** A site in force, with the document that its operator wrote. */
 export interface PutSite {
@@ -19,7 +19,7 @@
   get orderHolder (): OrderHolder | undefined { return this.#orderHolder }
 
   /** Weight version that each model should run. */
-  get weights (): NamedWeights[] {
+  get weights (): DesiredWeights[] {
     return [...this.#weights].map(([model, version]) => ({ model, version }))
   }
 
--- a/packages/state/src/lib/StateMachine.ts
+++ b/packages/state/src/lib/StateMachine.ts
@@ -8,7 +8,7 @@
 } from './commands.js'
 import { EvacuationRegister } from './EvacuationRegister.js'
 import { SiteRegister } from './SiteRegister.js'
-import { QuarantineRegister } from './QuarantineRegister.js'
+import { QuarantineRegistry } from './QuarantineRegistry.js'
 
 /** Settings that every control host must share. */
 export interface StateSettings {
@@ -55,7 +55,7 @@
   /** Site, named weights and the holder of the right to give orders. */
   readonly sites = new SiteRegister()
   /** Requests that are not sent to endpoints. */
-  readonly quarantine = new QuarantineRegister()
+  readonly quarantine = new QuarantineRegistry()
   /** Data centres whose endpoints get no new work. */
   readonly evacuations = new EvacuationRegister()
 
--- a/packages/state/src/lib/commands.ts
+++ b/packages/state/src/lib/commands.ts
@@ -26,7 +26,7 @@
 /** The control host that gives orders to engines, and the term in which it leads. */
 export const orderHolderSchema = z.strictObject({ replicaId: id, term: count })
 
-export const namedWeightsSchema = z.strictObject({ model: id, version: count })
+export const desiredWeightsSchema = z.strictObject({ model: id, version: count })
 
 export const commandSchema = z.discriminatedUnion('kind', [
   z.strictObject({
@@ -111,7 +111,7 @@
 export type NameWeightsCommand = Extract<Command, { kind: 'name-weights' }>
 export type EvacuationCommand = Extract<Command, { kind: 'order-evacuation' }>
 export type OrderHolder = z.infer<typeof orderHolderSchema>
-export type NamedWeights = z.infer<typeof namedWeightsSchema>
+export type DesiredWeights = z.infer<typeof desiredWeightsSchema>
 export type StampedCommand = z.infer<typeof stampedCommandSchema>
 export type Shard = z.infer<typeof shardSchema>
 export type ClaimResult = z.infer<typeof claimResultSchema>
@@ -128,7 +128,7 @@
 
 const siteImageSchema = z.object({
   put: z.strictObject({ site: siteSchema, source: bytesSchema }).optional(),
-  weights: z.array(namedWeightsSchema),
+  weights: z.array(desiredWeightsSchema),
   orderHolder: orderHolderSchema.optional()
 })
 
--- a/packages/view/src/lib/ControlLink.test.ts
+++ b/packages/view/src/lib/ControlLink.test.ts
@@ -74,13 +74,13 @@
     const host = await controlHost('a', 5)
     closers.push(host.close)
     const link = await openLink([host.address])
-    expect(link.lagMs).toBe(Number.POSITIVE_INFINITY)
+    expect(link.eventLoopLagMs).toBe(Number.POSITIVE_INFINITY)
     link.start()
-    expect(link.lagMs).toBe(Number.POSITIVE_INFINITY)
+    expect(link.eventLoopLagMs).toBe(Number.POSITIVE_INFINITY)
     const heldUpUntil = performance.now() + 400
     while (performance.now() < heldUpUntil);
     await sleep(10)
-    expect(link.lagMs).toBeGreaterThan(100)
-    expect(link.lagMs).toBeLessThan(Number.POSITIVE_INFINITY)
+    expect(link.eventLoopLagMs).toBeGreaterThan(100)
+    expect(link.eventLoopLagMs).toBeLessThan(Number.POSITIVE_INFINITY)
   })
 })
--- a/packages/view/src/lib/ControlLink.ts
+++ b/packages/view/src/lib/ControlLink.ts
@@ -11,7 +11,7 @@
 import type { ListedEndpoint } from '@eelgrassmux/schema/site/listedEndpoint'
 import type { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import type { Command, CommandResult, NamedWeights, Shard } from '@eelgrassmux/state/commands'
+import type { Command, CommandResult, DesiredWeights, Shard } from '@eelgrassmux/state/commands'
 import { EndpointListFollower } from './EndpointListFollower.js'
 import { FreshnessLease } from './FreshnessLease.js'
 import { StatusReports } from './StatusReports.js'
@@ -105,7 +105,7 @@
   /** Site in force on this host, once it knows one. */
   get site (): Site | undefined { return this.#follower.site }
   /** Weight version that each model should run. */
-  get weights (): readonly NamedWeights[] { return this.#follower.weights }
+  get weights (): readonly DesiredWeights[] { return this.#follower.weights }
   /** Data centres whose endpoints get no new work. */
   get evacuated (): ReadonlySet<string> { return this.#follower.evacuated }
   /** Requests that are not sent to endpoints. */
@@ -125,7 +125,7 @@
    * How late this host came to its last report, in milliseconds: for so long the process did not get
    * to its sockets. Infinite before the first: connections have waited while it was loaded.
    */
-  get lagMs (): number { return this.#lagMs }
+  get eventLoopLagMs (): number { return this.#lagMs }
   /** Entry hosts that may be alive. */
   get liveEntries (): number { return this.#lease.liveEntries(performance.now()) }
 
@@ -150,7 +150,7 @@
   }
 
   /** @param listener - called when another control host leads, or none is known to */
-  onLeader (listener: () => void): void {
+  onLeaderChange (listener: () => void): void {
     this.#leaderListeners.push(listener)
   }
 
@@ -159,7 +159,7 @@
    *
    * @param listener - told of changes
    */
-  followStores (listener: StoredPartsListener): StoredPartsFollower {
+  followStoredParts (listener: StoredPartsListener): StoredPartsFollower {
     const follower = new StoredPartsFollower(this.rpc, () => this.#watchOrder(), listener)
     this.#storesFollowed.push(follower)
     void follower.run(this.#abort.signal)
--- a/packages/view/src/lib/StoredPartsFollower.ts
+++ b/packages/view/src/lib/StoredPartsFollower.ts
@@ -37,7 +37,7 @@
    * @param now - monotonic milliseconds
    * @returns whether what is known may be acted on
    */
-  isVouched (now: number): boolean {
+  isLeaseValid (now: number): boolean {
     return now - this.#receivedAt < VOUCHED_MS
   }
 
--- a/packages/view/src/lib/ViewFollower.ts
+++ b/packages/view/src/lib/ViewFollower.ts
@@ -5,7 +5,7 @@
 import { QuarantineTable } from '@eelgrassmux/routing/quarantine/QuarantineTable'
 import type { ViewMessage } from '@eelgrassmux/rpc/methods/controlMethods'
 import type { Site } from '@eelgrassmux/schema/site/siteSchema'
-import type { NamedWeights, Shard } from '@eelgrassmux/state/commands'
+import type { DesiredWeights, Shard } from '@eelgrassmux/state/commands'
 
 /** What a message did. */
 export type ViewOutcome = 'advanced' | 'stale' | 'gap'
@@ -16,7 +16,7 @@
   #shards: readonly Shard[] = []
   #documents = new Map<string, ConfigurationDocument>()
   #site: Site | undefined
-  #weights: readonly NamedWeights[] = []
+  #weights: readonly DesiredWeights[] = []
   #evacuated: ReadonlySet<string> = new Set()
   #index = new ConfigurationIndex(0, { documents: [] })
   /** Requests that are not sent to endpoints. */
@@ -27,7 +27,7 @@
   get shards (): readonly Shard[] { return this.#shards }
   get site (): Site | undefined { return this.#site }
   /** Weight version that each model should run. */
-  get weights (): readonly NamedWeights[] { return this.#weights }
+  get weights (): readonly DesiredWeights[] { return this.#weights }
   /** Data centres whose endpoints get no new work. */
   get evacuated (): ReadonlySet<string> { return this.#evacuated }
 
