--- a/apps/bench/src/lib/measure/faults.ts
+++ b/apps/bench/src/lib/measure/faults.ts
@@ -1,40 +1,39 @@
-/** Faults brought about in a running cluster, and mended a while later. */
+/** Injects faults into a running cluster and repairs them after a while. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { request } from 'undici'
 import type { Cluster, ClusterMember } from '../Cluster.js'
 
-/** Names of the faults. */
 export const FAULT_NAMES = ['store-dies', 'store-full', 'slow-link', 'engine-restarts', 'entry-killed', 'control-cut-off'] as const
 
 /** @public */
 export type FaultName = typeof FAULT_NAMES[number]
 
-/** How long a fault lasts where it has an end, in milliseconds. */
-const FAULT_MS = 4000
+/** Duration of faults that are repaired, in milliseconds. */
+const FAULT_DURATION_MS = 4000
 
 /**
- * Brings a fault about and mends it.
+ * Injects a fault and, if it is not permanent, repairs it.
  *
- * @param cluster - where
- * @param fault - which
+ * @param cluster - running cluster
+ * @param fault - fault to inject
  */
-export async function bringAbout (cluster: Cluster, fault: FaultName): Promise<void> {
+export async function injectFault (cluster: Cluster, fault: FaultName): Promise<void> {
   switch (fault) {
-    case 'store-dies': await restartAfter(cluster, cluster.stores[0], FAULT_MS); break
+    case 'store-dies': await restartAfter(cluster, cluster.stores[0], FAULT_DURATION_MS); break
     case 'store-full': await post(cluster.stores[0], '/standin/fill'); break
     case 'slow-link': {
       const full = cluster.plan.storeLinkBytesPerSecond ?? 0
       await post(cluster.stores[0], `/standin/link/${Math.round(full / 10)}`)
-      await sleep(FAULT_MS)
+      await sleep(FAULT_DURATION_MS)
       await post(cluster.stores[0], `/standin/link/${full}`)
       break
     }
     case 'engine-restarts': await restartAfter(cluster, cluster.engines[0], 0); break
     case 'entry-killed': await restartAfter(cluster, cluster.entries[0], 500); break
     case 'control-cut-off': {
-      const leader = await leaderOf(cluster)
+      const leader = await currentLeader(cluster)
       leader?.process.signal('SIGSTOP')
-      await sleep(FAULT_MS)
+      await sleep(FAULT_DURATION_MS)
       leader?.process.signal('SIGCONT')
       break
     }
@@ -48,7 +47,7 @@
   await cluster.restart(member, ['--incarnation', '2'])
 }
 
-async function leaderOf (cluster: Cluster): Promise<ClusterMember | undefined> {
+async function currentLeader (cluster: Cluster): Promise<ClusterMember | undefined> {
   for (const control of cluster.controls) {
     if (await cluster.metric(control, 'eelgrassmux_raft_is_leader') === 1) return control
   }
--- a/apps/bench/src/lib/measure/slopeReport.ts
+++ b/apps/bench/src/lib/measure/slopeReport.ts
@@ -1,11 +1,14 @@
-/** One line for each slope, with its fit and the points behind it. */
+/** Prints one line for each slope, with its fit and the measured points. */
 import { fitLine, type Point } from './fit.js'
 
-/** Takes a slope that was measured. */
-export type Report = (name: string, unit: string, points: readonly Point[]) => void
+/** Reports a measured slope. */
+export type SlopeReporter = (name: string, unit: string, points: readonly Point[]) => void
 
-/** @param print - takes each line */
-export function slopeReport (print: (line: string) => void): Report {
+/**
+ * @param print - prints a line of the report
+ * @returns a function that fits and prints a slope
+ */
+export function slopeReport (print: (line: string) => void): SlopeReporter {
   return (name, unit, points) => {
     const { slope, intercept, fit } = fitLine(points)
     const sizes = points.map(({ size, value }) => `${size}:${value.toPrecision(4)}`).join(' ')
--- a/apps/bench/src/lib/prove/Simulation.ts
+++ b/apps/bench/src/lib/prove/Simulation.ts
@@ -1,9 +1,9 @@
-/** Virtual time, a seeded schedule and a lossy network for randomised runs over the cores. */
+/** Virtual time, a seeded schedule and a lossy network for randomised runs of the core classes. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import type { Clock } from '@eelgrassmux/schema/Clock'
 
-/** Kinds of faults; a run may switch some off to find which are needed. */
+/** Kinds of faults. A run can disable some of them to find out which ones a violation needs. */
 export const FAULT_KINDS = ['loss', 'delay', 'duplicate', 'cut', 'freeze', 'kill', 'lost-disk', 'swap', 'disorder'] as const
 
 /** @public */
@@ -15,39 +15,39 @@
   readonly run: () => void
 }
 
-/** Lines of the trace that are kept for a report. */
-const TRACE_LINES = 40
+/** Number of trace lines kept for the report. */
+const MAX_TRACE_LINES = 40
 
-/** One seeded run: same seed, same run. */
+/** A deterministic discrete-event simulation: the same seed gives the same run. */
 export class Simulation implements Clock {
   #now = 0
   #sequence = 0
-  #executed = 0
-  #faults = 0
+  #executedEvents = 0
+  #faultCount = 0
   readonly #queue: ScheduledEvent[] = []
   readonly #trace: string[] = []
   readonly #generator
-  readonly #cuts = new Set<string>()
+  readonly #cutLinks = new Set<string>()
 
   /**
-   * @param seed - decides everything
-   * @param kinds - faults that may happen
+   * @param seed - seed of the random numbers, which determines the whole run
+   * @param enabledFaults - faults that may be injected
    */
-  constructor (readonly seed: number, private readonly kinds: ReadonlySet<FaultKind>) {
+  constructor (readonly seed: number, private readonly enabledFaults: ReadonlySet<FaultKind>) {
     this.#generator = xoroshiro128plus(seed)
   }
 
-  get executed (): number { return this.#executed }
-  get faults (): number { return this.#faults }
+  get executedEvents (): number { return this.#executedEvents }
+  get faultCount (): number { return this.#faultCount }
   get trace (): readonly string[] { return this.#trace }
 
   now (): number { return this.#now }
-  /** Hosts' wall clocks agree here; their slack is a setting of the product. */
+  /** All simulated hosts share one wall clock; the clock skew that the product tolerates is one of its settings. */
   wallClock (): number { return this.#now }
 
   async sleep (milliseconds: number, signal?: AbortSignal): Promise<void> {
     await new Promise<void>(resolve => {
-      this.after(milliseconds, resolve)
+      this.schedule(milliseconds, resolve)
       signal?.addEventListener('abort', () => { resolve() }, { once: true })
     })
   }
@@ -56,118 +56,118 @@
   random = (): number => uniformFloat64(this.#generator)
 
   /**
-   * @param below - bound, not included
-   * @returns a whole number from 0
+   * @param below - exclusive upper bound
+   * @returns a random integer from 0
    */
   pick (below: number): number {
     return Math.floor(this.random() * below)
   }
 
   /**
-   * @param items - at least one
-   * @returns one of them
+   * @param items - non-empty list
+   * @returns a random item
    */
-  oneOf<Item> (items: readonly Item[]): Item {
+  pickFrom<Item> (items: readonly Item[]): Item {
     const item = items[this.pick(items.length)]
-    if (item === undefined) throw new Error('nothing to choose from')
+    if (item === undefined) throw new Error('cannot pick from an empty list')
     return item
   }
 
   /**
    * @param probability - from 0 to 1
-   * @returns true that often
+   * @returns true with that probability
    */
   chance (probability: number): boolean {
     return this.random() < probability
   }
 
   /**
-   * Decides whether a fault happens now, and counts it.
+   * Decides whether to inject a fault now, and counts it.
    *
-   * @param kind - which fault
-   * @param probability - how often, if this kind is on
+   * @param fault - kind of fault
+   * @param probability - probability of the fault if its kind is enabled
    */
-  fault (kind: FaultKind, probability: number): boolean {
-    // The random number is drawn in any case, so that switching a kind off keeps the rest of the schedule.
-    const happens = this.chance(probability) && this.kinds.has(kind)
-    if (happens) this.#faults += 1
-    return happens
+  drawFault (fault: FaultKind, probability: number): boolean {
+    // Draws the random number in any case, so that disabling a kind leaves the rest of the schedule unchanged.
+    const isInjected = this.chance(probability) && this.enabledFaults.has(fault)
+    if (isInjected) this.#faultCount += 1
+    return isInjected
   }
 
   /**
-   * Notes a line for the report.
+   * Adds a line to the trace, which is printed with a violation.
    *
-   * @param line - what happened
+   * @param line - description of the event
    */
-  note (line: string): void {
-    this.#trace.push(`${this.#now.toFixed(1)} ms, event ${this.#executed}: ${line}`)
-    if (this.#trace.length > TRACE_LINES) this.#trace.shift()
+  log (line: string): void {
+    this.#trace.push(`${this.#now.toFixed(1)} ms, event ${this.#executedEvents}: ${line}`)
+    if (this.#trace.length > MAX_TRACE_LINES) this.#trace.shift()
   }
 
   /**
-   * Schedules something.
+   * Schedules a callback.
    *
-   * @param milliseconds - from now
-   * @param run - what to do
+   * @param milliseconds - delay from now
+   * @param run - callback
    */
-  after (milliseconds: number, run: () => void): void {
+  schedule (milliseconds: number, run: () => void): void {
     this.#sequence += 1
     this.#push({ at: this.#now + Math.max(0, milliseconds), sequence: this.#sequence, run })
   }
 
   /**
-   * Sends a message over the network, which may lose, delay, repeat or reorder it.
+   * Sends a message over the network, which may lose, delay, duplicate or reorder it.
    *
    * @param from - sender
    * @param to - receiver
-   * @param deliver - called on arrival
+   * @param deliver - called when a copy of the message arrives
    */
   send (from: string, to: string, deliver: () => void): void {
-    const copies = this.fault('duplicate', 0.02) ? 2 : 1
+    const copies = this.drawFault('duplicate', 0.02) ? 2 : 1
     for (let copy = 0; copy < copies; copy += 1) {
-      if (this.fault('loss', 0.03)) continue
-      const latency = 0.3 + this.random() * 2 + (this.fault('delay', 0.03) ? this.random() * 400 : 0)
-      this.after(latency, () => {
-        if (!this.#cuts.has(`${from}>${to}`)) deliver()
+      if (this.drawFault('loss', 0.03)) continue
+      const latency = 0.3 + this.random() * 2 + (this.drawFault('delay', 0.03) ? this.random() * 400 : 0)
+      this.schedule(latency, () => {
+        if (!this.#cutLinks.has(`${from}>${to}`)) deliver()
       })
     }
   }
 
   /**
-   * Cuts one direction for a while.
+   * Drops all messages in one direction of a link for a limited time.
    *
    * @param from - sender
    * @param to - receiver
-   * @param milliseconds - how long
+   * @param milliseconds - duration
    */
-  cut (from: string, to: string, milliseconds: number): void {
-    this.#cuts.add(`${from}>${to}`)
-    this.after(milliseconds, () => { this.#cuts.delete(`${from}>${to}`) })
+  cutLink (from: string, to: string, milliseconds: number): void {
+    this.#cutLinks.add(`${from}>${to}`)
+    this.schedule(milliseconds, () => { this.#cutLinks.delete(`${from}>${to}`) })
   }
 
-  /** Mends all cuts. */
-  heal (): void {
-    this.#cuts.clear()
+  /** Restores all links that are cut. */
+  restoreLinks (): void {
+    this.#cutLinks.clear()
   }
 
   /**
-   * Executes events until a number of them, or a time, is reached.
+   * Executes events until the total number of events or the virtual time reaches its limit.
    *
-   * @param limits - most events in total, latest virtual time
+   * @param limits - maximum total number of events and latest virtual time
    */
   async run (limits: { readonly events: number, readonly until: number }): Promise<void> {
-    while (this.#executed < limits.events) {
+    while (this.#executedEvents < limits.events) {
       const next = this.#pop(limits.until)
       if (next === undefined) break
       this.#now = next.at
-      this.#executed += 1
+      this.#executedEvents += 1
       next.run()
-      // Let everything that waits for this event go on before the next one.
+      // Lets all promise continuations of this event run before the next event.
       await new Promise(resolve => { setImmediate(resolve) })
     }
   }
 
-  // --- Binary heap by time ---
+  // --- Binary heap, ordered by time ---
 
   #push (event: ScheduledEvent): void {
     const queue = this.#queue
--- a/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
+++ b/apps/bench/src/lib/prove/worlds/SimulatedReplica.ts
@@ -1,4 +1,4 @@
-/** A control replica in virtual time: real core, real state machine, a disk that forgets what was not synced. */
+/** A control replica in virtual time, with the real Raft core and state machine and a disk that loses unsynced writes. */
 import { membershipIndexOf, newestViewBound } from '@eelgrassmux/control/raft/logBounds'
 import { RaftCore } from '@eelgrassmux/consensus/RaftCore'
 import type { RaftError } from '@eelgrassmux/consensus/RaftError'
@@ -12,59 +12,59 @@
 import { stateImageSchema } from '@eelgrassmux/state/commands'
 import type { Simulation } from '../Simulation.js'
 
-/** Timing of the simulated replicas; short leases make faults bite often. */
+/** Raft settings of the simulated replicas; the lease is short so that faults often outlast it. */
 export const SIMULATED_RAFT = { heartbeatMs: 50, electionTimeoutMs: 300, leaseMs: 240, maxEntriesPerAppend: 16, maxBytesPerAppend: 1024 * 1024, promotionLag: 4, minimumVoters: 1 }
 
-/** What became of a proposed command. */
+/** Outcome of a proposed command. */
 export type SimulatedOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
   | { readonly kind: 'not-leader', readonly leader: string | undefined }
   | { readonly kind: 'uncertain' }
 
-/** Mechanisms of a replica that a world can take away to see that its checks find it. */
+/** Safety mechanisms of a replica that a world can disable to verify that its checks detect the violation. */
 export interface ReplicaMechanisms {
-  /** Effects wait for the sync of their writes. */
-  readonly syncs: boolean
-  /** Committed voters that its group needs before it takes a command. */
+  /** Whether effects are carried out only after their writes are synced. */
+  readonly syncsBeforeEffects: boolean
+  /** Number of committed voters that the group needs before it accepts commands. */
   readonly minimumVoters: number
-  /** Whether the group is formed is asked in the step that appends, and not when the command arrives. */
-  readonly asksInStep: boolean
+  /** Whether the number of voters is checked in the step that appends the command instead of when the command arrives. */
+  readonly checksVotersOnAppend: boolean
 }
 
-export const ALL_MECHANISMS: ReplicaMechanisms = { syncs: true, minimumVoters: 1, asksInStep: true }
+export const ALL_MECHANISMS: ReplicaMechanisms = { syncsBeforeEffects: true, minimumVoters: 1, checksVotersOnAppend: true }
 
-/** What a replica needs from its world. */
+/** Callbacks from a replica to its world. */
 export interface ReplicaPorts {
   send (from: Replica, to: Replica, message: RaftMessage): void
   applied (replica: SimulatedReplica, entry: LogEntry): void
 }
 
-const TICK_MS = 20
+const TICK_INTERVAL_MS = 20
 
-/** Log entries after which a snapshot is taken. */
-const SNAPSHOT_EVERY = 40
+/** Log length at which a snapshot is taken. */
+const SNAPSHOT_THRESHOLD_ENTRIES = 40
 
 type Input = (now: number) => RaftEffects | undefined
 
-/** One replica with its disk. */
+/** A replica with its disk. */
 export class SimulatedReplica {
   core: RaftCore
   state = new StateMachine()
   isAlive = true
   readonly #disk: PersistentImage
   #inputs: Input[] = []
-  #syncing = false
+  #isBusy = false
   #incarnation = 0
   #frozenUntil = 0
   #appliedIndex: number
   #pending = new Map<number, { term: number, resolve: (outcome: SimulatedOutcome) => void }>()
 
   /**
-   * @param simulation - schedule
+   * @param simulation - the seeded schedule
    * @param self - id and address
-   * @param disk - what the disk holds at first
-   * @param mechanisms - what holds its promises
-   * @param ports - surroundings
+   * @param disk - initial contents of the disk
+   * @param mechanisms - enabled safety mechanisms
+   * @param ports - callbacks to the world
    */
   constructor (
     private readonly simulation: Simulation,
@@ -81,26 +81,26 @@
 
   get appliedIndex (): number { return this.#appliedIndex }
 
-  /** Upper bound of any view in the log. */
+  /** Upper bound of the view revisions in the log. */
   get newestView (): number { return newestViewBound(this.core, this.#appliedIndex, this.state.viewRevision) }
-  /** Index of the entry that set the membership. */
+  /** Log index of the entry that set the current membership. */
   get membershipIndex (): number { return membershipIndexOf(this.core) }
 
-  /** @param message - from another replica */
+  /** @param message - message from another replica */
   receive (message: RaftMessage): void {
-    this.#post(now => this.core.receive(message, now))
+    this.#enqueue(now => this.core.receive(message, now))
   }
 
   /**
-   * @param command - what to apply
-   * @param resolve - told what became of it
+   * @param command - command to apply
+   * @param resolve - called with the outcome
    */
   propose (command: Command, resolve: (outcome: SimulatedOutcome) => void): void {
-    if (!this.mechanisms.asksInStep && this.#isKnownToForm()) {
+    if (!this.mechanisms.checksVotersOnAppend && this.#isKnownIncomplete()) {
       resolve({ kind: 'not-leader', leader: undefined })
       return
     }
-    this.#post(now => {
+    this.#enqueue(now => {
       const proposed = this.core.propose(encodeCommand({ stampedAt: this.simulation.wallClock(), command }), now)
       if (!proposed.ok) {
         const leader = proposed.error.kind === 'not-leader' ? proposed.error.leader?.id : undefined
@@ -113,29 +113,29 @@
     })
   }
 
-  /** @param change - a membership change of the core */
+  /** @param change - applies a membership change to the core */
   change (change: (core: RaftCore, now: number) => Result<RaftEffects, RaftError>): void {
-    this.#post(now => {
+    this.#enqueue(now => {
       const changed = change(this.core, now)
       return changed.ok ? changed.value : undefined
     })
   }
 
-  /** @param milliseconds - how long the process stands still */
+  /** @param milliseconds - how long the process is frozen */
   freeze (milliseconds: number): void {
     this.#frozenUntil = this.simulation.now() + milliseconds
   }
 
-  /** Ends the process; what was not synced is gone. */
+  /** Kills the process; unsynced writes are lost. */
   kill (): void {
     this.isAlive = false
     this.#incarnation += 1
     this.#inputs = []
     this.#pending.clear()
-    this.#syncing = false
+    this.#isBusy = false
   }
 
-  /** Starts the process again from its disk. */
+  /** Restarts the process from its disk. */
   restart (): void {
     this.isAlive = true
     this.state = new StateMachine()
@@ -145,68 +145,68 @@
   }
 
   #newCore (): RaftCore {
-    const minimumVoters = this.mechanisms.asksInStep ? this.mechanisms.minimumVoters : 1
+    const minimumVoters = this.mechanisms.checksVotersOnAppend ? this.mechanisms.minimumVoters : 1
     const core = new RaftCore(this.self, this.#disk.state(), { ...SIMULATED_RAFT, minimumVoters }, this.simulation.random, this.simulation.now())
     if (core.snapshot !== undefined) this.state.restore(stateImageSchema.parse(decode(core.snapshot.state)))
     return core
   }
 
-  /** Only a leader knows; what it knows may be outdated by the time it appends. */
-  #isKnownToForm (): boolean {
+  /** Only the leader can answer this, and the answer may be outdated by the time it appends the command. */
+  #isKnownIncomplete (): boolean {
     return this.core.role === 'leader' && this.core.committedMembership.voters.length < this.mechanisms.minimumVoters
   }
 
   #tick (): void {
     const incarnation = this.#incarnation
-    this.simulation.after(TICK_MS, () => {
+    this.simulation.schedule(TICK_INTERVAL_MS, () => {
       if (incarnation !== this.#incarnation) return
-      this.#post(now => this.core.tick(now))
+      this.#enqueue(now => this.core.tick(now))
       this.#tick()
     })
   }
 
-  #post (input: Input): void {
+  #enqueue (input: Input): void {
     if (!this.isAlive) return
     this.#inputs.push(input)
-    this.#work()
+    this.#processInputs()
   }
 
-  #work (): void {
-    if (this.#syncing || this.#inputs.length === 0) return
+  #processInputs (): void {
+    if (this.#isBusy || this.#inputs.length === 0) return
     const now = this.simulation.now()
     if (now < this.#frozenUntil) {
       const incarnation = this.#incarnation
-      this.#syncing = true
-      this.simulation.after(this.#frozenUntil - now, () => {
+      this.#isBusy = true
+      this.simulation.schedule(this.#frozenUntil - now, () => {
         if (incarnation !== this.#incarnation) return
-        this.#syncing = false
-        this.#work()
+        this.#isBusy = false
+        this.#processInputs()
       })
       return
     }
     const inputs = this.#inputs
     this.#inputs = []
     const effects = inputs.map(input => input(now)).filter(effect => effect !== undefined)
-    this.#syncThen(effects)
+    this.#syncAndApply(effects)
   }
 
-  #syncThen (effects: readonly RaftEffects[]): void {
+  #syncAndApply (effects: readonly RaftEffects[]): void {
     const writes = effects.flatMap(effect => effect.writes)
     const incarnation = this.#incarnation
-    this.#syncing = true
-    if (!this.mechanisms.syncs) for (const effect of effects) this.#carryOut(effect)
-    const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncs ? 4 : 200)
-    this.simulation.after(syncMs, () => {
+    this.#isBusy = true
+    if (!this.mechanisms.syncsBeforeEffects) for (const effect of effects) this.#applyEffects(effect)
+    const syncMs = writes.length === 0 ? 0 : 0.5 + this.simulation.random() * (this.mechanisms.syncsBeforeEffects ? 4 : 200)
+    this.simulation.schedule(syncMs, () => {
       if (incarnation !== this.#incarnation) return
       for (const write of writes) this.#disk.applyWrite(write)
-      this.#syncing = false
-      if (this.mechanisms.syncs) for (const effect of effects) this.#carryOut(effect)
+      this.#isBusy = false
+      if (this.mechanisms.syncsBeforeEffects) for (const effect of effects) this.#applyEffects(effect)
       this.#maybeSnapshot()
-      this.#work()
+      this.#processInputs()
     })
   }
 
-  #carryOut (effects: RaftEffects): void {
+  #applyEffects (effects: RaftEffects): void {
     for (const { to, message } of effects.messages) this.ports.send(this.self, to, message)
     if (effects.installed !== undefined) {
       this.state.restore(stateImageSchema.parse(decode(effects.installed.state)))
@@ -230,8 +230,8 @@
   }
 
   #maybeSnapshot (): void {
-    if (this.core.logLength < SNAPSHOT_EVERY || this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
+    if (this.core.logLength < SNAPSHOT_THRESHOLD_ENTRIES || this.#appliedIndex <= (this.core.snapshot?.index ?? 0)) return
     const effects = this.core.compact(this.#appliedIndex, encode(this.state.image(), { ignoreUndefined: true }))
-    this.#syncThen([effects])
+    this.#syncAndApply([effects])
   }
 }
